--- a/cmd/barleydrum/main_test.go
+++ b/cmd/barleydrum/main_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // TestMain lets the test binary stand in for the program.
@@ -104,7 +104,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	asked := func(d *standin.Discovery, which string) {
+	asked := func(d *fake.Discovery, which string) {
 		t.Helper()
 		until(t, log, "asked "+which, func() bool { return d.Calls() > 0 })
 	}
--- a/cmd/barleydrum/settings_test.go
+++ b/cmd/barleydrum/settings_test.go
@@ -18,8 +18,8 @@
 	"barleydrum.example/barleydrum/internal/check"
 	"barleydrum.example/barleydrum/internal/config"
 	"barleydrum.example/barleydrum/internal/engine"
+	"barleydrum.example/barleydrum/internal/fake"
 	"barleydrum.example/barleydrum/internal/sidecar"
-	"barleydrum.example/barleydrum/internal/standin"
 )
 
 const patience = 20 * time.Second
@@ -36,14 +36,14 @@
 }
 
 // service is a node and the discovery that lists it.
-func service(t *testing.T) *standin.Discovery {
+func service(t *testing.T) *fake.Discovery {
 	t.Helper()
-	node, err := standin.NewNode(standin.NodeConfig{ID: "s-1", Zone: "a", Addr: "127.0.0.1:0", Slots: 64})
+	node, err := fake.NewNode(fake.NodeConfig{ID: "s-1", Zone: "a", Addr: "127.0.0.1:0", Slots: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { node.Stop() })
-	d, err := standin.NewDiscovery("127.0.0.1:0", false)
+	d, err := fake.NewDiscovery("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,9 +124,9 @@
 	return fmt.Sprintf("schema = 1\n[application]\nname = \"test\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s%s", listen, discovery, more, class)
 }
 
-func order(caller *standin.Caller, body string) standin.Order {
+func order(caller *fake.Caller, body string) fake.Order {
 	id := caller.NextID()
-	return standin.Order{ID: id, Class: "place-order", Key: id, Body: body, Timeout: patience}
+	return fake.Order{ID: id, Class: "place-order", Key: id, Body: body, Timeout: patience}
 }
 
 // The operators' file alone is enough to run with, on all the addresses that it names.
@@ -138,10 +138,10 @@
 		t.Fatal(err)
 	}
 	cmd, log := startProgram(t, first, []string{"PROXY_CONFIG="}, "-settings", path)
-	caller := standin.NewCaller(1)
+	caller := fake.NewCaller(1)
 	defer caller.Close()
 	for _, addr := range []string{first, second} {
-		if v := caller.Do(context.Background(), addr, order(caller, "x"), patience); v != standin.Served {
+		if v := caller.Do(context.Background(), addr, order(caller, "x"), patience); v != fake.Served {
 			_, _, why := caller.Counts()
 			t.Errorf("%s: %v %v: %s", addr, v, why, log)
 		}
@@ -174,7 +174,7 @@
 		until(t, log, "said: "+says, func() bool { return strings.Count(log.String(), says) > n })
 	}
 
-	caller, stop := standin.NewCaller(4), make(chan struct{})
+	caller, stop := fake.NewCaller(4), make(chan struct{})
 	defer caller.Close()
 	var callers sync.WaitGroup
 	for range 4 {
@@ -193,7 +193,7 @@
 	}
 	served := func() int {
 		c, _, _ := caller.Counts()
-		return c[standin.Served]
+		return c[fake.Served]
 	}
 	const kept = "keeping the configuration at hand"
 	for round := range 3 {
@@ -212,7 +212,7 @@
 	}
 	close(stop)
 	callers.Wait()
-	if c, _, why := caller.Counts(); c[standin.Lost]+c[standin.Failed]+c[standin.Refused] > 0 {
+	if c, _, why := caller.Counts(); c[fake.Lost]+c[fake.Failed]+c[fake.Refused] > 0 {
 		t.Errorf("%v %v", c, why)
 	}
 	for _, want := range []string{"callers.max_body", "take effect at a restart", "callers.idle_time", "unsafe-retried", "out-of-range", "no such file"} {
@@ -223,7 +223,7 @@
 	// What was taken last is in effect.
 	replace("[callers]\nmax_body = \"1KiB\"\n")
 	hangup("reload: settings")
-	if v := caller.Do(context.Background(), addr, order(caller, strings.Repeat("x", 2000)), patience); v != standin.Failed {
+	if v := caller.Do(context.Background(), addr, order(caller, strings.Repeat("x", 2000)), patience); v != fake.Failed {
 		t.Errorf("a long body: %v, want it turned away", v)
 	}
 	end(t, cmd, log)
--- a/cmd/barleydrum/soak_test.go
+++ b/cmd/barleydrum/soak_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"barleydrum.example/barleydrum/internal/discovery"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // The soak's times. SIGKILL comes at the platform's earliest: the longest deadline and killAfter.
@@ -478,7 +478,7 @@
 	random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 	deadline := soakDeadlines[seed%uint64(len(soakDeadlines))]
 	rec := &records{drained: make(map[string]time.Time), deadline: deadline}
-	d, err := standin.NewDiscovery("127.0.0.1:0", false)
+	d, err := fake.NewDiscovery("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -1,4 +1,4 @@
-package config_test // internal/standin stands on config
+package config_test // internal/fake stands on config
 
 import (
 	"strings"
@@ -6,12 +6,12 @@
 
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/config"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 func TestPlatformNamesTheSettingAtFault(t *testing.T) {
 	good := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
-"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"instances": []}, "settings": ` + standin.Settings + "}"
+"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"instances": []}, "settings": ` + fake.Settings + "}"
 	c, err := config.ParsePlatform([]byte(good))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"barleydrum.example/barleydrum/internal/body"
-	"barleydrum.example/barleydrum/internal/pace"
+	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
 // Schema is the version of the operators' file that this program reads.
@@ -96,8 +96,8 @@
 func (s *Streams) Chunks() bool { return s.Chunked != nil && *s.Chunked }
 
 // Pace is what is asked of either side of a body that flows.
-func (s *Streams) Pace() pace.Meter {
-	return pace.Meter{Rate: int64(s.LeastRate), Window: s.RateWindow}
+func (s *Streams) Pace() transferrate.Meter {
+	return transferrate.Meter{Rate: int64(s.LeastRate), Window: s.RateWindow}
 }
 
 // Limits are what bodies of requests may hold.
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -7,7 +7,7 @@
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/replay"
+	"barleydrum.example/barleydrum/internal/retry"
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
@@ -38,7 +38,7 @@
 	inline   *attempt // that it carries
 	waiting  bool     // its goroutine waits for wake
 	flowing  *attempt // whose answer flows
-	gate     replay.Gate
+	gate     retry.Gate
 
 	wake  chan struct{}
 	timer *time.Timer
@@ -406,7 +406,7 @@
 	}
 	c.out--
 	result := x.Result()
-	if c.Flow != nil && replay.NeverRan(result) {
+	if c.Flow != nil && retry.NeverRan(result) {
 		c.gate.Unrun(x.n)
 	}
 	if result == balance.OK {
--- a/internal/engine/call_test.go
+++ b/internal/engine/call_test.go
@@ -14,8 +14,8 @@
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/config"
 	"barleydrum.example/barleydrum/internal/discovery"
+	"barleydrum.example/barleydrum/internal/fake"
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/standin"
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
@@ -24,7 +24,7 @@
 
 func newEngine(t *testing.T, known discovery.List) *Engine {
 	t.Helper()
-	e, err := New(standin.Config(t, known))
+	e, err := New(fake.Config(t, known))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,14 +65,14 @@
 // The probe goes to the path and is waited for as long as the file says.
 func TestProbeIsTheFiles(t *testing.T) {
 	paths := make(chan string, 1)
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		paths <- r.URL.Path
 		if r.URL.Path == "/late" {
 			<-r.Context().Done()
 		}
 		io.WriteString(w, "TEXT inflight=3, queue=0, util=0.5")
 	})
-	c := config.Merge(standin.Config(t, discovery.List{}).Platform, settings(t, "[probe]\npath = \"/how-busy\"\ntime = \"10s\"\n"))
+	c := config.Merge(fake.Config(t, discovery.List{}).Platform, settings(t, "[probe]\npath = \"/how-busy\"\ntime = \"10s\"\n"))
 	set := newLive(c.Settings)
 	p, to := newPool(c, set), &upstream.Route{Addr: addr}
 	defer p.Release(to, false)
@@ -145,7 +145,7 @@
 	began, finish := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(finish) })
 	var first atomic.Bool
-	e := newEngine(t, standin.Up(standin.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	e := newEngine(t, fake.Up(fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if first.CompareAndSwap(false, true) { // so that a connection stands idle
 			return
@@ -184,7 +184,7 @@
 
 // What has its answer before its first byte went out stays here.
 func TestNothingGoesOutOnceAnswered(t *testing.T) {
-	e := newEngine(t, standin.Up(standin.HTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out") })))
+	e := newEngine(t, fake.Up(fake.HTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out") })))
 	c := newCall(t, e, patience)
 	x, answered := e.begin(c, false)
 	if x == nil || answered {
@@ -200,7 +200,7 @@
 
 // A call that is abandoned before the engine has it is never handed to the balancer.
 func TestGoneBeforeBegin(t *testing.T) {
-	e := newEngine(t, standin.Up("127.0.0.1:1"))
+	e := newEngine(t, fake.Up("127.0.0.1:1"))
 	for _, early := range []bool{false, true} {
 		c := newCall(t, e, patience)
 		if early {
@@ -215,7 +215,7 @@
 
 // A call that nobody takes fails when its caller's time is up, whatever the balancer does.
 func TestTimeIsUp(t *testing.T) {
-	e := newEngine(t, standin.Up(standin.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	e := newEngine(t, fake.Up(fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})))
@@ -232,7 +232,7 @@
 // then goes to another.
 func TestDrainWhileOut(t *testing.T) {
 	began, finish := make(chan struct{}), make(chan struct{})
-	list := standin.Up(standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	list := fake.Up(fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		close(began)
 		<-finish
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -16,7 +16,7 @@
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/config"
 	"barleydrum.example/barleydrum/internal/discovery"
-	"barleydrum.example/barleydrum/internal/pace"
+	"barleydrum.example/barleydrum/internal/transferrate"
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
@@ -98,7 +98,7 @@
 				Long: int64(flows.MaxAnswer), Look: int64(flows.Look), Unknown: flows.MaxAnswer > 0 && flows.Chunks(),
 			}
 		},
-		Pace: func() pace.Meter { return settings.Load().Streams.Pace() },
+		Pace: func() transferrate.Meter { return settings.Load().Streams.Pace() },
 	})
 }
 
--- a/internal/engine/names_test.go
+++ b/internal/engine/names_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"barleydrum.example/barleydrum/internal/discovery"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // Every sidecar has the same number for an endpoint, whatever the order of the list,
@@ -50,9 +50,9 @@
 
 // The start of an endpoint, in Unix time, is at its place on the module's clock.
 func TestStartIsOnTheModulesClock(t *testing.T) {
-	l := standin.Up("127.0.0.1:2")
+	l := fake.Up("127.0.0.1:2")
 	l.Instances[0].StartedMS = time.Now().Add(-time.Minute).UnixMilli()
-	e, err := New(standin.Config(t, l))
+	e, err := New(fake.Config(t, l))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/standin.go
+++ b/internal/fake/standin.go
@@ -1,8 +1,8 @@
-// Package standin stands in for what a sidecar meets on its network: the endpoints of a
+// Package fake stands in for what a sidecar meets on its network: the endpoints of a
 // tier, with faults on command; discovery, pushed or asked; and callers that keep count of
 // what they were answered. It is written from PROTOCOL, listens on loopback only, and serves
 // tests and the lab alike.
-package standin
+package fake
 
 import (
 	"bufio"
--- a/internal/fleet/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet is a model of a fleet under simulated time: clients, sidecars that run the real
+// Package fleetsim is a model of a fleet under simulated time: clients, sidecars that run the real
 // decision module, and the nodes of one tier. It opens no socket and reads no clock, and the same
 // Config gives the same Result. It is for questions that no machine here has the size for, and for
 // tests of decisions that show only when many of them meet.
@@ -6,7 +6,7 @@
 // A node shares its cores evenly among the calls that compute at it (processor sharing), and a call
 // waits at it for the tiers behind, which are a delay here, before it is answered. Not modelled:
 // several tiers, connections, discovery's lag, cold starts, nodes that fall over.
-package fleet
+package fleetsim
 
 import (
 	"errors"
--- a/internal/fleet/node.go
+++ b/internal/fleetsim/node.go
@@ -1,4 +1,4 @@
-package fleet
+package fleetsim
 
 import (
 	"time"
--- a/internal/door/door.go
+++ b/internal/httpserver/door.go
@@ -1,11 +1,11 @@
-// Package door takes callers' connections and reads their requests. It holds to what each
+// Package httpserver takes callers' connections and reads their requests. It holds to what each
 // caller may take of time, bytes and places, and hands on whole requests only; what they are
 // about is a [Handler]'s to judge.
 //
 // Each connection has one goroutine, which serves its requests one after another. It holds no
 // buffer while the connection is idle. One further goroutine hears of all callers that go away
 // while their request is being answered.
-package door
+package httpserver
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/sock"
+	"barleydrum.example/barleydrum/internal/tcpconn"
 )
 
 // Handler answers requests.
@@ -80,7 +80,7 @@
 	slots    chan struct{} // one for each connection that is open
 	shut     chan struct{}
 	draining atomic.Bool
-	watch    *sock.Watch
+	watch    *tcpconn.Watch
 	date     atomic.Pointer[date]
 
 	mu        sync.Mutex
@@ -95,7 +95,7 @@
 
 // conn is a caller's connection. Its goroutine owns it; what is under mu is the door's.
 type conn struct {
-	*sock.Conn
+	*tcpconn.Conn
 	guest  guest // under Door.mu
 	number uint64
 	gone   bool   // the caller has gone; under Door.mu
@@ -122,7 +122,7 @@
 
 // New returns a Door.
 func New(cfg Config) (*Door, error) {
-	w, err := sock.NewWatch()
+	w, err := tcpconn.NewWatch()
 	if err != nil {
 		return nil, fmt.Errorf("door: %w", err)
 	}
@@ -170,10 +170,10 @@
 		}
 		// A connection that breaks as it is accepted says nothing of the next. Without a
 		// descriptor the next fails too, until one is free: the least loss gives way.
-		if sock.ListenerBroken(err) {
+		if tcpconn.ListenerBroken(err) {
 			return fmt.Errorf("door: %w", err)
 		}
-		if sock.NoDescriptor(err) {
+		if tcpconn.NoDescriptor(err) {
 			d.mu.Lock()
 			d.evict(nil)
 			d.mu.Unlock()
@@ -189,7 +189,7 @@
 
 // enter lets a connection in, whose place has been taken.
 func (d *Door) enter(nc net.Conn) error {
-	s, err := sock.New(nc, &d.bufs)
+	s, err := tcpconn.New(nc, &d.bufs)
 	if err != nil {
 		return errors.Join(err, nc.Close())
 	}
--- a/internal/door/door_test.go
+++ b/internal/httpserver/door_test.go
@@ -1,4 +1,4 @@
-package door
+package httpserver
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"barleydrum.example/barleydrum/internal/pace"
+	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
 // patience is how long a test waits for what must happen: no verdict leans on it being short.
@@ -79,7 +79,7 @@
 		return
 	case "/flow":
 		text := []byte("flows")
-		how := Flow{Pace: pace.Meter{Rate: 1, Window: flowTime}, Until: time.Now().Add(flowTime)}
+		how := Flow{Pace: transferrate.Meter{Rate: 1, Window: flowTime}, Until: time.Now().Add(flowTime)}
 		if err := x.Begin(200, nil, int64(len(text)), how); err == nil {
 			x.Write(text)
 			x.End(nil)
--- a/internal/door/flow.go
+++ b/internal/httpserver/flow.go
@@ -1,4 +1,4 @@
-package door
+package httpserver
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/pace"
-	"barleydrum.example/barleydrum/internal/sock"
+	"barleydrum.example/barleydrum/internal/tcpconn"
+	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
 // What may end a body that flows, beside what can't be read (an *http1.Error).
@@ -23,9 +23,9 @@
 
 // Flow says how a body may flow.
 type Flow struct {
-	Most  int64      // bytes of it
-	Pace  pace.Meter // that is asked of the caller
-	Until time.Time  // the time for the whole is up
+	Most  int64              // bytes of it
+	Pace  transferrate.Meter // that is asked of the caller
+	Until time.Time          // the time for the whole is up
 }
 
 // upload reads a request's body as it arrives, in a goroutine of its own.
@@ -209,7 +209,7 @@
 			return n, nil
 		case err == nil:
 			return 0, fmt.Errorf("body: %w", ErrSlow)
-		case !sock.DeadlinePassed(err):
+		case !tcpconn.DeadlinePassed(err):
 			return 0, fmt.Errorf("body: %w: %w", ErrGone, err)
 		case !now.Before(u.how.Until):
 			return 0, fmt.Errorf("body: %w", ErrTime)
@@ -303,7 +303,7 @@
 		switch {
 		case err == nil:
 			return nil
-		case !sock.DeadlinePassed(err):
+		case !tcpconn.DeadlinePassed(err):
 			return err
 		case !now.Before(f.how.Until):
 			return fmt.Errorf("answer: %w", ErrTime)
--- a/internal/door/places.go
+++ b/internal/httpserver/places.go
@@ -1,4 +1,4 @@
-package door
+package httpserver
 
 import "time"
 
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -17,7 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"barleydrum.example/barleydrum/internal/discovery"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // Compared says how programs are compared.
@@ -73,7 +73,7 @@
 type comparison struct {
 	lab
 	how   Compared
-	quick []*standin.Quick
+	quick []*fake.Quick
 	addrs []string
 	ids   uint64
 }
@@ -87,13 +87,13 @@
 	if err := how.Check(); err != nil {
 		return err
 	}
-	l := &comparison{lab: lab{cfg: cfg, calls: standin.NewCaller(1)}, how: how}
+	l := &comparison{lab: lab{cfg: cfg, calls: fake.NewCaller(1)}, how: how}
 	defer l.close()
 	if err := l.prepare(ctx); err != nil {
 		return err
 	}
 	for i := range how.Nodes {
-		q, err := standin.NewQuick(how.Answer)
+		q, err := fake.NewQuick(how.Answer)
 		if err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 			return err
 		}
 	}
-	l.discovery[0], err = standin.NewDiscovery("127.0.0.1:0", false)
+	l.discovery[0], err = fake.NewDiscovery("127.0.0.1:0", false)
 	return err
 }
 
@@ -196,9 +196,9 @@
 }
 
 // caller connects a caller of its own ids.
-func (l *comparison) caller(addr, path string) (*standin.QuickCaller, error) {
+func (l *comparison) caller(addr, path string) (*fake.QuickCaller, error) {
 	l.ids++
-	return standin.NewQuickCaller(addr, class, path, l.how.Body, deadlineMS*time.Millisecond, l.ids<<32)
+	return fake.NewQuickCaller(addr, class, path, l.how.Body, deadlineMS*time.Millisecond, l.ids<<32)
 }
 
 // round runs a side once.
@@ -210,7 +210,7 @@
 			return err
 		}
 	}
-	callers := make([]*standin.QuickCaller, l.how.Callers)
+	callers := make([]*fake.QuickCaller, l.how.Callers)
 	for i := range callers {
 		addr := l.addrs[i%len(l.addrs)]
 		if p != nil {
@@ -313,7 +313,7 @@
 			s.idleKB, err = p.resident()
 			return err
 		}
-		time.Sleep(standin.QuickHold / 2)
+		time.Sleep(fake.QuickHold / 2)
 		mu.Lock()
 		s.open = l.how.Open - answered
 		mu.Unlock()
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -21,7 +21,7 @@
 	"text/tabwriter"
 	"time"
 
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // Config says what a run of the lab is.
@@ -48,22 +48,22 @@
 type lab struct {
 	cfg       Config
 	program   string
-	discovery [3]*standin.Discovery
-	ledgers   [3]*standin.Ledger
-	nodes     [3][]*standin.Node
+	discovery [3]*fake.Discovery
+	ledgers   [3]*fake.Ledger
+	nodes     [3][]*fake.Node
 	fronts    []*process
 	notice    *time.Timer // tells discovery of the node that died; nil before
 
 	mu       sync.Mutex
-	behind   map[*standin.Node]*process // the sidecar that a node calls through
+	behind   map[*fake.Node]*process // the sidecar that a node calls through
 	sidecars []*process
-	calls    *standin.Caller // of the nodes
+	calls    *fake.Caller // of the nodes
 	keys     int
 }
 
 // Run runs the lab. It returns an error if it could not be run, or a rule was broken.
 func Run(ctx context.Context, cfg Config) error {
-	l := &lab{cfg: cfg, behind: make(map[*standin.Node]*process), calls: standin.NewCaller(64)}
+	l := &lab{cfg: cfg, behind: make(map[*fake.Node]*process), calls: fake.NewCaller(64)}
 	defer l.close()
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	if err := l.start(ctx); err != nil {
 		return err
 	}
-	caller := standin.NewCaller(64)
+	caller := fake.NewCaller(64)
 	defer caller.Close()
 	told := l.stream(ctx, caller)
 	if err := ctx.Err(); err != nil {
@@ -92,10 +92,10 @@
 		}
 	}
 	for i, t := range tiers {
-		if l.discovery[i], err = standin.NewDiscovery("127.0.0.1:0", false); err != nil {
+		if l.discovery[i], err = fake.NewDiscovery("127.0.0.1:0", false); err != nil {
 			return err
 		}
-		l.ledgers[i] = &standin.Ledger{Window: windowMS * time.Millisecond}
+		l.ledgers[i] = &fake.Ledger{Window: windowMS * time.Millisecond}
 		for n := range t.nodes {
 			if err := l.node(i, n); err != nil {
 				return err
@@ -146,8 +146,8 @@
 // node starts a node of a tier.
 func (l *lab) node(tier, n int) error {
 	t := tiers[tier]
-	var node *standin.Node
-	cfg := standin.NodeConfig{
+	var node *fake.Node
+	cfg := fake.NodeConfig{
 		ID: fmt.Sprintf("%s-%d", t.name, n), Zone: zones[n%2], Addr: "127.0.0.1:0", Slots: slots, Queue: queue,
 		Work: time.Duration(t.workMS) * time.Millisecond, Ledger: l.ledgers[tier],
 	}
@@ -155,7 +155,7 @@
 		cfg.Next = func(ctx context.Context, r *http.Request) error { return l.callOn(ctx, node, t.calls, r) }
 	}
 	var err error
-	if node, err = standin.NewNode(cfg); err != nil {
+	if node, err = fake.NewNode(cfg); err != nil {
 		return err
 	}
 	l.nodes[tier] = append(l.nodes[tier], node)
@@ -189,7 +189,7 @@
 
 // callOn makes a node's calls of the next tier, one after another, within what is left of the
 // request's time.
-func (l *lab) callOn(ctx context.Context, node *standin.Node, calls int, r *http.Request) error {
+func (l *lab) callOn(ctx context.Context, node *fake.Node, calls int, r *http.Request) error {
 	l.mu.Lock()
 	p := l.behind[node]
 	l.mu.Unlock()
@@ -204,11 +204,11 @@
 			return context.DeadlineExceeded
 		}
 		// A repeat of the request makes the same calls: their keys say so.
-		o := standin.Order{
+		o := fake.Order{
 			ID: newID(), Class: class, Key: fmt.Sprintf("%s-%d", r.Header.Get("Idempotency-Key"), n), Timeout: left,
 		}
 		o.Body = "call"
-		if v := l.calls.Do(ctx, p.addr, o, 0); v != standin.Served {
+		if v := l.calls.Do(ctx, p.addr, o, 0); v != fake.Served {
 			return fmt.Errorf("call of the next tier: %s", v)
 		}
 	}
@@ -223,16 +223,16 @@
 
 // events are the times of what the lab did to the nodes.
 type events struct {
-	drained              *standin.Node
+	drained              *fake.Node
 	drainTold            time.Time
-	restarted            *standin.Node
+	restarted            *fake.Node
 	restartedAt          time.Time
 	asked                int
 	failedNode, drained2 string
 }
 
 // stream sends the orders, and has a node fail and another drain on the way.
-func (l *lab) stream(ctx context.Context, caller *standin.Caller) events {
+func (l *lab) stream(ctx context.Context, caller *fake.Caller) events {
 	var e events
 	plan := []struct {
 		at float64 // of the stream
@@ -256,9 +256,9 @@
 			said = time.Now()
 			c, _, _ := caller.Counts()
 			l.say("  %4.1f s: %d asked, %d served, %d refused, %d failed", time.Since(began).Seconds(), e.asked,
-				c[standin.Served], c[standin.Refused], c[standin.Failed])
+				c[fake.Served], c[fake.Refused], c[fake.Failed])
 		}
-		o := standin.Order{
+		o := fake.Order{
 			ID: newID(), Class: class, Key: newID() + newID(), Path: fmt.Sprintf("tank-%d", e.asked),
 			Body: "500 litres", Timeout: deadlineMS * time.Millisecond,
 		}
@@ -340,7 +340,7 @@
 }
 
 // report stops the sidecars and prints the table.
-func (l *lab) report(caller *standin.Caller, e events) error {
+func (l *lab) report(caller *fake.Caller, e events) error {
 	var broken error
 	var cpu time.Duration
 	var peakKB int64
@@ -362,14 +362,14 @@
 	counts, took, lost := caller.Counts()
 	w := tabwriter.NewWriter(l.cfg.Out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
-	share := func(v standin.Verdict) string {
+	share := func(v fake.Verdict) string {
 		return fmt.Sprintf("%d (%.1f%%)", counts[v], 100*float64(counts[v])/float64(max(e.asked, 1)))
 	}
 	fmt.Fprintln(w)
 	row("asked", "%d", e.asked)
-	row("served", "%s", share(standin.Served))
-	row("refused", "%s", share(standin.Refused))
-	row("failed", "%s", share(standin.Failed))
+	row("served", "%s", share(fake.Served))
+	row("refused", "%s", share(fake.Refused))
+	row("failed", "%s", share(fake.Failed))
 	slices.Sort(took)
 	row("time of those served", "p50 %v  p99 %v  p99.9 %v", quantile(took, 0.5), quantile(took, 0.99), quantile(took, 0.999))
 	for i, t := range tiers {
@@ -406,12 +406,12 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)].Round(10 * time.Microsecond)
 }
 
-func checkLost(asked int, counts map[standin.Verdict]int, lost map[string]int) error {
+func checkLost(asked int, counts map[fake.Verdict]int, lost map[string]int) error {
 	sum := 0
 	for _, n := range counts {
 		sum += n
 	}
-	if n := counts[standin.Lost]; n > 0 || sum != asked {
+	if n := counts[fake.Lost]; n > 0 || sum != asked {
 		return fmt.Errorf("%d of %d have no answer: %v", n+asked-sum, asked, lost)
 	}
 	return nil
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // TestMain lets the test binary stand in for the lab's own program as what it compares with.
@@ -121,22 +121,22 @@
 
 // The lab's own judgement sees what it is to see.
 func TestChecks(t *testing.T) {
-	n := func(served, lost int) map[standin.Verdict]int {
-		return map[standin.Verdict]int{standin.Served: served, standin.Lost: lost}
+	n := func(served, lost int) map[fake.Verdict]int {
+		return map[fake.Verdict]int{fake.Served: served, fake.Lost: lost}
 	}
 	if checkLost(5, n(5, 0), nil) != nil || checkLost(5, n(4, 1), nil) == nil || checkLost(5, n(4, 0), nil) == nil {
 		t.Error("lost requests are not told from answered ones")
 	}
-	node, err := standin.NewNode(standin.NodeConfig{ID: "n", Addr: "127.0.0.1:0"})
+	node, err := fake.NewNode(fake.NodeConfig{ID: "n", Addr: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Stop()
-	caller := standin.NewCaller(1)
+	caller := fake.NewCaller(1)
 	defer caller.Close()
 	ask := func() {
-		o := standin.Order{ID: newID(), Class: class, Key: "k", Body: "x", Timeout: 20 * time.Second}
-		if v := caller.Do(context.Background(), node.Entry("").HostPort, o, 0); v != standin.Served {
+		o := fake.Order{ID: newID(), Class: class, Key: "k", Body: "x", Timeout: 20 * time.Second}
+		if v := caller.Do(context.Background(), node.Entry("").HostPort, o, 0); v != fake.Served {
 			t.Fatalf("the stand-in node: %v", v)
 		}
 	}
@@ -154,7 +154,7 @@
 	if err := checkCold(events{restarted: node, restartedAt: at}); err == nil {
 		t.Error("60 requests at once to a cold node are not seen")
 	}
-	ledger := &standin.Ledger{Window: time.Hour}
+	ledger := &fake.Ledger{Window: time.Hour}
 	l := &lab{}
 	for i := range l.ledgers {
 		l.ledgers[i] = ledger
--- a/internal/lab/streams.go
+++ b/internal/lab/streams.go
@@ -11,7 +11,7 @@
 
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/discovery"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // Streamed says how programs are compared that pass on long bodies.
@@ -50,13 +50,13 @@
 	if err := how.Check(); err != nil {
 		return err
 	}
-	l := &comparison{lab: lab{cfg: cfg, calls: standin.NewCaller(1)}}
+	l := &comparison{lab: lab{cfg: cfg, calls: fake.NewCaller(1)}}
 	defer l.close()
 	if err := l.prepare(ctx); err != nil {
 		return err
 	}
 	for i := range how.Nodes {
-		s, addr, err := standin.NewBulk(how.Answer)
+		s, addr, err := fake.NewBulk(how.Answer)
 		if err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 	began := time.Now()
 	for i := range how.Streams {
 		l.ids++
-		b := standin.BulkCaller{
+		b := fake.BulkCaller{
 			Addr: p.addr, Class: class, Path: "order", ID: fmt.Sprintf("%016x", l.ids), Body: how.Body, Answer: how.Answer, Timeout: 5 * time.Minute,
 		}
 		if how.Slow > 0 && i%how.Slow == 0 {
--- a/internal/replay/replay.go
+++ b/internal/retry/replay.go
@@ -1,8 +1,8 @@
-// Package replay says what may still become of a request whose body is passed on as it arrives:
+// Package retry says what may still become of a request whose body is passed on as it arrives:
 // by its class, by what is left of its body, and by what its attempts may have done. It is the
 // table of docs/operators/bodies.md, held against the decision module by exhaustive test, and the
 // one rule that the module can't keep since it is about the moment of a last byte: [Gate].
-package replay
+package retry
 
 import (
 	"strings"
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -12,13 +12,13 @@
 	"barleydrum.example/barleydrum/internal/config"
 	"barleydrum.example/barleydrum/internal/discovery"
 	"barleydrum.example/barleydrum/internal/engine"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // follow runs discovery against a handler until the test ends.
 func follow(t *testing.T, known discovery.List, h http.HandlerFunc) *engine.Engine {
 	t.Helper()
-	return followConfig(t, standin.Config(t, known), h)
+	return followConfig(t, fake.Config(t, known), h)
 }
 
 func followConfig(t *testing.T, c *config.Config, h http.HandlerFunc) *engine.Engine {
@@ -28,7 +28,7 @@
 
 func followMoves(t *testing.T, c *config.Config, h http.HandlerFunc) *Discovery {
 	t.Helper()
-	c.Discovery = standin.HTTP(t, h)
+	c.Discovery = fake.HTTP(t, h)
 	e, err := engine.New(c)
 	if err != nil {
 		t.Fatal(err)
@@ -63,20 +63,20 @@
 		var moves [2]string
 		for i := range moves {
 			var calls atomic.Int32
-			moves[i] = standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+			moves[i] = fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 				if calls.Add(1) == 1 {
 					first <- r.URL.RawQuery
-					json.NewEncoder(w).Encode(standin.Up(fmt.Sprint("127.0.0.1:", 3+i)))
+					json.NewEncoder(w).Encode(fake.Up(fmt.Sprint("127.0.0.1:", 3+i)))
 					return
 				}
 				hang(r)
 			})
 		}
-		known := standin.Up("127.0.0.1:2")
+		known := fake.Up("127.0.0.1:2")
 		if asks { // so that the balancer asks at once
 			known = discovery.List{}
 		}
-		c := standin.Config(t, known)
+		c := fake.Config(t, known)
 		c.Module.AskDiscovery = asks
 		d := followMoves(t, c, func(_ http.ResponseWriter, r *http.Request) { hang(r) })
 		wait(t, asked, "call")
@@ -98,7 +98,7 @@
 // Version 0 left out of a watch had each call answered with the whole list, at once.
 func TestWatchNamesItsVersion(t *testing.T) {
 	queries := make(chan string, 100)
-	news := standin.Up("127.0.0.1:2")
+	news := fake.Up("127.0.0.1:2")
 	news.Generation = 0
 	follow(t, discovery.List{}, func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -125,7 +125,7 @@
 	}
 	done := make(chan struct{})
 	calls, began := 0, time.Now()
-	e := follow(t, standin.Up("127.0.0.1:2"), func(w http.ResponseWriter, r *http.Request) {
+	e := follow(t, fake.Up("127.0.0.1:2"), func(w http.ResponseWriter, r *http.Request) {
 		switch calls++; {
 		case calls <= len(bad):
 			fmt.Fprint(w, bad[calls-1])
@@ -160,7 +160,7 @@
 // Where discovery is asked, it is asked when the balancer says so, and a call that fails is
 // the balancer's to repeat: a fleet that asked again at once would keep discovery down.
 func TestAsksWhenTold(t *testing.T) {
-	c := standin.Config(t, discovery.List{})
+	c := fake.Config(t, discovery.List{})
 	c.Module.AskDiscovery = true
 	calls, listed := 0, make(chan struct{})
 	e := followConfig(t, c, func(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 2:
-			json.NewEncoder(w).Encode(standin.Up("127.0.0.1:2"))
+			json.NewEncoder(w).Encode(fake.Up("127.0.0.1:2"))
 		case 3:
 			close(listed)
 			fallthrough
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"barleydrum.example/barleydrum/internal/body"
-	"barleydrum.example/barleydrum/internal/door"
 	"barleydrum.example/barleydrum/internal/engine"
 	"barleydrum.example/barleydrum/internal/http1"
+	"barleydrum.example/barleydrum/internal/httpserver"
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
@@ -61,7 +61,7 @@
 	f := &s.flows
 	f.Broken++
 	switch {
-	case errors.Is(err, door.ErrSlow), errors.Is(err, door.ErrTime):
+	case errors.Is(err, httpserver.ErrSlow), errors.Is(err, httpserver.ErrTime):
 		f.SlowCallers++
 	case errors.Is(err, upstream.ErrSlow):
 		f.SlowEndpoints++
@@ -83,7 +83,7 @@
 }
 
 // flow serves a call whose body is still arriving.
-func (s *Server) flow(x *door.Exchange, c *engine.Call) {
+func (s *Server) flow(x *httpserver.Exchange, c *engine.Call) {
 	set := &s.engine.Settings().Streams
 	if !s.enter(set.Open) {
 		s.engine.Done(c)
@@ -100,7 +100,7 @@
 	}
 	here := x.Watch(c)
 	var broken error // its goroutine's until StopUpload
-	x.Upload(b, door.Flow{Most: int64(set.MaxBody), Pace: set.Pace(), Until: c.Until}, func(err error) {
+	x.Upload(b, httpserver.Flow{Most: int64(set.MaxBody), Pace: set.Pace(), Until: c.Until}, func(err error) {
 		if err == nil {
 			c.Whole()
 			return
@@ -124,7 +124,7 @@
 
 // wordFlow words the final answer to a request whose body may not have come whole: then nothing
 // can have run, and the caller is told what was wrong with it.
-func (s *Server) wordFlow(x *door.Exchange, f engine.Final, broken error) {
+func (s *Server) wordFlow(x *httpserver.Exchange, f engine.Final, broken error) {
 	if broken == nil || errors.Is(broken, body.ErrClosed) || f.Served != nil || f.Refused {
 		s.word(x, f)
 		return
@@ -135,9 +135,9 @@
 	switch {
 	case errors.As(broken, &wrong):
 		status = wrong.Status
-	case errors.Is(broken, door.ErrTooLong):
+	case errors.Is(broken, httpserver.ErrTooLong):
 		status = http.StatusRequestEntityTooLarge
-	case errors.Is(broken, door.ErrSlow), errors.Is(broken, door.ErrTime):
+	case errors.Is(broken, httpserver.ErrSlow), errors.Is(broken, httpserver.ErrTime):
 		status = http.StatusRequestTimeout
 	}
 	x.Answer(status, plain, nil, []byte(broken.Error()+"\n"))
@@ -149,17 +149,17 @@
 func (l leaver) Leave() { l.x.End(upstream.ErrCanceled) }
 
 // pass passes an answer on as it comes. If it breaks off, so does the caller's, who sees that.
-func (s *Server) pass(x *door.Exchange, c *engine.Call, f engine.Final) {
+func (s *Server) pass(x *httpserver.Exchange, c *engine.Call, f engine.Final) {
 	s.mu.Lock()
 	s.flows.Answers++
 	s.mu.Unlock()
 	if !x.Watch(leaver{f.Served}) {
-		s.broke(door.ErrGone)
+		s.broke(httpserver.ErrGone)
 		return
 	}
 	defer x.Unwatch()
 	set := &s.engine.Settings().Streams
-	err := x.Begin(http.StatusOK, fieldsOf(f.Served), f.Served.Length(), door.Flow{Pace: set.Pace(), Until: c.Until})
+	err := x.Begin(http.StatusOK, fieldsOf(f.Served), f.Served.Length(), httpserver.Flow{Pace: set.Pace(), Until: c.Until})
 	for err == nil {
 		var p []byte
 		if p, err = f.Served.Next(); err == io.EOF {
--- a/internal/sidecar/flow_test.go
+++ b/internal/sidecar/flow_test.go
@@ -21,7 +21,7 @@
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/discovery"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // flows takes long bodies both ways, kept in files.
@@ -75,7 +75,7 @@
 	up, down := noise(3<<20), noise(2<<20+1)
 	for _, asked := range []string{"length", "chunks"} {
 		for _, answered := range []string{"length", "chunks", "close"} {
-			addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+			addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 				h := sha256.New()
 				if _, err := io.Copy(h, r.Body); err != nil || [32]byte(h.Sum(nil)) != sha256.Sum256(up) {
 					t.Errorf("%s: the node got something else: %v", asked, err)
@@ -102,7 +102,7 @@
 				}
 				w.Write(down)
 			})
-			p := start(t, withSettings(t, standin.Up(addr), flows))
+			p := start(t, withSettings(t, fake.Up(addr), flows))
 			length := int64(len(up))
 			if asked == "chunks" {
 				length = -1
@@ -125,11 +125,11 @@
 
 // A connection serves on after bodies that came whole, either way.
 func TestFlowsKeepConnections(t *testing.T) {
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		w.Write(text)
 	})
-	p := start(t, withSettings(t, standin.Up(addr), flows))
+	p := start(t, withSettings(t, fake.Up(addr), flows))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -205,8 +205,8 @@
 	for _, class := range []string{"read", "book", "pay"} {
 		for _, after := range []int64{1, size / 2, size - 1, -1} {
 			b := &breaker{after: after}
-			addr := standin.HTTP(t, b.serve)
-			p := start(t, withSettings(t, standin.Up(addr, standin.HTTP(t, b.serve)), flows))
+			addr := fake.HTTP(t, b.serve)
+			p := start(t, withSettings(t, fake.Up(addr, fake.HTTP(t, b.serve)), flows))
 			resp, _ := p.send(p.upload(class, bytes.NewReader(want), size))
 			served := after >= 0 && after <= size/2 || class != "pay"
 			if got := resp.StatusCode; served && got != 200 || !served && got != http.StatusBadGateway {
@@ -260,7 +260,7 @@
 	} {
 		for class, status := range map[string]int{"read": 503, "book": 503, "pay": 502} {
 			b := &breaker{after: -1}
-			p := start(t, withSettings(t, standin.Up(standin.HTTP(t, b.serve), standin.HTTP(t, b.serve)), flows))
+			p := start(t, withSettings(t, fake.Up(fake.HTTP(t, b.serve), fake.HTTP(t, b.serve)), flows))
 			p.server.bodies = store
 			resp, _ := p.send(p.upload(class, bytes.NewReader(want), size))
 			b.mu.Lock()
@@ -277,12 +277,12 @@
 // worse for it: the next request goes there at once.
 func TestSlowCaller(t *testing.T) {
 	var broken atomic.Int32
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			broken.Add(1)
 		}
 	})
-	p := start(t, withSettings(t, standin.Up(addr), flowsSlow))
+	p := start(t, withSettings(t, fake.Up(addr), flowsSlow))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -335,7 +335,7 @@
 			t.Error("the second node got something else")
 		}
 	}
-	p := start(t, withSettings(t, standin.Up(standin.HTTP(t, node), standin.HTTP(t, node)), flowsSlow))
+	p := start(t, withSettings(t, fake.Up(fake.HTTP(t, node), fake.HTTP(t, node)), flowsSlow))
 	defer close(stop)
 	if resp, _ := p.send(p.upload("pay", bytes.NewReader(want), int64(len(want)))); resp.StatusCode != 200 || !first.Load() {
 		t.Errorf("%s", resp.Status)
@@ -355,7 +355,7 @@
 		{"short", []byte("enough"), false}, {"short, the caller has stopped", []byte("enough"), true},
 		{"long", long, false}, {"long, the caller has stopped", long, true},
 	} {
-		addr := standin.TCP(t, func(n net.Conn) {
+		addr := fake.TCP(t, func(n net.Conn) {
 			defer n.Close()
 			in := bufio.NewReader(n)
 			if _, err := http.ReadRequest(in); err != nil {
@@ -365,7 +365,7 @@
 			n.Write(c.answer)
 			io.Copy(io.Discard, in)
 		})
-		p := start(t, withSettings(t, standin.Up(addr), flows))
+		p := start(t, withSettings(t, fake.Up(addr), flows))
 		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -400,9 +400,9 @@
 		for _, how := range []string{"reset", "end", "silence", "bad chunk"} {
 			var seen atomic.Int32
 			stop := make(chan struct{})
-			addr := standin.TCP(t, func(n net.Conn) {
+			addr := fake.TCP(t, func(n net.Conn) {
 				defer n.Close()
-				if err := standin.ReadRequest(bufio.NewReader(n)); err != nil {
+				if err := fake.ReadRequest(bufio.NewReader(n)); err != nil {
 					return
 				}
 				seen.Add(1)
@@ -421,7 +421,7 @@
 					io.WriteString(n, "zz\r\n")
 				}
 			})
-			p := start(t, withSettings(t, standin.Up(addr, addr), flowsSlow))
+			p := start(t, withSettings(t, fake.Up(addr, addr), flowsSlow))
 			resp, err := http.DefaultTransport.RoundTrip(p.request("read", ""))
 			if err == nil {
 				var got []byte
@@ -443,9 +443,9 @@
 // Until part of an answer has gone to the caller, another attempt may answer.
 func TestLookFirst(t *testing.T) {
 	var seen atomic.Int32
-	addr := standin.TCP(t, func(n net.Conn) {
+	addr := fake.TCP(t, func(n net.Conn) {
 		defer n.Close()
-		if err := standin.ReadRequest(bufio.NewReader(n)); err != nil {
+		if err := fake.ReadRequest(bufio.NewReader(n)); err != nil {
 			return
 		}
 		if seen.Add(1) == 1 { // less than what is looked at
@@ -454,7 +454,7 @@
 		}
 		fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n%s", noise(100000))
 	})
-	p := start(t, withSettings(t, standin.Up(addr, addr), flows))
+	p := start(t, withSettings(t, fake.Up(addr, addr), flows))
 	if resp, got := p.send(p.request("read", "")); resp.StatusCode != 200 || got != string(noise(100000)) || seen.Load() != 2 {
 		t.Errorf("%s, %d bytes, %d attempts", resp.Status, len(got), seen.Load())
 	}
@@ -465,9 +465,9 @@
 func TestCallerStopsReading(t *testing.T) {
 	for _, goes := range []bool{false, true} {
 		let := make(chan struct{})
-		addr := standin.TCP(t, func(n net.Conn) {
+		addr := fake.TCP(t, func(n net.Conn) {
 			defer n.Close()
-			if err := standin.ReadRequest(bufio.NewReader(n)); err != nil {
+			if err := fake.ReadRequest(bufio.NewReader(n)); err != nil {
 				return
 			}
 			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
@@ -478,7 +478,7 @@
 		if goes {
 			text = flows
 		}
-		p := start(t, withSettings(t, standin.Up(addr), text))
+		p := start(t, withSettings(t, fake.Up(addr), text))
 		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -500,11 +500,11 @@
 // A caller goes in the middle of its upload: no endpoint gets it whole.
 func TestCallerGoesMidUpload(t *testing.T) {
 	came := make(chan error, 1)
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		came <- err
 	})
-	p := start(t, withSettings(t, standin.Up(addr), flows))
+	p := start(t, withSettings(t, fake.Up(addr), flows))
 	for _, chunked := range []string{"Content-Length: 1000000\r\n\r\n" + strings.Repeat("x", 500_000), "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"} {
 		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
@@ -526,12 +526,12 @@
 // on of them never becomes a whole request at the endpoint.
 func TestFlowFraming(t *testing.T) {
 	var whole atomic.Int32
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
 			whole.Add(1)
 		}
 	})
-	p := start(t, withSettings(t, standin.Up(addr), strings.Replace(flows, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
+	p := start(t, withSettings(t, fake.Up(addr), strings.Replace(flows, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
 	good := "5\r\nhello\r\n"
 	for text, status := range map[string]int{
 		good + "zz\r\n":                         400,
@@ -573,8 +573,8 @@
 
 // A caller that waits for a 100 gets it once its body is wanted, and none where it is not.
 func TestContinueOnlyIfWanted(t *testing.T) {
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	for name, list := range map[string]discovery.List{"wanted": standin.Up(addr), "not wanted": standin.Up()} {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	for name, list := range map[string]discovery.List{"wanted": fake.Up(addr), "not wanted": fake.Up()} {
 		p := start(t, withSettings(t, list, flows))
 		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
@@ -610,8 +610,8 @@
 // Only so many such requests are let in; one more is told when to come back, while short ones
 // are served as ever.
 func TestFlowsAreBounded(t *testing.T) {
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	c := withSettings(t, standin.Up(addr), flows+"open = 1\n")
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	c := withSettings(t, fake.Up(addr), flows+"open = 1\n")
 	c.Module.Limits.MaxRetryAfter = 2 * time.Second
 	p := start(t, c)
 	in, out := io.Pipe()
@@ -646,7 +646,7 @@
 // nothing new is sent there.
 func TestDrainMidUpload(t *testing.T) {
 	var old, other atomic.Int32
-	list := standin.Up(standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	list := fake.Up(fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		old.Add(1)
 		io.Copy(io.Discard, r.Body)
 	}))
@@ -662,7 +662,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	list.Instances[0].Lifecycle = "draining"
-	fresh := standin.Up(standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) { other.Add(1) })).Instances[0]
+	fresh := fake.Up(fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { other.Add(1) })).Instances[0]
 	fresh.ID = "s-fresh"
 	list.Instances = append(list.Instances, fresh)
 	p.engine.List(&list)
@@ -682,8 +682,8 @@
 // The end and a change of settings come while 100 streams are open: all get their answers whole.
 func TestShutdownAndReloadWithStreams(t *testing.T) {
 	const streams, half = 100, 100_000
-	addr := standin.HTTP(t, echo)
-	p := start(t, withSettings(t, standin.Up(addr), flows))
+	addr := fake.HTTP(t, echo)
+	p := start(t, withSettings(t, fake.Up(addr), flows))
 	want := noise(2 * half)
 	var begun, ended sync.WaitGroup
 	rest := make(chan struct{})
@@ -736,7 +736,7 @@
 	var whole atomic.Int32
 	first := make(chan struct{}, 2)
 	second := make(chan struct{})
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case first <- struct{}{}:
 		default:
@@ -753,7 +753,7 @@
 			reset(w)
 		}
 	})
-	c := withSettings(t, standin.Up(addr, addr), flows)
+	c := withSettings(t, fake.Up(addr, addr), flows)
 	c.Module.Classes[c.Classes["book"]].RepeatWindow = 300 * time.Millisecond
 	p := start(t, c)
 	want := noise(32 << 20)
@@ -822,8 +822,8 @@
 			w.Write(noise(200_000))
 		}
 	}
-	addrs := []string{standin.HTTP(t, node), standin.HTTP(t, node), standin.HTTP(t, node), "127.0.0.1:1"}
-	p := start(t, withSettings(t, standin.Up(addrs...), strings.Replace(flows, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
+	addrs := []string{fake.HTTP(t, node), fake.HTTP(t, node), fake.HTTP(t, node), "127.0.0.1:1"}
+	p := start(t, withSettings(t, fake.Up(addrs...), strings.Replace(flows, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
 	p.server.bodies = body.NewStoreWith(func() (body.File, error) { return &disk{room: 500_000, err: syscall.ENOSPC}, nil })
 	var wg sync.WaitGroup
 	for i := range 200 {
@@ -891,7 +891,7 @@
 // nothing: it is ended in bounded time, and the endpoint is let go.
 func TestAnswersEarlyToNobody(t *testing.T) {
 	let := make(chan struct{})
-	addr := standin.TCP(t, func(n net.Conn) {
+	addr := fake.TCP(t, func(n net.Conn) {
 		defer n.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(n)); err != nil {
 			return
@@ -900,7 +900,7 @@
 		io.CopyN(n, zeros{}, 60_000_000)
 		close(let)
 	})
-	p := start(t, withSettings(t, standin.Up(addr), flowsSlow))
+	p := start(t, withSettings(t, fake.Up(addr), flowsSlow))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -918,7 +918,7 @@
 // is out gets the whole of it, and the booking is served.
 func TestDiskFillsDuringRetry(t *testing.T) {
 	b := &breaker{after: 50_000}
-	p := start(t, withSettings(t, standin.Up(standin.HTTP(t, b.serve), standin.HTTP(t, b.serve)), flows))
+	p := start(t, withSettings(t, fake.Up(fake.HTTP(t, b.serve), fake.HTTP(t, b.serve)), flows))
 	p.server.bodies = body.NewStoreWith(func() (body.File, error) { return &disk{room: 400_000, err: syscall.ENOSPC}, nil })
 	want := noise(2 << 20)
 	in, out := io.Pipe()
@@ -969,7 +969,7 @@
 			<-stop
 		}
 	}
-	c := withSettings(t, standin.Up(standin.HTTP(t, node), standin.HTTP(t, node), standin.HTTP(t, node)), flows)
+	c := withSettings(t, fake.Up(fake.HTTP(t, node), fake.HTTP(t, node), fake.HTTP(t, node)), flows)
 	c.Module.Reporting, c.Module.Limits.Probes = balance.ReportsProbe, true
 	c.Module.Classes[c.Classes["book"]].Goal = 10 * time.Second // a quarter of it is what a call is taken to need at first
 	p := start(t, c)
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -13,7 +13,7 @@
 
 	"barleydrum.example/barleydrum/internal/config"
 	"barleydrum.example/barleydrum/internal/discovery"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // settings reads an operators' file; the part that all need is added.
@@ -29,16 +29,16 @@
 // withSettings is a configuration for tests narrowed by a file.
 func withSettings(t *testing.T, known discovery.List, text string) *config.Config {
 	t.Helper()
-	return config.Merge(standin.Config(t, known).Platform, settings(t, text))
+	return config.Merge(fake.Config(t, known).Platform, settings(t, text))
 }
 
 // Each limit of the file holds, and what may change at SIGHUP changes with Apply.
 func TestBodyLimitsAreTheFiles(t *testing.T) {
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, strings.Repeat("x", 2000))
 	})
-	p := start(t, withSettings(t, standin.Up(addr, addr, addr), "[callers]\nmax_body = \"1KiB\"\n[endpoints]\nmax_answer = \"1KiB\"\n"))
+	p := start(t, withSettings(t, fake.Up(addr, addr, addr), "[callers]\nmax_body = \"1KiB\"\n[endpoints]\nmax_answer = \"1KiB\"\n"))
 	if resp, _ := p.send(p.request("book", strings.Repeat("x", 1025))); resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("a long body: %s", resp.Status)
 	}
@@ -58,8 +58,8 @@
 		ran.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	addr := standin.HTTP(t, fail)
-	many := standin.Up(addr, addr, addr, addr, addr, addr, addr, addr) // those that failed are passed over for a while
+	addr := fake.HTTP(t, fail)
+	many := fake.Up(addr, addr, addr, addr, addr, addr, addr, addr) // those that failed are passed over for a while
 	p := start(t, withSettings(t, many, "[class.book]\nretries = 0\n"))
 	ask := func(want int32) {
 		t.Helper()
@@ -75,20 +75,20 @@
 	ask(3) // the platform's own bound
 	p.engine.Apply(settings(t, "[class.book]\nretry_within = \"1ms\"\n"))
 	time.Sleep(2 * time.Millisecond)
-	slow := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	slow := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
 		time.Sleep(5 * time.Millisecond)
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	l := standin.Up(slow, slow)
+	l := fake.Up(slow, slow)
 	p.engine.List(&l)
 	ask(1)
 }
 
 // A wanted time that the file shortens ends a request that no endpoint answers.
 func TestWantedIsTheFiles(t *testing.T) {
-	addr := standin.TCP(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	p := start(t, withSettings(t, standin.Up(addr), "[class.pay]\nwanted = \"50ms\"\ndeadline = \"100ms\"\n"))
+	addr := fake.TCP(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	p := start(t, withSettings(t, fake.Up(addr), "[class.pay]\nwanted = \"50ms\"\ndeadline = \"100ms\"\n"))
 	resp, _ := p.send(p.request("pay", "x")) // the caller would wait for 20 s
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%s, want a failure", resp.Status)
@@ -97,7 +97,7 @@
 
 // All listeners of a sidecar share its places for callers.
 func TestListenersSharePlaces(t *testing.T) {
-	c := standin.Config(t, standin.Up(standin.HTTP(t, func(http.ResponseWriter, *http.Request) {})))
+	c := fake.Config(t, fake.Up(fake.HTTP(t, func(http.ResponseWriter, *http.Request) {})))
 	c.Settings.Callers.Connections = 4
 	p := start(t, c)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,7 +107,7 @@
 	go p.server.Serve(l)
 	first, second := strings.TrimPrefix(p.url, "http://"), l.Addr().String()
 	for _, addr := range []string{first, second} {
-		req, err := standin.NewRequest(context.Background(), addr, standin.Order{ID: addr, Class: "read", Tenant: "acme", Timeout: patience})
+		req, err := fake.NewRequest(context.Background(), addr, fake.Order{ID: addr, Class: "read", Tenant: "acme", Timeout: patience})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,8 +122,8 @@
 
 // Settings may change while requests are under way: each gets its one answer.
 func TestApplyUnderLoad(t *testing.T) {
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	p := start(t, standin.Config(t, standin.Up(addr, addr)))
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	p := start(t, fake.Config(t, fake.Up(addr, addr)))
 	stop := make(chan struct{})
 	var changes sync.WaitGroup
 	changes.Add(1)
@@ -139,7 +139,7 @@
 			}
 		}
 	}()
-	caller := standin.NewCaller(8)
+	caller := fake.NewCaller(8)
 	defer caller.Close()
 	var callers sync.WaitGroup
 	for range 8 {
@@ -147,8 +147,8 @@
 		go func() {
 			defer callers.Done()
 			for range 30 {
-				o := standin.Order{ID: caller.NextID(), Class: "book", Tenant: "acme", Key: "k", Body: "x", Timeout: patience}
-				req, err := standin.NewRequest(context.Background(), strings.TrimPrefix(p.url, "http://"), o)
+				o := fake.Order{ID: caller.NextID(), Class: "book", Tenant: "acme", Key: "k", Body: "x", Timeout: patience}
+				req, err := fake.NewRequest(context.Background(), strings.TrimPrefix(p.url, "http://"), o)
 				if err != nil {
 					t.Error(err)
 					return
--- a/internal/sidecar/reset_test.go
+++ b/internal/sidecar/reset_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/fake"
 )
 
 // Callers reset while their call is out and others ask on the same endpoints: the calls, their
@@ -25,7 +25,7 @@
 		}
 		io.WriteString(w, r.Header.Get("X-Request-ID"))
 	}
-	p := start(t, standin.Config(t, standin.Up(standin.HTTP(t, echo), standin.HTTP(t, echo), standin.HTTP(t, echo))))
+	p := start(t, fake.Config(t, fake.Up(fake.HTTP(t, echo), fake.HTTP(t, echo), fake.HTTP(t, echo))))
 	const head = "POST /api/%s HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx"
 	text := func(path, id string) string {
 		return strings.NewReplacer("%s HTTP", path+" HTTP", "ID: %s", "ID: "+id).Replace(head)
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -16,9 +16,9 @@
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/config"
-	"barleydrum.example/barleydrum/internal/door"
 	"barleydrum.example/barleydrum/internal/engine"
 	"barleydrum.example/barleydrum/internal/http1"
+	"barleydrum.example/barleydrum/internal/httpserver"
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
@@ -30,7 +30,7 @@
 type Server struct {
 	cfg    *config.Config
 	engine *engine.Engine
-	door   *door.Door
+	door   *httpserver.Door
 
 	bodies *body.Store
 
@@ -43,12 +43,12 @@
 func NewServer(c *config.Config, e *engine.Engine) (*Server, error) {
 	s := &Server{cfg: c, engine: e, bodies: body.NewStore(os.TempDir()), ids: make(map[string]struct{})}
 	var err error
-	s.door, err = door.New(door.Config{
+	s.door, err = httpserver.New(httpserver.Config{
 		Handler: front{s}, Places: c.CallerConnections(), MaxHead: int(c.Settings.Callers.MaxHead),
 		MaxBody: func() int { return int(s.engine.Settings().Callers.MaxBody) },
-		Times: func() door.Times {
+		Times: func() httpserver.Times {
 			k := &s.engine.Settings().Callers
-			return door.Times{Head: k.HeadTime, Body: k.BodyTime, Idle: k.IdleTime, Write: k.WriteTime, Grace: k.EvictionGrace}
+			return httpserver.Times{Head: k.HeadTime, Body: k.BodyTime, Idle: k.IdleTime, Write: k.WriteTime, Grace: k.EvictionGrace}
 		},
 	})
 	return s, err
@@ -99,7 +99,7 @@
 type front struct{ *Server }
 
 // Head judges a request by its head, see door.Handler.
-func (s front) Head(x *door.Exchange) *door.Refusal {
+func (s front) Head(x *httpserver.Exchange) *httpserver.Refusal {
 	r, set := x.Head(), s.engine.Settings()
 	n := r.ContentLength()
 	x.Flows = set.Streams.Takes() && !health(r) &&
@@ -107,21 +107,21 @@
 	switch {
 	case x.Flows:
 	case n > int64(set.Callers.MaxBody):
-		return &door.Refusal{Status: http.StatusRequestEntityTooLarge, Why: fmt.Sprintf("body: %d bytes are too many", n)}
+		return &httpserver.Refusal{Status: http.StatusRequestEntityTooLarge, Why: fmt.Sprintf("body: %d bytes are too many", n)}
 	case health(r):
 		return nil
 	}
 	c := s.engine.NewCall()
 	if err := s.parse(c, r); err != nil {
 		s.engine.Done(c)
-		return &door.Refusal{Status: http.StatusBadRequest, Why: err.Error()}
+		return &httpserver.Refusal{Status: http.StatusBadRequest, Why: err.Error()}
 	}
 	x.State = c
 	return nil
 }
 
 // Serve answers a request, see door.Handler.
-func (s front) Serve(x *door.Exchange) {
+func (s front) Serve(x *httpserver.Exchange) {
 	c, ok := x.State.(*engine.Call)
 	if !ok {
 		status := http.StatusOK
@@ -163,7 +163,7 @@
 
 // word words a final answer. Only a refusal is worded 503: it tells the caller that trying
 // again does no harm.
-func (s *Server) word(x *door.Exchange, f engine.Final) {
+func (s *Server) word(x *httpserver.Exchange, f engine.Final) {
 	switch {
 	case f.Served != nil:
 		x.Answer(http.StatusOK, "", fieldsOf(f.Served), f.Served.Body())
--- a/internal/sock/sock.go
+++ b/internal/tcpconn/sock.go
@@ -1,7 +1,7 @@
-// Package sock reads TCP connections as a program with many of them needs to: a buffer is held
+// Package tcpconn reads TCP connections as a program with many of them needs to: a buffer is held
 // only while there is something in it, a connection can be looked at without being read, and
 // one goroutine hears of all peers that go away. It is for Linux.
-package sock
+package tcpconn
 
 import (
 	"errors"
--- a/internal/sock/sock_test.go
+++ b/internal/tcpconn/sock_test.go
@@ -1,4 +1,4 @@
-package sock
+package tcpconn
 
 import (
 	"io"
--- a/internal/pace/pace.go
+++ b/internal/transferrate/pace.go
@@ -1,6 +1,6 @@
-// Package pace tells a peer that is slow from one that waits for somebody else: only the time
+// Package transferrate tells a peer that is slow from one that waits for somebody else: only the time
 // that was spent waiting for the peer counts. It reads no clock.
-package pace
+package transferrate
 
 import "time"
 
--- a/internal/pace/pace_test.go
+++ b/internal/transferrate/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package transferrate
 
 import (
 	"testing"
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -13,7 +13,7 @@
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/sock"
+	"barleydrum.example/barleydrum/internal/tcpconn"
 )
 
 // Why an exchange was ended from this side.
@@ -424,7 +424,7 @@
 }
 
 // timedOut tells whether an endpoint was waited for in vain.
-func timedOut(err error) bool { return sock.DeadlinePassed(err) || errors.Is(err, ErrSlow) }
+func timedOut(err error) bool { return tcpconn.DeadlinePassed(err) || errors.Is(err, ErrSlow) }
 
 // drop gives the buffers back.
 func (x *Exchange) drop() {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/pace"
-	"barleydrum.example/barleydrum/internal/sock"
+	"barleydrum.example/barleydrum/internal/tcpconn"
+	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
 // Route is the way to one process of an endpoint. Its connections are of no use to another
@@ -37,7 +37,7 @@
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	// Pace is what is asked of an endpoint that takes a body, or sends one, as it comes.
-	Pace func() pace.Meter
+	Pace func() transferrate.Meter
 }
 
 // Limits are what of an answer is taken.
@@ -67,7 +67,7 @@
 
 // conn is a connection to an endpoint.
 type conn struct {
-	*sock.Conn
+	*tcpconn.Conn
 	to         *Route
 	since      time.Time // when it fell idle
 	prev, next *conn     // by that, while it is idle
@@ -215,12 +215,12 @@
 	nc, err := p.connect(ctx, to.Addr)
 	if err != nil {
 		<-p.slots
-		if sock.Momentary(err) {
+		if tcpconn.Momentary(err) {
 			err = errors.Join(errNoSlot, err)
 		}
 		return nil, err
 	}
-	s, err := sock.New(nc, &p.bufs)
+	s, err := tcpconn.New(nc, &p.bufs)
 	if err != nil {
 		<-p.slots
 		return nil, errors.Join(err, nc.Close())
@@ -233,7 +233,7 @@
 	pause := connectPause
 	for try := 1; ; try++ {
 		nc, err := p.cfg.Dial(ctx, "tcp", addr)
-		if err == nil || try == connectTries || !sock.Momentary(err) || sock.NoDescriptor(err) {
+		if err == nil || try == connectTries || !tcpconn.Momentary(err) || tcpconn.NoDescriptor(err) {
 			return nc, err
 		}
 		select {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -10,8 +10,8 @@
 	"barleydrum.example/barleydrum/balance"
 	"barleydrum.example/barleydrum/internal/body"
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/pace"
-	"barleydrum.example/barleydrum/internal/sock"
+	"barleydrum.example/barleydrum/internal/tcpconn"
+	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
 // flowBuffer is what an answer that flows is read by.
@@ -122,7 +122,7 @@
 	x      *Exchange
 	conn   *conn
 	reader *body.Reader
-	meter  pace.Meter
+	meter  transferrate.Meter
 	left   int64 // of the body, or -1
 	space  []byte
 }
@@ -176,7 +176,7 @@
 		switch {
 		case err == nil:
 			return nil
-		case !sock.DeadlinePassed(err):
+		case !tcpconn.DeadlinePassed(err):
 			return err
 		case !fast || !time.Now().Before(p.x.last()):
 			return fmt.Errorf("upload: %w", ErrSlow)
@@ -220,7 +220,7 @@
 	over  bool
 	used  int   // bytes of buf that were handed out last
 	moved int64 // bytes of the body that were handed out
-	meter pace.Meter
+	meter transferrate.Meter
 }
 
 // begin makes an answer that flows ready for Next: what has been read moves to a larger buffer.
@@ -321,7 +321,7 @@
 		switch {
 		case err == nil:
 			return nil
-		case !sock.DeadlinePassed(err):
+		case !tcpconn.DeadlinePassed(err):
 			return err
 		case !fast || !time.Now().Before(x.last()):
 			return fmt.Errorf("answer: %w", ErrSlow)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,9 +18,9 @@
 	"pgregory.net/rapid"
 
 	"barleydrum.example/barleydrum/balance"
+	"barleydrum.example/barleydrum/internal/fake"
 	"barleydrum.example/barleydrum/internal/http1"
-	"barleydrum.example/barleydrum/internal/sock"
-	"barleydrum.example/barleydrum/internal/standin"
+	"barleydrum.example/barleydrum/internal/tcpconn"
 )
 
 // patience is how long a test waits for what must happen: no verdict leans on it being short.
@@ -76,7 +76,7 @@
 
 // timeoutNode answers each request with the X-Timeout that it was told.
 func timeoutNode(t *testing.T) string {
-	return standin.TCP(t, func(c net.Conn) {
+	return fake.TCP(t, func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
 		for {
@@ -128,13 +128,13 @@
 // staleConn is a connection to a route whose other end has closed it.
 func staleConn(t *testing.T, p *Pool, to *Route) *conn {
 	t.Helper()
-	addr := standin.TCP(t, func(c net.Conn) { c.Close() })
+	addr := fake.TCP(t, func(c net.Conn) { c.Close() })
 	p.slots <- struct{}{}
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := sock.New(nc, &p.bufs)
+	s, err := tcpconn.New(nc, &p.bufs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -224,10 +224,10 @@
 	} {
 		t.Run(fmt.Sprint(c.method, len(c.body)), func(t *testing.T) {
 			var came atomic.Int32
-			addr := standin.TCP(t, func(c net.Conn) {
+			addr := fake.TCP(t, func(c net.Conn) {
 				defer c.Close()
 				in := bufio.NewReader(c)
-				for n := 0; standin.ReadRequest(in) == nil; n++ {
+				for n := 0; fake.ReadRequest(in) == nil; n++ {
 					came.Add(1)
 					if n == 1 { // the first on this connection is answered, the second is read and dropped
 						return
@@ -257,14 +257,14 @@
 		for _, late := range []bool{false, true} {
 			came := make(chan struct{}, 2)
 			var conns atomic.Int32
-			addr := standin.TCP(t, func(c net.Conn) {
+			addr := fake.TCP(t, func(c net.Conn) {
 				defer c.Close()
 				body := "first"
 				if conns.Add(1) > 1 {
 					body = "second"
 				}
 				in := bufio.NewReader(c)
-				for standin.ReadRequest(in) == nil {
+				for fake.ReadRequest(in) == nil {
 					if late {
 						io.WriteString(c, ok(body))
 						time.Sleep(time.Millisecond)
@@ -302,7 +302,7 @@
 	p := newPool(2, 50*time.Millisecond, time.Hour)
 	var routes [3]*Route
 	for i := range routes {
-		routes[i] = &Route{Addr: standin.HTTP(t, hello)}
+		routes[i] = &Route{Addr: fake.HTTP(t, hello)}
 		defer p.Release(routes[i], false)
 	}
 	for i, to := range routes {
@@ -332,7 +332,7 @@
 // fell idle later.
 func TestIdleConnectionsExpire(t *testing.T) {
 	p := newPool(100, 5*time.Second, 20*time.Millisecond)
-	to := &Route{Addr: standin.TCP(t, func(c net.Conn) { io.Copy(io.Discard, c) })}
+	to := &Route{Addr: fake.TCP(t, func(c net.Conn) { io.Copy(io.Discard, c) })}
 	for range 3 {
 		for range 2 {
 			c, err := p.dial(context.Background(), to)
@@ -352,9 +352,9 @@
 
 // reply answers one request on each connection with a text and closes it.
 func reply(t *testing.T, text string) string {
-	return standin.TCP(t, func(c net.Conn) {
+	return fake.TCP(t, func(c net.Conn) {
 		defer c.Close()
-		if standin.ReadRequest(bufio.NewReader(c)) == nil {
+		if fake.ReadRequest(bufio.NewReader(c)) == nil {
 			io.WriteString(c, text)
 		}
 	})
@@ -362,9 +362,9 @@
 
 // endless answers with a start and more without end, and its connection stays open.
 func endless(t *testing.T, start, more string) string {
-	return standin.TCP(t, func(c net.Conn) {
+	return fake.TCP(t, func(c net.Conn) {
 		defer c.Close()
-		if standin.ReadRequest(bufio.NewReader(c)) != nil {
+		if fake.ReadRequest(bufio.NewReader(c)) != nil {
 			return
 		}
 		more := []byte(strings.Repeat(more, 1000))
@@ -378,9 +378,9 @@
 func TestOutcomes(t *testing.T) {
 	came := make(chan struct{}, 1)
 	stops := func(text string, came chan struct{}) string { // and its connection stays open
-		return standin.TCP(t, func(c net.Conn) {
+		return fake.TCP(t, func(c net.Conn) {
 			in := bufio.NewReader(c)
-			if standin.ReadRequest(in) == nil {
+			if fake.ReadRequest(in) == nil {
 				io.WriteString(c, text)
 				if came != nil {
 					came <- struct{}{}
@@ -474,7 +474,7 @@
 // Once barred, a request does not go out on whatever connection there is for it.
 func TestBarredWritesNothing(t *testing.T) {
 	got := make(chan int, 1)
-	addr := standin.TCP(t, func(c net.Conn) {
+	addr := fake.TCP(t, func(c net.Conn) {
 		defer c.Close()
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
@@ -497,7 +497,7 @@
 // An endpoint that leaves while an idle connection to it turns out to be none any more gets
 // nothing on another.
 func TestLeavesOnStaleConnection(t *testing.T) {
-	addr := standin.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > 0 {
 			t.Error("it went out late")
 		}
@@ -522,7 +522,7 @@
 // answer has come by then: it can't be to the whole request.
 func TestBreakWhileWriting(t *testing.T) {
 	for name, early := range map[string]string{"nothing": "", "an answer": ok("early")} {
-		addr := standin.TCP(t, func(c net.Conn) {
+		addr := fake.TCP(t, func(c net.Conn) {
 			c.Read(make([]byte, 10))
 			io.WriteString(c, early)
 			c.(*net.TCPConn).SetLinger(0)
@@ -540,7 +540,7 @@
 
 // An answer that comes before the request has been read is the answer, if the rest is read.
 func TestAnswersBeforeReading(t *testing.T) {
-	addr := standin.TCP(t, func(c net.Conn) {
+	addr := fake.TCP(t, func(c net.Conn) {
 		defer c.Close()
 		c.Read(make([]byte, 10))
 		io.WriteString(c, ok("ok"))
@@ -558,7 +558,7 @@
 func TestSpeaksFirst(t *testing.T) {
 	for name, text := range map[string]string{"an answer": ok("stray"), "nothing": ""} {
 		said := make(chan struct{})
-		addr := standin.TCP(t, func(c net.Conn) {
+		addr := fake.TCP(t, func(c net.Conn) {
 			defer c.Close()
 			if io.WriteString(c, text); text == "" {
 				c.(*net.TCPConn).CloseWrite()
@@ -590,9 +590,9 @@
 	} {
 		for cut := range len(text) + 1 {
 			more := make(chan struct{})
-			addr := standin.TCP(t, func(c net.Conn) {
+			addr := fake.TCP(t, func(c net.Conn) {
 				defer c.Close()
-				if standin.ReadRequest(bufio.NewReader(c)) == nil {
+				if fake.ReadRequest(bufio.NewReader(c)) == nil {
 					io.WriteString(c, text[:cut])
 					<-more
 					io.WriteString(c, text[cut:])
@@ -621,10 +621,10 @@
 func TestInterruptWhileWriting(t *testing.T) {
 	const size = 16 << 20
 	read := make(chan struct{})
-	addr := standin.TCP(t, func(c net.Conn) {
+	addr := fake.TCP(t, func(c net.Conn) {
 		defer c.Close()
 		<-read
-		if standin.ReadRequest(bufio.NewReader(c)) == nil {
+		if fake.ReadRequest(bufio.NewReader(c)) == nil {
 			io.WriteString(c, ok("ok"))
 		}
 	})
@@ -658,9 +658,9 @@
 func TestClosesWithAnswer(t *testing.T) {
 	var conns atomic.Int32
 	closed := make(chan struct{}, 2)
-	addr := standin.TCP(t, func(c net.Conn) {
+	addr := fake.TCP(t, func(c net.Conn) {
 		conns.Add(1)
-		if standin.ReadRequest(bufio.NewReader(c)) == nil {
+		if fake.ReadRequest(bufio.NewReader(c)) == nil {
 			io.WriteString(c, ok("ok"))
 		}
 		c.Close()
@@ -693,7 +693,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				p.slots <- struct{}{}
-				c := &conn{Conn: &sock.Conn{Conn: discard{}}, to: rapid.SampledFrom(routes).Draw(t, "route"), pool: p}
+				c := &conn{Conn: &tcpconn.Conn{Conn: discard{}}, to: rapid.SampledFrom(routes).Draw(t, "route"), pool: p}
 				p.put(c)
 				if !c.to.closed {
 					model = append(model, c)
@@ -775,7 +775,7 @@
 				return
 			}
 			defer c.Close()
-			if standin.ReadRequest(bufio.NewReader(c)) == nil {
+			if fake.ReadRequest(bufio.NewReader(c)) == nil {
 				c.Write(text)
 			}
 		}()
