--- a/balance/balance.go
+++ b/balance/balance.go
@@ -55,22 +55,22 @@
 
 // Class describes a class of requests.
 type Class struct {
-	Name         string
-	Goal         time.Duration // an answer within it earns full worth
-	Deadline     time.Duration // a client's patience across all its tries
-	Worth        float64
-	LateShare    float64 // share of the worth earned after Goal, before Deadline
-	GoalStretch  float64 // Goal grows by this multiple of a request's own work
-	Semantics    Semantics
-	Scope        Scope         // for Keyed
-	RepeatWindow time.Duration // for Keyed: how long repeats are dropped
-	Stream       bool          // the answer is streamed: Head comes first
+	Name             string
+	TargetLatency    time.Duration `name:"Goal"` // an answer within it earns full worth
+	Deadline         time.Duration // a client's patience across all its tries
+	Value            float64       `name:"Worth"`
+	LateValueShare   float64       `name:"LateShare"`   // share of the worth earned after Goal, before Deadline
+	TargetWorkFactor float64       `name:"GoalStretch"` // Goal grows by this multiple of a request's own work
+	Semantics        Semantics
+	Scope            Scope         // for Keyed
+	RepeatWindow     time.Duration // for Keyed: how long repeats are dropped
+	Streaming        bool          `name:"Stream"` // the answer is streamed: Head comes first
 
 	// Bounds of the class's own, within those of Limits; zero is none. See [Balancer.Bound].
-	MaxAttempts int           // for each request, those that never ran included
-	Retries     int           // after an attempt that may have run; negative is not even one
-	OneCopy     bool          // no second copy while one is out
-	RetryWithin time.Duration // a further attempt begins sooner than this after the request came
+	MaxAttempts      int           // for each request, those that never ran included
+	MaxRetries       int           `name:"Retries"`     // after an attempt that may have run; negative is not even one
+	NoHedging        bool          `name:"OneCopy"`     // no second copy while one is out
+	RetryStartWindow time.Duration `name:"RetryWithin"` // a further attempt begins sooner than this after the request came
 }
 
 // Tenant describes a tenant; its quota is summed over all sidecars.
@@ -80,15 +80,15 @@
 	Share float64 // of the service
 }
 
-// Weights says what the weight of an [Endpoint] means.
-type Weights uint8
+// WeightMeaning says what the weight of an [Endpoint] means.
+type WeightMeaning uint8
 
 // The meanings of a weight.
 const (
-	WeightsSilent  Weights = iota // nothing
-	WeightsNominal                // the registered size
-	WeightsRough                  // the size, roughly
-	WeightsLive                   // size over load, as of some time ago
+	WeightNone             WeightMeaning = iota // nothing
+	WeightCapacity                              // the registered size
+	WeightCapacityEstimate                      // the size, roughly
+	WeightCapacityPerLoad                       // size over load, as of some time ago
 )
 
 // Reporting says how load reports reach a sidecar.
@@ -96,9 +96,9 @@
 
 // The ways of reporting load.
 const (
-	ReportsNone     Reporting = iota // not at all
-	ReportsProbe                     // in probe results only
-	ReportsInAnswer                  // in outcomes and probe results
+	ReportsNone       Reporting = iota // not at all
+	ReportsInProbe                     // in probe results only
+	ReportsInResponse                  // in outcomes and probe results
 )
 
 // Costs are prices in points of the result, each times its share or rate.
@@ -112,74 +112,76 @@
 	Waste      float64 // work that yields no answer, over work offered
 }
 
-// GoalWeights are the weights of the parts of the result.
-type GoalWeights struct {
-	Whole       float64 // the day as a whole
+// ObjectiveWeights are the weights of the parts of the result.
+type ObjectiveWeights struct {
+	Overall     float64 `name:"Whole"` // the day as a whole
 	WorstWindow float64 // its worst stretch
 	WorstClass  float64
 	WorstTenant float64
 	Nines       float64 // -log10 of the share not served, over NinesFull
-	NinesFull   float64 // the nines that earn all of it
+	NinesTarget float64 `name:"NinesFull"` // the nines that earn all of it
 }
 
 // Limits are what the deployment allows.
 type Limits struct {
 	MaxAttempts    int  // for each request; 0 is no limit
-	SecondCopies   bool // two attempts of a request may be out together
+	Hedging        bool `name:"SecondCopies"` // two attempts of a request may be out together
 	Probes         bool // Probe actions are allowed
 	Cancel         bool // Cancel actions are allowed
-	Peers          bool // sidecars may send each other messages
+	PeerMessages   bool `name:"Peers"` // sidecars may send each other messages
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 	KeepAlive      time.Duration // idle connections close after it
 	MaxStreams     int           // requests in parallel on a connection
 }
 
-// Config is what a Balancer is told at its start.
+// Config is what a Balancer is told at its start. A name tag, here and in the structs below it, holds the
+// name under which operators' tools print a field whose Go name differs.
 type Config struct {
-	Me, Balancers  int // index of this sidecar, and how many send to the tier
-	Tier           int // index of the tier it sends to; 0 takes client requests
-	Zone           int
-	Classes        []Class
-	Tenants        []Tenant
-	OverQuotaWorth float64 // worth of a request past its tenant's quota, as a share
-	MarksRepeats   bool    // clients mark their repeats
-	PassesBudget   bool    // an endpoint's own calls carry the time left to it
-	AskDiscovery   bool    // the list comes only after Subscribe or Fetch
-	AskWithin      time.Duration
-	Weights        Weights
-	Reporting      Reporting
-	Costs          Costs
-	Limits         Limits
-	ColdShare      float64       // an endpoint starts at this share of its capacity
-	ColdFor        time.Duration // and is at full capacity after this
-	FallMultiple   float64       // more than this multiple of its capacity
-	FallAfter      time.Duration // for this long, and a cold endpoint falls over
-	DrainGrace     time.Duration // sends to an endpoint that drains must have ceased after this
-	ReleaseWithin  time.Duration // idle connections to it must be closed within this; 0 is no such rule
-	Goal           GoalWeights
-	WorthByWork    bool          // a request's worth goes by its work
-	Step           time.Duration // least time between two events' times
+	SidecarIndex               int `name:"Me"`        // index of this sidecar
+	SidecarCount               int `name:"Balancers"` // how many send to the tier
+	Tier                       int // index of the tier it sends to; 0 takes client requests
+	Zone                       int
+	Classes                    []Class
+	Tenants                    []Tenant
+	OverQuotaValue             float64       `name:"OverQuotaWorth"` // worth of a request past its tenant's quota, as a share
+	ClientsMarkRetries         bool          `name:"MarksRepeats"`   // clients mark their repeats
+	EndpointsPropagateDeadline bool          `name:"PassesBudget"`   // an endpoint's own calls carry the time left to it
+	MustSubscribe              bool          `name:"AskDiscovery"`   // the list comes only after Subscribe or Fetch
+	MaxSubscribeDelay          time.Duration `name:"AskWithin"`
+	WeightMeaning              WeightMeaning `name:"Weights"`
+	Reporting                  Reporting
+	Costs                      Costs
+	Limits                     Limits
+	ColdCapacityShare          float64          `name:"ColdShare"`    // an endpoint starts at this share of its capacity
+	WarmupTime                 time.Duration    `name:"ColdFor"`      // and is at full capacity after this
+	ColdOverloadMultiple       float64          `name:"FallMultiple"` // more than this multiple of its capacity
+	ColdOverloadTime           time.Duration    `name:"FallAfter"`    // for this long, and a cold endpoint falls over
+	DrainGrace                 time.Duration    // sends to an endpoint that drains must have ceased after this
+	MaxDrainIdleTime           time.Duration    `name:"ReleaseWithin"` // idle connections to it must be closed within this; 0 is no such rule
+	Objective                  ObjectiveWeights `name:"Goal"`
+	ValueScalesWithWork        bool             `name:"WorthByWork"` // a request's worth goes by its work
+	ClockResolution            time.Duration    `name:"Step"`        // least time between two events' times
 }
 
-// State is the state of a listed endpoint.
-type State uint8
+// EndpointState is the state of a listed endpoint.
+type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	InService State = iota
-	Draining        // finishing its work
-	Gone            // removed
+	InService EndpointState = iota
+	Draining                // finishing its work
+	Removed                 // removed
 )
 
 // Endpoint is one entry of a list.
 type Endpoint struct {
-	ID      EndpointID
-	Zone    int
-	Cell    int
-	State   State
-	Weight  float64
-	Started time.Duration // when it last started; 0 is long ago
+	ID        EndpointID
+	Zone      int
+	Cell      int
+	State     EndpointState
+	Weight    float64
+	StartedAt time.Duration // when it last started; 0 is long ago
 }
 
 // ListKind says what a list of endpoints is.
@@ -187,22 +189,22 @@
 
 // The kinds of list.
 const (
-	ListFull     ListKind = iota // all endpoints: the others are gone
-	ListChanges                  // altered entries only
-	ListRemember                 // all endpoints as of the last run, maybe outdated
-	ListRefused                  // no list: a call to discovery failed
+	ListFull        ListKind = iota // all endpoints: the others are gone
+	ListChanges                     // altered entries only
+	ListLastKnown                   // all endpoints as of the last run, maybe outdated
+	ListUnavailable                 // no list: a call to discovery failed
 )
 
 // Request is a request to be answered.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Budget time.Duration // until its client gives up
-	Repeat bool          // the client marked it as a further try
-	Work   time.Duration // expected work on a standard core; 0 is unknown
-
-	Arriving bool // its body is still coming, see [Balancer.Body]
+	ID           RequestID
+	Class        int
+	Tenant       int
+	Timeout      time.Duration // until its client gives up
+	ClientRetry  bool          // the client marked it as a further try
+	ExpectedWork time.Duration // expected work on a standard core; 0 is unknown
+
+	BodyArriving bool // its body is still coming, see [Balancer.Body]
 }
 
 // BodyState is what a sidecar learns late of a request's body.
@@ -210,8 +212,8 @@
 
 // What may be learned.
 const (
-	BodyWhole BodyState = iota // it has come whole: an endpoint may begin the request
-	BodyLost                   // it is kept no longer: no further attempt can be sent
+	BodyComplete    BodyState = iota // it has come whole: an endpoint may begin the request
+	BodyUnavailable                  // it is kept no longer: no further attempt can be sent
 )
 
 // Result says how an attempt or a probe ended.
@@ -231,23 +233,23 @@
 
 // Load is an endpoint's report of its load. A field not reported is -1.
 type Load struct {
-	InFlight  float64 // requests held
-	Queue     float64 // requests waiting
-	Util      float64 // share of the cores in use
-	LatencyMS float64 // recent service time
-	Served    float64 // requests a second
-	Failed    float64 // errors a second
+	InFlight        float64 // requests held
+	Queued          float64 // requests waiting
+	Utilization     float64 // share of the cores in use
+	LatencyMS       float64 // recent service time
+	ServedPerSecond float64 // requests a second
+	FailedPerSecond float64 // errors a second
 }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	Request  RequestID
-	Attempt  int
-	Endpoint EndpointID
-	Result   Result
-	Closed   bool // the request has its final answer, by this or earlier
-	Elapsed  time.Duration
-	Load     *Load // nil without a report; not kept
+	Request         RequestID
+	Attempt         int
+	Endpoint        EndpointID
+	Result          Result
+	RequestFinished bool // the request has its final answer, by this or earlier
+	Elapsed         time.Duration
+	Load            *Load // nil without a report; not kept
 }
 
 // Timer is a balancer's own note, handed back when a timer fires.
@@ -267,21 +269,21 @@
 	Fail                        // Request: failed, no promise
 	SetTimer                    // Timer, Delay
 	Probe                       // Endpoint
-	Release                     // Endpoint: close idle connections to it
+	CloseIdle                   // Endpoint: close idle connections to it
 	Subscribe                   // to discovery
 )
 
 // Action is something for the caller to do. The attempts of a request are
 // numbered from 0 in the order of their Send actions.
 type Action struct {
-	Kind     ActionKind
-	Request  RequestID
-	Endpoint EndpointID
-	Attempt  int
-	Until    time.Duration // when the attempt is abandoned
-	BeginBy  time.Duration // it must not go out later than this; 0 is no such bound
-	Delay    time.Duration
-	Timer    Timer
+	Kind          ActionKind
+	Request       RequestID
+	Endpoint      EndpointID
+	Attempt       int
+	Deadline      time.Duration // when the attempt is abandoned
+	StartDeadline time.Duration // it must not go out later than this; 0 is no such bound
+	Delay         time.Duration
+	Timer         Timer
 }
 
 // check returns an error that names the first setting at fault.
@@ -296,7 +298,7 @@
 			return fmt.Errorf("balance: Classes[%d].Semantics: unknown value %d", i, k.Semantics)
 		case k.Scope > ScopeCell:
 			return fmt.Errorf("balance: Classes[%d].Scope: unknown value %d", i, k.Scope)
-		case k.Goal <= 0:
+		case k.TargetLatency <= 0:
 			return fmt.Errorf("balance: Classes[%d].Goal: not positive", i)
 		case k.Deadline <= 0:
 			return fmt.Errorf("balance: Classes[%d].Deadline: not positive", i)
@@ -304,7 +306,7 @@
 			return fmt.Errorf("balance: Classes[%d].RepeatWindow: negative", i)
 		case k.MaxAttempts < 0:
 			return fmt.Errorf("balance: Classes[%d].MaxAttempts: negative", i)
-		case k.RetryWithin < 0:
+		case k.RetryStartWindow < 0:
 			return fmt.Errorf("balance: Classes[%d].RetryWithin: negative", i)
 		}
 	}
@@ -312,8 +314,8 @@
 		name string
 		d    time.Duration
 	}{
-		{"AskWithin", c.AskWithin}, {"ColdFor", c.ColdFor}, {"FallAfter", c.FallAfter}, {"Step", c.Step},
-		{"DrainGrace", c.DrainGrace}, {"ReleaseWithin", c.ReleaseWithin},
+		{"AskWithin", c.MaxSubscribeDelay}, {"ColdFor", c.WarmupTime}, {"FallAfter", c.ColdOverloadTime}, {"Step", c.ClockResolution},
+		{"DrainGrace", c.DrainGrace}, {"ReleaseWithin", c.MaxDrainIdleTime},
 		{"Limits.ConnectTimeout", c.Limits.ConnectTimeout}, {"Limits.KeepAlive", c.Limits.KeepAlive},
 		{"Limits.MaxRetryAfter", c.Limits.MaxRetryAfter},
 	} {
@@ -332,22 +334,22 @@
 	}
 	inf := math.Inf(1)
 	numbers := []number{
-		{"OverQuotaWorth", c.OverQuotaWorth, 1}, {"ColdShare", c.ColdShare, 1}, {"FallMultiple", c.FallMultiple, inf},
+		{"OverQuotaWorth", c.OverQuotaValue, 1}, {"ColdShare", c.ColdCapacityShare, 1}, {"FallMultiple", c.ColdOverloadMultiple, inf},
 		{"Costs.Connection", c.Costs.Connection, inf}, {"Costs.CrossZone", c.Costs.CrossZone, inf},
 		{"Costs.Handshake", c.Costs.Handshake, inf}, {"Costs.LateFail", c.Costs.LateFail, inf},
 		{"Costs.Peer", c.Costs.Peer, inf}, {"Costs.Probe", c.Costs.Probe, inf}, {"Costs.Waste", c.Costs.Waste, inf},
-		{"Goal.Whole", c.Goal.Whole, inf}, {"Goal.WorstWindow", c.Goal.WorstWindow, inf},
-		{"Goal.WorstClass", c.Goal.WorstClass, inf}, {"Goal.WorstTenant", c.Goal.WorstTenant, inf},
-		{"Goal.Nines", c.Goal.Nines, inf}, {"Goal.NinesFull", c.Goal.NinesFull, inf},
+		{"Goal.Whole", c.Objective.Overall, inf}, {"Goal.WorstWindow", c.Objective.WorstWindow, inf},
+		{"Goal.WorstClass", c.Objective.WorstClass, inf}, {"Goal.WorstTenant", c.Objective.WorstTenant, inf},
+		{"Goal.Nines", c.Objective.Nines, inf}, {"Goal.NinesFull", c.Objective.NinesTarget, inf},
 		{"Limits.MaxAttempts", float64(c.Limits.MaxAttempts), inf}, {"Limits.MaxStreams", float64(c.Limits.MaxStreams), inf},
-		{"Balancers", float64(c.Balancers), inf}, {"Me", float64(c.Me), inf}, {"Tier", float64(c.Tier), inf},
-		{"Weights", float64(c.Weights), float64(WeightsLive)},
-		{"Reporting", float64(c.Reporting), float64(ReportsInAnswer)},
+		{"Balancers", float64(c.SidecarCount), inf}, {"Me", float64(c.SidecarIndex), inf}, {"Tier", float64(c.Tier), inf},
+		{"Weights", float64(c.WeightMeaning), float64(WeightCapacityPerLoad)},
+		{"Reporting", float64(c.Reporting), float64(ReportsInResponse)},
 	}
 	for i, k := range c.Classes {
 		at := fmt.Sprintf("Classes[%d].", i)
-		numbers = append(numbers, number{at + "Worth", k.Worth, inf}, number{at + "LateShare", k.LateShare, 1},
-			number{at + "GoalStretch", k.GoalStretch, inf})
+		numbers = append(numbers, number{at + "Worth", k.Value, inf}, number{at + "LateShare", k.LateValueShare, 1},
+			number{at + "GoalStretch", k.TargetWorkFactor, inf})
 	}
 	for i, t := range c.Tenants {
 		at := fmt.Sprintf("Tenants[%d].", i)
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -216,7 +216,8 @@
 		return nil, err
 	}
 	cfg.Classes = slices.Clone(cfg.Classes) // Bound changes them
-	cfg.Balancers, cfg.Limits.MaxAttempts = max(cfg.Balancers, 1), cmp.Or(cfg.Limits.MaxAttempts, math.MaxInt)
+	cfg.SidecarCount, cfg.Limits.MaxAttempts =
+		max(cfg.SidecarCount, 1), cmp.Or(cfg.Limits.MaxAttempts, math.MaxInt)
 	b := &Balancer{
 		cfg:       cfg,
 		rng:       rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
@@ -227,25 +228,27 @@
 		quotas:    make([]float64, len(cfg.Tenants)),
 		hedges:    1, retries: budgetCap, draws: 1,
 		// However few sidecars there are, together they begin with as many calls at each endpoint.
-		share:   math.Max(1, overlap/float64(cfg.Balancers)),
-		probing: cfg.Limits.Probes && cfg.Reporting == ReportsProbe && cfg.Costs.Probe <= probePrice,
+		share:   math.Max(1, overlap/float64(cfg.SidecarCount)),
+		probing: cfg.Limits.Probes && cfg.Reporting == ReportsInProbe && cfg.Costs.Probe <= probePrice,
 	}
 	for i, c := range cfg.Classes {
 		b.order = append(b.order, i)
-		b.classes[i] = latency{mean: c.Goal.Seconds() / 4, dev: c.Goal.Seconds() / 4}
+		b.classes[i] = latency{mean: c.TargetLatency.Seconds() / 4, dev: c.TargetLatency.Seconds() / 4}
 	}
 	return b, nil
 }
 
-// Bound sets the bounds of a class anew: MaxAttempts, Retries, OneCopy and RetryWithin of what it is given.
-// They hold at once: a request that waits for an attempt it may not have is answered. What is out goes on.
-func (b *Balancer) Bound(now time.Duration, class int, k Class, out []Action) []Action {
+// SetClassLimits sets the bounds of a class anew: MaxAttempts, MaxRetries, NoHedging and RetryStartWindow of
+// what it is given. They hold at once: a request that waits for an attempt it may not have is answered. What
+// is out goes on.
+func (b *Balancer) SetClassLimits(now time.Duration, class int, k Class, out []Action) []Action {
 	b.begin(now, out)
 	if class < 0 || class >= len(b.cfg.Classes) {
 		return b.acts
 	}
 	c := &b.cfg.Classes[class]
-	c.MaxAttempts, c.Retries, c.OneCopy, c.RetryWithin = k.MaxAttempts, k.Retries, k.OneCopy, k.RetryWithin
+	c.MaxAttempts, c.MaxRetries, c.NoHedging, c.RetryStartWindow =
+		k.MaxAttempts, k.MaxRetries, k.NoHedging, k.RetryStartWindow
 	for _, r := range slices.Clone(b.held) {
 		if r.out == 0 && !b.mayAdd(r) {
 			b.finish(r)
@@ -254,33 +257,35 @@
 	return b.acts
 }
 
-// Endpoints takes a list from discovery.
-func (b *Balancer) Endpoints(now time.Duration, kind ListKind, list []Endpoint, out []Action) []Action {
+// EndpointsUpdated takes a list from discovery.
+func (b *Balancer) EndpointsUpdated(
+	now time.Duration, kind ListKind, list []Endpoint, out []Action,
+) []Action {
 	b.begin(now, out)
 	switch kind {
-	case ListRefused: // all sidecars may have been turned away at once: back off, jittered
+	case ListUnavailable: // all sidecars may have been turned away at once: back off, jittered
 		b.subscribed = false
-		wait := min(time.Second<<min(b.asked, 4), 2*cmp.Or(b.cfg.AskWithin, time.Minute))
+		wait := min(time.Second<<min(b.asked, 4), 2*cmp.Or(b.cfg.MaxSubscribeDelay, time.Minute))
 		b.asked++
 		b.timer(timerSubscribe, 0, wait/2+b.jitter(wait))
 		return b.acts
-	case ListRemember:
-		if b.cfg.AskDiscovery {
-			b.timer(timerSubscribe, 0, b.jitter(min(askFirst, cmp.Or(b.cfg.AskWithin, askFirst))))
+	case ListLastKnown:
+		if b.cfg.MustSubscribe {
+			b.timer(timerSubscribe, 0, b.jitter(min(askFirst, cmp.Or(b.cfg.MaxSubscribeDelay, askFirst))))
 		}
 	default:
 		b.asked = 0
 	}
 	if kind != ListChanges {
 		for _, e := range b.endpoints {
-			e.State = Gone
+			e.State = Removed
 		}
 	}
 	for i := range list {
 		b.list(&list[i])
 	}
 	b.ready = slices.DeleteFunc(b.ready, func(e *endpoint) bool {
-		if e.listed = e.State == InService; e.State == Gone {
+		if e.listed = e.State == InService; e.State == Removed {
 			b.release(e) // a whole list tells of it only by leaving it out
 		}
 		return !e.listed
@@ -295,7 +300,7 @@
 
 // forget drops an endpoint that is gone once nothing is out to it: over a long day there are ever new ones.
 func (b *Balancer) forget(e *endpoint) {
-	if e.State == Gone && len(e.out) == 0 && !e.probing && b.endpoints[e.ID] == e {
+	if e.State == Removed && len(e.out) == 0 && !e.probing && b.endpoints[e.ID] == e {
 		delete(b.endpoints, e.ID)
 	}
 }
@@ -306,7 +311,7 @@
 	if e == nil {
 		e = &endpoint{mark: scramble(uint64(entry.ID))}
 		b.endpoints[entry.ID] = e
-	} else if entry.Started != e.Started { // what was known of the old process says nothing of the new
+	} else if entry.StartedAt != e.StartedAt { // what was known of the old process says nothing of the new
 		e.hasLoad, e.slow, e.fails, e.suspect, e.lastUsed = false, 0, 0, 0, 0
 	}
 	e.Endpoint = *entry
@@ -325,8 +330,8 @@
 // release closes the idle connections to an endpoint that has left service, at each event that may have
 // made one idle: the notice, and the end of a call or a probe. A drain waits for its connections.
 func (b *Balancer) release(e *endpoint) {
-	if b.cfg.ReleaseWithin > 0 && e.State != InService && (e.lastSent > 0 || e.probedAt > 0) {
-		b.act(Action{Kind: Release, Endpoint: e.ID})
+	if b.cfg.MaxDrainIdleTime > 0 && e.State != InService && (e.lastSent > 0 || e.probedAt > 0) {
+		b.act(Action{Kind: CloseIdle, Endpoint: e.ID})
 	}
 }
 
@@ -345,7 +350,7 @@
 	if b.probing {
 		return
 	}
-	_, place := math.Modf(float64(b.cfg.Me) * math.Phi)
+	_, place := math.Modf(float64(b.cfg.SidecarIndex) * math.Phi)
 	b.sizeSum, b.muMost = 0, 1e-3
 	for _, set := range [2]*[]*endpoint{&b.near, &b.far} {
 		slices.SortFunc(*set, func(x, y *endpoint) int { return cmp.Compare(x.mark, y.mark) })
@@ -353,7 +358,7 @@
 		for _, e := range *set {
 			total += b.size(e)
 		}
-		from, want := place*total, total*overlap/float64(b.cfg.Balancers)
+		from, want := place*total, total*overlap/float64(b.cfg.SidecarCount)
 		ring, n, at := append(*set, *set...), len(*set), 0.0
 		*set = (*set)[:0]
 		for _, e := range ring {
@@ -368,23 +373,23 @@
 			b.muMost = math.Max(b.muMost, b.mu(e))
 		}
 	}
-	b.blind = b.cfg.Balancers*(len(b.near)+len(b.far)) > 2*overlap*len(b.ready)
+	b.blind = b.cfg.SidecarCount*(len(b.near)+len(b.far)) > 2*overlap*len(b.ready)
 	if b.rateAt == 0 { // before the first call: five calls an endpoint by all sidecars, learned from then on
-		b.window = overlap * float64(len(b.ready)) / float64(b.cfg.Balancers)
+		b.window = overlap * float64(len(b.ready)) / float64(b.cfg.SidecarCount)
 	}
 }
 
-// Request takes a request; the Balancer owes it one final answer from now on.
-func (b *Balancer) Request(now time.Duration, q Request, out []Action) []Action {
+// RequestArrived takes a request; the Balancer owes it one final answer from now on.
+func (b *Balancer) RequestArrived(now time.Duration, q Request, out []Action) []Action {
 	b.begin(now, out)
 	if q.Class < 0 || q.Class >= len(b.cfg.Classes) || b.requests[q.ID] != nil {
 		return b.acts
 	}
 	r := &request{Request: q, class: &b.cfg.Classes[q.Class], arrived: now}
 	b.requests[q.ID] = r
-	r.useless = now + q.Budget - 2*b.cfg.Step // its timer must ring before its client gives up
-	r.goalAt = now + r.class.Goal + time.Duration(r.class.GoalStretch*float64(q.Work))
-	if r.class.LateShare == 0 {
+	r.useless = now + q.Timeout - 2*b.cfg.ClockResolution // its timer must ring before its client gives up
+	r.goalAt = now + r.class.TargetLatency + time.Duration(r.class.TargetWorkFactor*float64(q.ExpectedWork))
+	if r.class.LateValueShare == 0 {
 		r.useless = min(r.useless, r.goalAt)
 	}
 	need := startMargin * b.usual(r)
@@ -398,7 +403,7 @@
 	b.draws = min(b.draws+drawBudget, budgetCap)
 	b.probes = min(b.probes+probesEach, probesSaved)
 	for i, t := range b.cfg.Tenants { // each sidecar has an equal part of a quota
-		quota := t.Quota / float64(b.cfg.Balancers)
+		quota := t.Quota / float64(b.cfg.SidecarCount)
 		b.quotas[i] = math.Min(b.quotas[i]+quota*(now-b.quotaAt).Seconds(), math.Max(quota*quotaSaved, 1))
 	}
 	b.quotaAt = now
@@ -425,8 +430,9 @@
 	return false
 }
 
-// Head takes the start of an attempt's streamed answer: its client owns it now and no deadline counts.
-func (b *Balancer) Head(now time.Duration, id RequestID, n int, out []Action) []Action {
+// ResponseStarted takes the start of an attempt's streamed answer: its client owns it now and no deadline
+// counts.
+func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, n int, out []Action) []Action {
 	b.begin(now, out)
 	if r := b.requests[id]; r != nil && n >= 0 && n < len(r.attempts) && r.attempts[n].out && !r.done {
 		r.attempts[n].killed = true
@@ -436,16 +442,17 @@
 	return b.acts
 }
 
-// Body takes what has become of the body of a request that was still arriving. Until it is whole there is
-// no second copy: the first waits for the caller, as a copy would. Outcome.Elapsed counts from when it was.
-func (b *Balancer) Body(now time.Duration, id RequestID, s BodyState, out []Action) []Action {
+// BodyStateChanged takes what has become of the body of a request that was still arriving. Until it is whole
+// there is no second copy: the first waits for the caller, as a copy would. Outcome.Elapsed counts from when
+// it was.
+func (b *Balancer) BodyStateChanged(now time.Duration, id RequestID, s BodyState, out []Action) []Action {
 	b.begin(now, out)
 	r := b.requests[id]
 	if r == nil || r.done {
 		return b.acts
 	}
-	if s == BodyWhole {
-		r.Arriving = false
+	if s == BodyComplete {
+		r.BodyArriving = false
 		for i := range r.attempts {
 			b.wait(&r.attempts[i], false)
 		}
@@ -471,16 +478,16 @@
 	a.to.callers, b.outs = a.to.callers+n, b.outs-n
 }
 
-// Abandoned says that a request has ended without the Balancer.
-func (b *Balancer) Abandoned(now time.Duration, id RequestID, out []Action) []Action {
+// RequestAbandoned says that a request has ended without the Balancer.
+func (b *Balancer) RequestAbandoned(now time.Duration, id RequestID, out []Action) []Action {
 	if b.begin(now, out); b.requests[id] != nil {
 		b.close(b.requests[id])
 	}
 	return b.acts
 }
 
-// Fired takes a timer that fell due.
-func (b *Balancer) Fired(now time.Duration, t Timer, out []Action) []Action {
+// TimerFired takes a timer that fell due.
+func (b *Balancer) TimerFired(now time.Duration, t Timer, out []Action) []Action {
 	b.begin(now, out)
 	switch t.Kind {
 	case timerRequest:
@@ -497,8 +504,10 @@
 	return b.acts
 }
 
-// Probed takes the result of a probe; load is nil without a report.
-func (b *Balancer) Probed(now time.Duration, id EndpointID, res Result, load *Load, out []Action) []Action {
+// ProbeEnded takes the result of a probe; load is nil without a report.
+func (b *Balancer) ProbeEnded(
+	now time.Duration, id EndpointID, res Result, load *Load, out []Action,
+) []Action {
 	b.begin(now, out)
 	e := b.endpoints[id]
 	if e == nil || !e.probing {
@@ -522,8 +531,8 @@
 	return b.acts
 }
 
-// Ended takes the outcome of an attempt.
-func (b *Balancer) Ended(now time.Duration, o Outcome, out []Action) []Action {
+// AttemptEnded takes the outcome of an attempt.
+func (b *Balancer) AttemptEnded(now time.Duration, o Outcome, out []Action) []Action {
 	b.begin(now, out)
 	r := b.requests[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].out {
@@ -536,7 +545,7 @@
 	b.release(a.to)
 	b.forget(a.to)
 	switch {
-	case o.Closed, r.done:
+	case o.RequestFinished, r.done:
 		b.close(r)
 	case r.out > 0: // another copy is still out
 	case b.mayRetry(r):
@@ -551,7 +560,7 @@
 // mayRetry tells whether a request whose attempts have all failed may have another.
 func (b *Balancer) mayRetry(r *request) bool {
 	may := b.mayAdd(r) && (r.ran == nil || r.class.Semantics != Unsafe && b.retries >= 1 &&
-		(r.class.Retries == 0 || r.reruns < r.class.Retries))
+		(r.class.MaxRetries == 0 || r.reruns < r.class.MaxRetries))
 	if may && r.ran != nil {
 		b.retries--
 		r.reruns++
@@ -563,7 +572,7 @@
 func (b *Balancer) mayAdd(r *request) bool {
 	n, k := len(r.attempts), r.class
 	return n < b.cfg.Limits.MaxAttempts && (n == 0 || !r.lost) && (k.MaxAttempts == 0 || n < k.MaxAttempts) &&
-		(n == 0 || k.RetryWithin == 0 || b.now < r.arrived+k.RetryWithin)
+		(n == 0 || k.RetryStartWindow == 0 || b.now < r.arrived+k.RetryStartWindow)
 }
 
 func (b *Balancer) advance(r *request) {
@@ -599,8 +608,8 @@
 		if b.probing { // an idle endpoint, which it takes a probe to find, is worth a try however late
 			r.startBy = max(r.startBy, b.now+probeWait)
 		}
-		if len(r.attempts) > 0 && r.class.RetryWithin > 0 { // it ends as soon as no attempt may begin
-			r.startBy = min(r.startBy, r.arrived+r.class.RetryWithin)
+		if len(r.attempts) > 0 && r.class.RetryStartWindow > 0 { // it ends as soon as no attempt may begin
+			r.startBy = min(r.startBy, r.arrived+r.class.RetryStartWindow)
 		}
 		if r.ran != nil && r.class.Semantics == Keyed { // and once its key may be forgotten
 			r.startBy = min(r.startBy, followBy(r.class, r.ranAt))
@@ -629,16 +638,16 @@
 // the class served worst its worth to that part of the goal. It guards dear requests in any shortage, and
 // a class from starving; where all have capacity it decides nothing.
 func (b *Balancer) byValue() []int {
-	goal, total, worst := b.cfg.Goal, 1e-9, 0
+	goal, total, worst := b.cfg.Objective, 1e-9, 0
 	share := func(c int) float64 { return b.classes[c].served / math.Max(b.classes[c].asked, 1) }
 	for c := range b.classes {
-		total += b.classes[c].asked * b.cfg.Classes[c].Worth
+		total += b.classes[c].asked * b.cfg.Classes[c].Value
 		if share(c) < share(worst) {
 			worst = c
 		}
 	}
 	value := func(c int) float64 {
-		v := (goal.Whole + goal.WorstWindow + goal.Nines) * b.cfg.Classes[c].Worth / total
+		v := (goal.Overall + goal.WorstWindow + goal.Nines) * b.cfg.Classes[c].Value / total
 		if c == worst {
 			v += goal.WorstClass / math.Max(b.classes[c].asked, 1)
 		}
@@ -768,7 +777,7 @@
 func (b *Balancer) probe(want int) {
 	// What sidecars without an idle endpoint may ask for together is bounded by the endpoints' number.
 	slowest := slices.MaxFunc(b.classes, func(x, y latency) int { return cmp.Compare(x.mean, y.mean) })
-	rate := probesPerCall * float64(len(b.ready)) / (float64(b.cfg.Balancers) * slowest.mean)
+	rate := probesPerCall * float64(len(b.ready)) / (float64(b.cfg.SidecarCount) * slowest.mean)
 	b.probes = min(b.probes+rate*(b.now-b.probesAt).Seconds(), probesSaved)
 	b.probesAt = b.now
 	first := b.held[len(b.held)-1].arrived == b.now // the newest is last
@@ -864,8 +873,8 @@
 	if ramp >= 1 {
 		return true
 	}
-	gap := seconds(math.Min(total/(b.rate*b.size(e)*ramp), b.cfg.ColdFor.Seconds()))
-	if e.lastSent < e.Started {
+	gap := seconds(math.Min(total/(b.rate*b.size(e)*ramp), b.cfg.WarmupTime.Seconds()))
+	if e.lastSent < e.StartedAt {
 		e.lastSent = b.now - b.jitter(gap)
 	}
 	return b.now-e.lastSent >= gap
@@ -906,7 +915,7 @@
 
 // size is an endpoint's weight where that means size, else 1.
 func (b *Balancer) size(e *endpoint) float64 {
-	if b.cfg.Weights == WeightsNominal || b.cfg.Weights == WeightsRough {
+	if b.cfg.WeightMeaning == WeightCapacity || b.cfg.WeightMeaning == WeightCapacityEstimate {
 		return math.Max(e.Weight, 1e-3)
 	}
 	return 1
@@ -914,11 +923,12 @@
 
 // ramp is the share of its capacity that an endpoint surely has since its start.
 func (b *Balancer) ramp(e *endpoint) float64 {
-	age := b.now - e.Started
-	if e.Started == 0 || age >= b.cfg.ColdFor {
+	age := b.now - e.StartedAt
+	if e.StartedAt == 0 || age >= b.cfg.WarmupTime {
 		return 1
 	}
-	return b.cfg.ColdShare + (1-b.cfg.ColdShare)*math.Max(age.Seconds(), 0)/b.cfg.ColdFor.Seconds()
+	return b.cfg.ColdCapacityShare +
+		(1-b.cfg.ColdCapacityShare)*math.Max(age.Seconds(), 0)/b.cfg.WarmupTime.Seconds()
 }
 
 // allowed tells whether the rules let a request go to an endpoint now.
@@ -947,7 +957,7 @@
 
 // mayCopy tells whether a request may have a second copy out.
 func (b *Balancer) mayCopy(r *request) bool {
-	return b.cfg.Limits.SecondCopies && !r.class.OneCopy && !r.Arriving
+	return b.cfg.Limits.Hedging && !r.class.NoHedging && !r.BodyArriving
 }
 
 // mayFollow tells whether a request that may run at first, sent then, may also go to e.
@@ -991,11 +1001,11 @@
 	r.out++
 	b.outs++
 	e.out = append(e.out, b.now)
-	b.wait(&r.attempts[len(r.attempts)-1], r.Arriving)
+	b.wait(&r.attempts[len(r.attempts)-1], r.BodyArriving)
 	e.lastSent = b.now
 	b.rate = b.rate*math.Exp(-(b.now-b.rateAt).Seconds()/rateSpan) + 1/rateSpan
 	b.rateAt = b.now
-	b.act(Action{Kind: Send, Request: r.ID, Endpoint: e.ID, Until: r.useless, BeginBy: by})
+	b.act(Action{Kind: Send, Request: r.ID, Endpoint: e.ID, Deadline: r.useless, StartDeadline: by})
 	if r.out > 1 {
 		b.hedges--
 	} else {
@@ -1030,7 +1040,7 @@
 	if e.lastUsed == 0 || b.cfg.Limits.KeepAlive > 0 && idle > b.cfg.Limits.KeepAlive {
 		return 0
 	} else if b.isStale(k) {
-		b.act(Action{Kind: Release, Endpoint: e.ID})
+		b.act(Action{Kind: CloseIdle, Endpoint: e.ID})
 		return 0
 	}
 	return k
@@ -1084,7 +1094,7 @@
 		p.n++
 		p.mean += math.Max(paceGain, 1/p.n) * (x - p.mean)
 		e.slow += slowGain * (x - p.mean - e.slow)
-		b.moveShare(x, math.Log(took/r.class.Goal.Seconds()))
+		b.moveShare(x, math.Log(took/r.class.TargetLatency.Seconds()))
 	case Rejected:
 		b.failed(e, 0)
 		b.moveShare(b.paceBest+rejectedPace, b.goalPace)
@@ -1125,7 +1135,7 @@
 	}
 	if b.pace > b.paceBest+crowded || b.goalPace > math.Log(goalShare) {
 		// Less than one call would change nothing, and be slow to undo.
-		b.share = max(b.share*shareCut, 1/b.muMost, sharesLeast/float64(b.cfg.Balancers))
+		b.share = max(b.share*shareCut, 1/b.muMost, sharesLeast/float64(b.cfg.SidecarCount))
 	} else if b.full {
 		b.share += shareRise
 	}
@@ -1154,10 +1164,10 @@
 
 // work is what a request is expected to take of a server in seconds: its hint, or else by its goal.
 func (b *Balancer) work(r *request) float64 {
-	if r.Work > 0 {
-		return r.Work.Seconds()
+	if r.ExpectedWork > 0 {
+		return r.ExpectedWork.Seconds()
 	}
-	return r.class.Goal.Seconds() / 4
+	return r.class.TargetLatency.Seconds() / 4
 }
 
 // finish gives the final answer of a request that was not served.
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -21,18 +21,18 @@
 
 func config() Config {
 	return Config{
-		Balancers: 4,
+		SidecarCount: 4,
 		Classes: []Class{
-			{Name: "read", Goal: 800 * ms, Deadline: 2 * time.Second, Worth: 1, Semantics: Safe},
-			{Name: "write", Goal: 800 * ms, Deadline: 2 * time.Second, Worth: 1, Semantics: Keyed, RepeatWindow: time.Second},
-			{Name: "pay", Goal: 800 * ms, Deadline: 2 * time.Second, Worth: 1, Semantics: Unsafe},
+			{Name: "read", TargetLatency: 800 * ms, Deadline: 2 * time.Second, Value: 1, Semantics: Safe},
+			{Name: "write", TargetLatency: 800 * ms, Deadline: 2 * time.Second, Value: 1, Semantics: Keyed, RepeatWindow: time.Second},
+			{Name: "pay", TargetLatency: 800 * ms, Deadline: 2 * time.Second, Value: 1, Semantics: Unsafe},
 		},
-		Reporting: ReportsProbe,
+		Reporting: ReportsInProbe,
 		Costs:     Costs{Probe: 0.002},
-		Limits: Limits{MaxAttempts: 4, SecondCopies: true, Probes: true, Cancel: true,
+		Limits: Limits{MaxAttempts: 4, Hedging: true, Probes: true, Cancel: true,
 			KeepAlive: 30 * time.Second},
-		ColdShare: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallAfter: 2 * time.Second,
-		Step: ms,
+		ColdCapacityShare: 0.2, WarmupTime: 10 * time.Second, ColdOverloadMultiple: 3, ColdOverloadTime: 2 * time.Second,
+		ClockResolution: ms,
 	}
 }
 
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	f := &fleet{t: t, b: b, now: time.Minute}
-	f.acts = b.Endpoints(f.now, ListRemember, list, nil)
+	f.acts = b.EndpointsUpdated(f.now, ListLastKnown, list, nil)
 	return f
 }
 
@@ -58,7 +58,7 @@
 
 func (f *fleet) request(class int, budget time.Duration) RequestID {
 	f.next++
-	f.acts = f.b.Request(f.now, Request{ID: f.next, Class: class, Budget: budget}, nil)
+	f.acts = f.b.RequestArrived(f.now, Request{ID: f.next, Class: class, Timeout: budget}, nil)
 	return f.next
 }
 
@@ -75,7 +75,7 @@
 
 // probed answers a probe with a number of requests in flight.
 func (f *fleet) probed(id EndpointID, inFlight float64) {
-	f.acts = f.b.Probed(f.now, id, OK, &Load{InFlight: inFlight}, nil)
+	f.acts = f.b.ProbeEnded(f.now, id, OK, &Load{InFlight: inFlight}, nil)
 }
 
 // sent returns the endpoint of the only Send of the last event.
@@ -89,8 +89,8 @@
 }
 
 func (f *fleet) ended(r RequestID, n int, e EndpointID, res Result, took time.Duration) {
-	f.acts = f.b.Ended(f.now, Outcome{
-		Request: r, Attempt: n, Endpoint: e, Result: res, Closed: res == OK, Elapsed: took,
+	f.acts = f.b.AttemptEnded(f.now, Outcome{
+		Request: r, Attempt: n, Endpoint: e, Result: res, RequestFinished: res == OK, Elapsed: took,
 	}, nil)
 }
 
@@ -118,11 +118,11 @@
 // fireAll lets the serve timer ring after the usual wait for a probe.
 func (f *fleet) fireAll() {
 	f.now += probeWait
-	f.acts = f.b.Fired(f.now, Timer{Kind: timerServe}, nil)
+	f.acts = f.b.TimerFired(f.now, Timer{Kind: timerServe}, nil)
 }
 
 func (f *fleet) fire(r RequestID) {
-	f.acts = f.b.Fired(f.now, Timer{Kind: timerRequest, Ref: uint64(r)}, nil)
+	f.acts = f.b.TimerFired(f.now, Timer{Kind: timerRequest, Ref: uint64(r)}, nil)
 }
 
 func TestIdleBeforeBusy(t *testing.T) {
@@ -172,7 +172,7 @@
 
 func TestFastestIdleTypeFirst(t *testing.T) {
 	cfg := config()
-	cfg.Weights = WeightsNominal
+	cfg.WeightMeaning = WeightCapacity
 	list := servers(3)
 	list[1].Weight = 4
 	f := newFleet(t, cfg, list...)
@@ -182,7 +182,7 @@
 		f.b.report(e, &Load{InFlight: 0}, f.now)
 		f.b.idlers = append(f.b.idlers, e)
 	}
-	f.acts = f.b.Fired(f.now, Timer{Kind: timerServe}, nil)
+	f.acts = f.b.TimerFired(f.now, Timer{Kind: timerServe}, nil)
 	if got := f.sent(); got != 2 {
 		t.Errorf("sent to %d, want 2, the fastest", got)
 	}
@@ -196,7 +196,7 @@
 // be within five standard deviations.
 func TestDrawBySpeed(t *testing.T) {
 	cfg := config()
-	cfg.Weights = WeightsNominal
+	cfg.WeightMeaning = WeightCapacity
 	list := servers(6)
 	for i := range list {
 		list[i].Weight = []float64{1, 1, 1, 4, 4, 2}[i]
@@ -371,7 +371,7 @@
 func TestKeyedGoesBackWhereItsGroupHasNoOther(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		cfg := config()
-		cfg.Reporting = ReportsInAnswer
+		cfg.Reporting = ReportsInResponse
 		cfg.Classes[1].Scope = ScopeZone
 		list := servers(4)
 		for i := range list {
@@ -387,7 +387,7 @@
 		f.ended(r, 0, first, Error, 100*ms)
 		for len(f.find(Send)) == 0 && f.now < time.Minute+700*ms {
 			f.now += 10 * ms
-			f.acts = f.b.Fired(f.now, Timer{Kind: timerServe}, nil)
+			f.acts = f.b.TimerFired(f.now, Timer{Kind: timerServe}, nil)
 		}
 		if again := f.sent(); again != first && alone || again == first && !alone || again > 2 {
 			t.Errorf("alone %v: sent to %d and then to %d", alone, first, again)
@@ -397,7 +397,7 @@
 
 func TestNoSecondCopyWhereForbidden(t *testing.T) {
 	cfg := config()
-	cfg.Limits.SecondCopies = false
+	cfg.Limits.Hedging = false
 	f := newFleet(t, cfg, servers(5)...)
 	r, _ := f.dispatch(0)
 	for _, e := range f.b.ready {
@@ -427,7 +427,7 @@
 
 func TestDrainAndRemoval(t *testing.T) {
 	f := newFleet(t, config(), servers(4)...)
-	f.acts = f.b.Endpoints(f.now, ListChanges, []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Gone}}, nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Removed}}, nil)
 	if len(f.b.ready) != 2 {
 		t.Fatalf("%d ready after a drain and a removal, want 2", len(f.b.ready))
 	}
@@ -437,11 +437,11 @@
 		}
 		f.now += 100 * ms
 	}
-	f.acts = f.b.Endpoints(f.now, ListFull, servers(1), nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListFull, servers(1), nil)
 	if len(f.b.ready) != 1 || f.b.ready[0].ID != 1 {
 		t.Errorf("ready %v after a full list, want endpoint 1 alone", f.b.ready)
 	}
-	f.acts = f.b.Endpoints(f.now, ListRefused, nil, nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListUnavailable, nil, nil)
 	if len(f.b.ready) != 1 {
 		t.Error("a refused call to discovery changed the list")
 	}
@@ -450,7 +450,7 @@
 // Idle connections to an endpoint that drains are closed at the notice, and again after each later outcome.
 func TestDrainReleasesConnections(t *testing.T) {
 	cfg := config()
-	cfg.ReleaseWithin = 800 * ms
+	cfg.MaxDrainIdleTime = 800 * ms
 	f := newFleet(t, cfg, servers(2)...)
 	r, e := f.dispatch(0)
 	other := 3 - e
@@ -458,7 +458,7 @@
 	released := func(when string, want int) {
 		t.Helper()
 		n := 0
-		for _, a := range f.find(Release) {
+		for _, a := range f.find(CloseIdle) {
 			if a.Endpoint == e {
 				n++
 			}
@@ -467,24 +467,24 @@
 			t.Errorf("%s: %d releases of %d, want %d: %+v", when, n, e, want, f.acts)
 		}
 	}
-	f.acts = f.b.Endpoints(f.now, ListChanges, drain, nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListChanges, drain, nil)
 	released("at the notice", 1)
 	f.now += 300 * ms
 	f.ended(r, 0, e, OK, 300*ms)
 	released("after the last outcome", 1)
-	f.acts = f.b.Endpoints(f.now, ListChanges, []Endpoint{{ID: other, State: InService}}, nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: other, State: InService}}, nil)
 	released("at news of another", 0)
 
 	f = newFleet(t, config(), servers(2)...)
 	_, e = f.dispatch(0)
-	f.acts = f.b.Endpoints(f.now, ListChanges, []Endpoint{{ID: e, State: Draining}}, nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: e, State: Draining}}, nil)
 	released("without the rule", 0)
 }
 
 func TestColdRamp(t *testing.T) {
 	f := newFleet(t, config(), servers(1)...)
 	start := f.now
-	f.acts = f.b.Endpoints(f.now, ListChanges, []Endpoint{{ID: 1, Started: start}}, nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: 1, StartedAt: start}}, nil)
 	for _, c := range []struct {
 		age  time.Duration
 		want float64
@@ -496,8 +496,8 @@
 	}
 	// A restart is a new start, and what was known of the old process is forgotten.
 	f.b.failed(f.b.endpoints[1], 0)
-	f.acts = f.b.Endpoints(f.now, ListChanges, []Endpoint{{ID: 1, Started: start + time.Hour}}, nil)
-	if e := f.b.endpoints[1]; e.slow != 0 || e.fails != 0 || e.Started != start+time.Hour {
+	f.acts = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: 1, StartedAt: start + time.Hour}}, nil)
+	if e := f.b.endpoints[1]; e.slow != 0 || e.fails != 0 || e.StartedAt != start+time.Hour {
 		t.Errorf("after a restart: %+v", e)
 	}
 }
@@ -506,12 +506,12 @@
 func TestColdEndpointIsSpared(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = 1
+	cfg.SidecarCount = 1
 	list := servers(10)
 	f := newFleet(t, cfg, list...)
 	cold := list[0]
-	cold.Started = f.now
-	f.acts = f.b.Endpoints(f.now, ListChanges, []Endpoint{cold}, nil)
+	cold.StartedAt = f.now
+	f.acts = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{cold}, nil)
 	const n = 400
 	got := 0
 	for range n {
@@ -538,10 +538,10 @@
 	const sidecars, n = 60, 20
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = sidecars
+	cfg.SidecarCount = sidecars
 	got, rate := 0, 2*n // requests a second over all: two a server
 	for me := range sidecars {
-		cfg.Me = me
+		cfg.SidecarIndex = me
 		f := newFleet(t, cfg, servers(n)...)
 		step := time.Second * sidecars / time.Duration(rate)
 		f.now += step * time.Duration(me) / sidecars
@@ -555,8 +555,8 @@
 		for _, e := range f.b.ready {
 			e.suspect = f.now + time.Minute
 		}
-		cold := Endpoint{ID: n + 1, Weight: 1, Started: f.now - 2*time.Second}
-		f.acts = f.b.Endpoints(f.now, ListChanges, []Endpoint{cold}, nil)
+		cold := Endpoint{ID: n + 1, Weight: 1, StartedAt: f.now - 2*time.Second}
+		f.acts = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{cold}, nil)
 		for range 2 {
 			f.now += step
 			f.request(0, time.Second)
@@ -573,7 +573,7 @@
 func TestSpillsToOtherZones(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = overlap
+	cfg.SidecarCount = overlap
 	list := servers(4)
 	list[2].Zone, list[3].Zone = 1, 1
 	f := newFleet(t, cfg, list...)
@@ -596,7 +596,7 @@
 		for me := range c.sidecars {
 			cfg := config()
 			cfg.Costs.Probe = 0.01
-			cfg.Me, cfg.Balancers = me, c.sidecars
+			cfg.SidecarIndex, cfg.SidecarCount = me, c.sidecars
 			f := newFleet(t, cfg, servers(c.servers)...)
 			for _, e := range f.b.near {
 				met[e.ID]++
@@ -616,7 +616,7 @@
 
 func TestDiscoveryIsAskedGently(t *testing.T) {
 	cfg := config()
-	cfg.AskDiscovery = true
+	cfg.MustSubscribe = true
 	f := newFleet(t, cfg, servers(3)...)
 	var last time.Duration
 	for i := range 6 {
@@ -629,27 +629,27 @@
 		}
 		last = timers[0].Delay
 		f.now += last
-		f.acts = f.b.Fired(f.now, timers[0].Timer, nil)
+		f.acts = f.b.TimerFired(f.now, timers[0].Timer, nil)
 		if len(f.find(Subscribe)) != 1 {
 			t.Fatalf("call %d: actions %+v, want Subscribe", i, f.acts)
 		}
-		f.acts = f.b.Endpoints(f.now, ListRefused, nil, nil)
+		f.acts = f.b.EndpointsUpdated(f.now, ListUnavailable, nil, nil)
 	}
 }
 
 // However often discovery refuses, it is asked again before the sidecar counts as told.
 func TestDiscoveryIsAskedInTime(t *testing.T) {
 	cfg := config()
-	cfg.AskDiscovery, cfg.AskWithin = true, time.Second
+	cfg.MustSubscribe, cfg.MaxSubscribeDelay = true, time.Second
 	f := newFleet(t, cfg, servers(3)...)
-	for i, limit := 0, cfg.AskWithin; i < 8; i, limit = i+1, 4*cfg.AskWithin {
+	for i, limit := 0, cfg.MaxSubscribeDelay; i < 8; i, limit = i+1, 4*cfg.MaxSubscribeDelay {
 		timers := f.find(SetTimer)
 		if len(timers) != 1 || timers[0].Delay > limit {
 			t.Fatalf("call %d: actions %+v, want a timer within %v", i, f.acts, limit)
 		}
 		f.now += timers[0].Delay
-		f.acts = f.b.Fired(f.now, timers[0].Timer, nil)
-		f.acts = f.b.Endpoints(f.now, ListRefused, nil, nil)
+		f.acts = f.b.TimerFired(f.now, timers[0].Timer, nil)
+		f.acts = f.b.EndpointsUpdated(f.now, ListUnavailable, nil, nil)
 	}
 }
 
@@ -670,13 +670,13 @@
 func TestStreamIsLeftToItsClient(t *testing.T) {
 	f := newFleet(t, config(), servers(5)...)
 	r, e := f.dispatch(0)
-	f.acts = f.b.Head(f.now, r, 0, nil)
+	f.acts = f.b.ResponseStarted(f.now, r, 0, nil)
 	f.now += 5 * time.Second
 	f.fire(r)
 	if len(f.acts) != 0 {
 		t.Errorf("acted on a stream that had started: %+v", f.acts)
 	}
-	f.acts = f.b.Ended(f.now, Outcome{Request: r, Endpoint: e, Result: Reset, Closed: true}, nil)
+	f.acts = f.b.AttemptEnded(f.now, Outcome{Request: r, Endpoint: e, Result: Reset, RequestFinished: true}, nil)
 	if len(f.b.requests) != 0 || len(f.find(Send)) != 0 {
 		t.Errorf("after the stream: %d requests, actions %+v", len(f.b.requests), f.acts)
 	}
@@ -687,21 +687,21 @@
 		"Classes":                 func(c *Config) { c.Classes = nil },
 		"Classes[0].Semantics":    func(c *Config) { c.Classes[0].Semantics = 9 },
 		"Classes[1].Scope":        func(c *Config) { c.Classes[1].Scope = 9 },
-		"Classes[2].Goal":         func(c *Config) { c.Classes[2].Goal = 0 },
+		"Classes[2].Goal":         func(c *Config) { c.Classes[2].TargetLatency = 0 },
 		"Classes[0].Deadline":     func(c *Config) { c.Classes[0].Deadline = -1 },
 		"Classes[1].RepeatWindow": func(c *Config) { c.Classes[1].RepeatWindow = -1 },
-		"ColdFor":                 func(c *Config) { c.ColdFor = -1 },
-		"ReleaseWithin":           func(c *Config) { c.ReleaseWithin = -1 },
+		"ColdFor":                 func(c *Config) { c.WarmupTime = -1 },
+		"ReleaseWithin":           func(c *Config) { c.MaxDrainIdleTime = -1 },
 		"DrainGrace":              func(c *Config) { c.DrainGrace = -1 },
-		"ColdShare":               func(c *Config) { c.ColdShare = 1.5 },
-		"FallMultiple":            func(c *Config) { c.FallMultiple = math.NaN() },
+		"ColdShare":               func(c *Config) { c.ColdCapacityShare = 1.5 },
+		"FallMultiple":            func(c *Config) { c.ColdOverloadMultiple = math.NaN() },
 		"Costs.Waste":             func(c *Config) { c.Costs.Waste = math.Inf(1) },
-		"Goal.Nines":              func(c *Config) { c.Goal.Nines = -0.1 },
-		"Weights":                 func(c *Config) { c.Weights = 9 },
+		"Goal.Nines":              func(c *Config) { c.Objective.Nines = -0.1 },
+		"Weights":                 func(c *Config) { c.WeightMeaning = 9 },
 		"Reporting":               func(c *Config) { c.Reporting = 9 },
 		"Limits.MaxAttempts":      func(c *Config) { c.Limits.MaxAttempts = -1 },
-		"Classes[1].Worth":        func(c *Config) { c.Classes[1].Worth = -3 },
-		"Classes[1].LateShare":    func(c *Config) { c.Classes[1].LateShare = 2 },
+		"Classes[1].Worth":        func(c *Config) { c.Classes[1].Value = -3 },
+		"Classes[1].LateShare":    func(c *Config) { c.Classes[1].LateValueShare = 2 },
 		"Tenants[0].Quota":        func(c *Config) { c.Tenants = []Tenant{{Quota: math.NaN()}} },
 		"Limits.ConnectTimeout":   func(c *Config) { c.Limits.ConnectTimeout = -1 },
 	} {
@@ -718,7 +718,7 @@
 func TestOverQuotaGivesWay(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = 2
+	cfg.SidecarCount = 2
 	cfg.Tenants = []Tenant{{Name: "large", Quota: 20}, {Name: "small", Quota: 200}}
 	f := newFleet(t, cfg, servers(4)...)
 	served := [2]int{}
@@ -729,7 +729,7 @@
 		if i%2 == 1 {
 			tenant = 1
 		}
-		f.acts = f.b.Request(f.now, Request{ID: f.next, Tenant: tenant, Budget: time.Second}, nil)
+		f.acts = f.b.RequestArrived(f.now, Request{ID: f.next, Tenant: tenant, Timeout: time.Second}, nil)
 		served[tenant] += len(f.find(Send))
 		if len(f.find(Shed)) == 0 {
 			continue
@@ -754,7 +754,7 @@
 func TestShareIsNotWoundDown(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = 1
+	cfg.SidecarCount = 1
 	f := newFleet(t, cfg, servers(10)...)
 	for range 3000 {
 		f.now += 20 * ms
@@ -770,7 +770,7 @@
 func TestShareFollowsThePace(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = overlap
+	cfg.SidecarCount = overlap
 	f := newFleet(t, cfg, servers(10)...)
 	move := func(pace float64, n int) {
 		for range n {
@@ -802,7 +802,7 @@
 func TestFewSidecarsBeginLikeMany(t *testing.T) {
 	for _, n := range []int{1, 2, overlap, 2 * overlap} {
 		cfg := config()
-		cfg.Reporting, cfg.Weights, cfg.Balancers = ReportsInAnswer, WeightsRough, n
+		cfg.Reporting, cfg.WeightMeaning, cfg.SidecarCount = ReportsInResponse, WeightCapacityEstimate, n
 		f := newFleet(t, cfg, Endpoint{ID: 1, Weight: 2})
 		sent := 0
 		for range 20 {
@@ -823,16 +823,16 @@
 		a, b      time.Duration // calls take one and the other in turn
 		need      float64       // of the usual time
 	}{
-		{ReportsInAnswer, 100 * ms, 100 * ms, startMargin},
-		{ReportsInAnswer, 60 * ms, 140 * ms, startMargin + 0.4*sharedMargin},
-		{ReportsProbe, 60 * ms, 140 * ms, startMargin},
+		{ReportsInResponse, 100 * ms, 100 * ms, startMargin},
+		{ReportsInResponse, 60 * ms, 140 * ms, startMargin + 0.4*sharedMargin},
+		{ReportsInProbe, 60 * ms, 140 * ms, startMargin},
 	} {
 		cfg := config()
 		cfg.Reporting = test.reporting
 		f := newFleet(t, cfg, servers(1)...)
 		for i := range 100 {
 			r := f.request(0, 2*time.Second)
-			if cfg.Reporting == ReportsProbe {
+			if cfg.Reporting == ReportsInProbe {
 				f.probed(1, 0)
 			}
 			took := []time.Duration{test.a, test.b}[i%2]
@@ -850,7 +850,7 @@
 func TestOthersOnlyWhenTheStretchFails(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = 40
+	cfg.SidecarCount = 40
 	list := servers(40)
 	for i := range list {
 		list[i].Zone = i % 2
@@ -890,8 +890,8 @@
 func TestDearClassFirst(t *testing.T) {
 	cfg := config()
 	cfg.Classes = cfg.Classes[:2]
-	cfg.Classes[0].Worth = 12
-	cfg.Goal = GoalWeights{Whole: 0.6, WorstClass: 0.4}
+	cfg.Classes[0].Value = 12
+	cfg.Objective = ObjectiveWeights{Overall: 0.6, WorstClass: 0.4}
 	f := newFleet(t, cfg, servers(3)...)
 	f.b.count(0)
 	f.b.count(1)
@@ -909,7 +909,7 @@
 		f.b.count(1)
 		f.b.classes[0].served++
 	}
-	f.b.cfg.Classes[0].Worth = 2
+	f.b.cfg.Classes[0].Value = 2
 	if got := f.b.byValue(); got[0] != 1 {
 		t.Errorf("order %v, want the class that is served worst first", got)
 	}
@@ -925,9 +925,9 @@
 func TestHeldGoByValue(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Classes[0].Worth = 12
-	cfg.Goal.Whole = 1
-	cfg.Balancers = overlap
+	cfg.Classes[0].Value = 12
+	cfg.Objective.Overall = 1
+	cfg.SidecarCount = overlap
 	f := newFleet(t, cfg, servers(1)...)
 	first := f.request(1, 2*time.Second)
 	e := f.sent()
@@ -946,7 +946,7 @@
 func TestStaleConnectionsAreClosedFirst(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = 1
+	cfg.SidecarCount = 1
 	for _, lostInUse := range []bool{false, true} {
 		f := newFleet(t, cfg, servers(1)...)
 		// call sends after an idle time; it is lost if lost is, but on a new connection only if lostInUse.
@@ -955,7 +955,7 @@
 			f.b.endpoints[1].suspect = 0
 			r := f.request(2, 2*time.Second)
 			e := f.sent()
-			released = len(f.find(Release)) > 0
+			released = len(f.find(CloseIdle)) > 0
 			f.now += 50 * ms
 			res := OK
 			if lost && (lostInUse || !released) {
@@ -1002,7 +1002,7 @@
 func TestCongestionWindow(t *testing.T) {
 	cfg := config()
 	cfg.Costs.Probe = 0.01
-	cfg.Balancers = 100
+	cfg.SidecarCount = 100
 	f := newFleet(t, cfg, servers(10)...)
 	outs := func() (n int) {
 		for range 20 {
@@ -1098,7 +1098,7 @@
 		f.now += 20 * ms
 		f.ended(r, 0, e, res, 20*ms)
 		linked[e] = linked[e] || res == OK
-		f.acts = f.b.Abandoned(f.now, r, nil)
+		f.acts = f.b.RequestAbandoned(f.now, r, nil)
 	}
 	// share is the part of samples that are linked endpoints.
 	share := func() float64 {
@@ -1170,17 +1170,17 @@
 	}
 	first := next("request")
 	f.now += probeWait
-	f.acts = f.b.Fired(f.now, Timer{Kind: timerServe}, nil)
+	f.acts = f.b.TimerFired(f.now, Timer{Kind: timerServe}, nil)
 	second := next("the first is late")
 	f.now += ms
-	f.acts = f.b.Probed(f.now, second, OK, &Load{InFlight: 1}, nil)
+	f.acts = f.b.ProbeEnded(f.now, second, OK, &Load{InFlight: 1}, nil)
 	third := next("the second is busy")
 	f.now += ms
-	f.acts = f.b.Probed(f.now, third, OK, &Load{InFlight: 1}, nil)
+	f.acts = f.b.ProbeEnded(f.now, third, OK, &Load{InFlight: 1}, nil)
 	if probes := f.find(Probe); len(probes) > 0 {
 		t.Errorf("probes %v to endpoints just found busy", probes)
 	}
-	f.acts = f.b.Probed(f.now, first, OK, &Load{InFlight: 0}, nil)
+	f.acts = f.b.ProbeEnded(f.now, first, OK, &Load{InFlight: 0}, nil)
 	if sends := f.find(Send); len(sends) != 1 || sends[0].Endpoint != first {
 		t.Errorf("sends %v, want one to %d", sends, first)
 	}
@@ -1190,18 +1190,18 @@
 // closed all the same, and it is forgotten once nothing is out to it.
 func TestGoneIsForgotten(t *testing.T) {
 	cfg := config()
-	cfg.ReleaseWithin = time.Second
+	cfg.MaxDrainIdleTime = time.Second
 	f := newFleet(t, cfg, servers(2)...)
 	f.request(0, time.Second)
 	out := f.find(Probe)[0].Endpoint
-	f.acts = f.b.Endpoints(f.now, ListFull, nil, nil)
+	f.acts = f.b.EndpointsUpdated(f.now, ListFull, nil, nil)
 	if len(f.b.endpoints) != 1 || f.b.endpoints[out] == nil {
 		t.Errorf("%d endpoints known, want the one that is probed", len(f.b.endpoints))
 	}
-	if got := f.find(Release); len(got) != 1 || got[0].Endpoint != out {
+	if got := f.find(CloseIdle); len(got) != 1 || got[0].Endpoint != out {
 		t.Errorf("released %v, want the one that was asked", got)
 	}
-	f.acts = f.b.Probed(f.now, out, OK, nil, nil)
+	f.acts = f.b.ProbeEnded(f.now, out, OK, nil, nil)
 	if len(f.b.endpoints) != 0 {
 		t.Errorf("%d endpoints known in the end", len(f.b.endpoints))
 	}
@@ -1241,7 +1241,7 @@
 		if probes := f.find(Probe); len(probes) != 1 {
 			t.Fatalf("probes %v", probes)
 		}
-		f.b.Probed(f.now, 1, res, nil, nil)
+		f.b.ProbeEnded(f.now, 1, res, nil, nil)
 		if got := f.b.endpoints[1].fails; got != want {
 			t.Errorf("result %d: %d failures, want %d", res, got, want)
 		}
@@ -1260,8 +1260,8 @@
 	}
 	answered := func(f *fleet) bool { return len(f.find(Shed))+len(f.find(Fail)) == 1 }
 	for name, bound := range map[string]func(c *Class){
-		"one attempt": func(c *Class) { c.MaxAttempts = 1 }, "no retry": func(c *Class) { c.Retries = -1 },
-		"no time": func(c *Class) { c.RetryWithin = 1 },
+		"one attempt": func(c *Class) { c.MaxAttempts = 1 }, "no retry": func(c *Class) { c.MaxRetries = -1 },
+		"no time": func(c *Class) { c.RetryStartWindow = 1 },
 	} {
 		cfg := config()
 		bound(&cfg.Classes[0])
@@ -1270,7 +1270,7 @@
 		}
 	}
 	cfg := config()
-	cfg.Classes[0].RetryWithin = 300 * ms
+	cfg.Classes[0].RetryStartWindow = 300 * ms
 	f, r := lost(cfg)
 	if answered(f) || len(f.b.held) != 1 {
 		t.Fatalf("answered with time for a retry: %+v", f.acts)
@@ -1280,11 +1280,11 @@
 		t.Errorf("not answered once no retry may begin: %+v", f.acts)
 	}
 	f, _ = lost(config())
-	if f.acts = f.b.Bound(f.now, 0, Class{MaxAttempts: 1}, nil); !answered(f) {
+	if f.acts = f.b.SetClassLimits(f.now, 0, Class{MaxAttempts: 1}, nil); !answered(f) {
 		t.Errorf("not answered once the bound is lowered: %+v", f.acts)
 	}
 	cfg = config()
-	cfg.Classes[0].OneCopy = true
+	cfg.Classes[0].NoHedging = true
 	f = newFleet(t, cfg, servers(20)...)
 	if r, _ := f.dispatch(0); f.b.requests[r].hedgeAt != 0 {
 		t.Error("a second copy is planned")
@@ -1294,7 +1294,7 @@
 // A second copy that waits for an idle endpoint is dropped once it may not begin: no probe is sent for it.
 func TestCopyIsDroppedInTime(t *testing.T) {
 	cfg := config()
-	cfg.Classes[0].RetryWithin = 400 * ms
+	cfg.Classes[0].RetryStartWindow = 400 * ms
 	f := newFleet(t, cfg, servers(20)...)
 	f.b.classes[0] = latency{mean: 0.05, dev: 0.02}
 	r, _ := f.dispatch(0)
@@ -1304,7 +1304,7 @@
 		t.Fatalf("%d held, want the copy", len(f.b.held))
 	}
 	f.now = f.b.requests[r].arrived + 400*ms
-	if f.acts = f.b.Fired(f.now, Timer{Kind: timerServe}, nil); len(f.b.held) != 0 || len(f.find(Probe)) != 0 {
+	if f.acts = f.b.TimerFired(f.now, Timer{Kind: timerServe}, nil); len(f.b.held) != 0 || len(f.find(Probe)) != 0 {
 		t.Errorf("%d held, actions %+v", len(f.b.held), f.acts)
 	}
 }
@@ -1335,7 +1335,7 @@
 // waited until it was nearly late.
 func TestSuspicionEndIsAwaited(t *testing.T) {
 	cfg := config()
-	cfg.Reporting = ReportsInAnswer
+	cfg.Reporting = ReportsInResponse
 	f := newFleet(t, cfg, servers(1)...)
 	first := f.request(0, time.Second)
 	f.ended(first, 0, f.sent(), Reset, ms)
@@ -1353,7 +1353,7 @@
 		t.Fatalf("looks again at %v, want %v: %+v", at, end, f.acts)
 	}
 	f.now = at
-	if f.acts = f.b.Fired(f.now, Timer{Kind: timerServe}, nil); len(f.find(Send)) == 0 {
+	if f.acts = f.b.TimerFired(f.now, Timer{Kind: timerServe}, nil); len(f.find(Send)) == 0 {
 		t.Errorf("not sent as the suspicion ended: %+v", f.acts)
 	}
 }
@@ -1362,12 +1362,12 @@
 // endpoints: slow callers, however many, keep nobody else from being served. Once whole they count.
 func TestSlowCallersTakeNoCore(t *testing.T) {
 	cfg := config()
-	cfg.Balancers, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
+	cfg.SidecarCount, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
 	f := newFleet(t, cfg, servers(2)...)
 	sends := func(arriving bool) (ids []RequestID, to []EndpointID) {
 		for range 30 {
 			f.next++
-			f.acts = f.b.Request(f.now, Request{ID: f.next, Class: 1, Budget: time.Second, Arriving: arriving}, nil)
+			f.acts = f.b.RequestArrived(f.now, Request{ID: f.next, Class: 1, Timeout: time.Second, BodyArriving: arriving}, nil)
 			for _, a := range f.find(Send) {
 				ids, to = append(ids, a.Request), append(to, a.Endpoint)
 			}
@@ -1383,12 +1383,12 @@
 		t.Fatalf("%d short calls were sent beside them: as many as there are free cores", len(short))
 	}
 	for _, id := range slow[:15] {
-		f.acts = f.b.Body(f.now, id, BodyWhole, nil)
+		f.acts = f.b.BodyStateChanged(f.now, id, BodyComplete, nil)
 	}
 	if more, _ := sends(false); len(more) > 0 {
 		t.Errorf("%d were sent to endpoints that have work now", len(more))
 	}
-	f.acts = f.b.Head(f.now, slow[0], 0, nil)
+	f.acts = f.b.ResponseStarted(f.now, slow[0], 0, nil)
 	for i, id := range slow {
 		f.ended(id, 0, at[i], OK, ms)
 	}
@@ -1413,7 +1413,7 @@
 		oldest bool
 	}{{2 * ms, true}, {200 * ms, false}} {
 		cfg := config()
-		cfg.Balancers, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
+		cfg.SidecarCount, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
 		f := newFleet(t, cfg, servers(1)...)
 		var out, held []RequestID
 		var at EndpointID
@@ -1441,7 +1441,7 @@
 // remembered: then it can't have one, and is answered at once.
 func TestKeyedEndsWithItsWindow(t *testing.T) {
 	cfg := config()
-	cfg.Balancers, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
+	cfg.SidecarCount, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
 	cfg.Classes[1].RepeatWindow = 100 * ms
 	f := newFleet(t, cfg, servers(2)...)
 	r := f.request(1, 2*time.Second)
@@ -1478,7 +1478,7 @@
 		}
 	}
 	window := f.b.cfg.Classes[1].RepeatWindow
-	if got, want := f.find(Send)[0].BeginBy, sent+window-150*ms; got <= 0 || got > want {
+	if got, want := f.find(Send)[0].StartDeadline, sent+window-150*ms; got <= 0 || got > want {
 		t.Errorf("it may begin to go out until %v after the first attempt, want %v", got-sent, want-sent)
 	}
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -23,15 +23,15 @@
 				for b.Loop() {
 					f.now += ms
 					f.next++
-					f.acts = f.b.Request(f.now, Request{ID: f.next, Budget: time.Second}, f.acts[:0])
+					f.acts = f.b.RequestArrived(f.now, Request{ID: f.next, Timeout: time.Second}, f.acts[:0])
 					for i := 0; i < len(f.acts); i++ {
 						switch a := f.acts[i]; a.Kind {
 						case Probe:
-							next = f.b.Probed(f.now, a.Endpoint, OK, &Load{}, next[:0])
+							next = f.b.ProbeEnded(f.now, a.Endpoint, OK, &Load{}, next[:0])
 							f.acts = append(f.acts, next...)
 						case Send:
-							next = f.b.Ended(f.now, Outcome{Request: a.Request, Endpoint: a.Endpoint, Result: OK,
-								Closed: true, Elapsed: 50 * ms}, next[:0])
+							next = f.b.AttemptEnded(f.now, Outcome{Request: a.Request, Endpoint: a.Endpoint, Result: OK,
+								RequestFinished: true, Elapsed: 50 * ms}, next[:0])
 							f.acts = append(f.acts, next...)
 						}
 					}
@@ -69,15 +69,15 @@
 	r, e := f.dispatch(0)
 	f.ended(r, 0, e, OK, ms)
 	for name, event := range map[string]func() []Action{
-		"outcome twice":   func() []Action { return f.b.Ended(f.now, Outcome{Request: r, Endpoint: e}, nil) },
-		"unknown attempt": func() []Action { return f.b.Ended(f.now, Outcome{Request: r, Attempt: 7}, nil) },
-		"negative":        func() []Action { return f.b.Ended(f.now, Outcome{Request: r, Attempt: -1}, nil) },
-		"late head":       func() []Action { return f.b.Head(f.now, r, 0, nil) },
-		"late abandon":    func() []Action { return f.b.Abandoned(f.now, r, nil) },
-		"unasked probe":   func() []Action { return f.b.Probed(f.now, 99, OK, &Load{}, nil) },
-		"unknown timer":   func() []Action { return f.b.Fired(f.now, Timer{Kind: 77, Ref: 5}, nil) },
-		"late timer":      func() []Action { return f.b.Fired(f.now, Timer{timerRequest, uint64(r)}, nil) },
-		"unknown class":   func() []Action { return f.b.Request(f.now, Request{ID: 1 << 50, Class: 9}, nil) },
+		"outcome twice":   func() []Action { return f.b.AttemptEnded(f.now, Outcome{Request: r, Endpoint: e}, nil) },
+		"unknown attempt": func() []Action { return f.b.AttemptEnded(f.now, Outcome{Request: r, Attempt: 7}, nil) },
+		"negative":        func() []Action { return f.b.AttemptEnded(f.now, Outcome{Request: r, Attempt: -1}, nil) },
+		"late head":       func() []Action { return f.b.ResponseStarted(f.now, r, 0, nil) },
+		"late abandon":    func() []Action { return f.b.RequestAbandoned(f.now, r, nil) },
+		"unasked probe":   func() []Action { return f.b.ProbeEnded(f.now, 99, OK, &Load{}, nil) },
+		"unknown timer":   func() []Action { return f.b.TimerFired(f.now, Timer{Kind: 77, Ref: 5}, nil) },
+		"late timer":      func() []Action { return f.b.TimerFired(f.now, Timer{timerRequest, uint64(r)}, nil) },
+		"unknown class":   func() []Action { return f.b.RequestArrived(f.now, Request{ID: 1 << 50, Class: 9}, nil) },
 	} {
 		if acts := event(); len(acts) != 0 {
 			t.Errorf("%s: actions %+v, want none", name, acts)
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -11,13 +11,13 @@
 // carries out actions; here it prints those that leave it.
 func Example() {
 	b, err := balance.New(balance.Config{
-		Balancers: 1,
+		SidecarCount: 1,
 		Classes: []balance.Class{{
-			Name: "read", Goal: 800 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1,
+			Name: "read", TargetLatency: 800 * time.Millisecond, Deadline: 2 * time.Second, Value: 1,
 		}},
-		Reporting: balance.ReportsProbe,
-		Limits:    balance.Limits{Probes: true, Cancel: true},
-		Step:      time.Millisecond,
+		Reporting:       balance.ReportsInProbe,
+		Limits:          balance.Limits{Probes: true, Cancel: true},
+		ClockResolution: time.Millisecond,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -35,24 +35,24 @@
 		}
 	}
 	list := []balance.Endpoint{{ID: 1, Weight: 1}}
-	show(b.Endpoints(now, balance.ListRemember, list, nil))
-	show(b.Request(now, balance.Request{ID: 7, Budget: time.Second}, nil))
+	show(b.EndpointsUpdated(now, balance.ListLastKnown, list, nil))
+	show(b.RequestArrived(now, balance.Request{ID: 7, Timeout: time.Second}, nil))
 
 	now += time.Millisecond
-	show(b.Probed(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
+	show(b.ProbeEnded(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
 
 	// The endpoint turns the request away unread, so it may be sent again.
 	now += time.Millisecond
-	show(b.Ended(now, balance.Outcome{
+	show(b.AttemptEnded(now, balance.Outcome{
 		Request: 7, Attempt: 0, Endpoint: 1, Result: balance.Rejected, Elapsed: time.Millisecond,
 	}, nil))
 
 	now += time.Millisecond
-	show(b.Probed(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
+	show(b.ProbeEnded(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
 
 	now += time.Millisecond
-	show(b.Ended(now, balance.Outcome{
-		Request: 7, Attempt: 1, Endpoint: 1, Result: balance.OK, Closed: true, Elapsed: time.Millisecond,
+	show(b.AttemptEnded(now, balance.Outcome{
+		Request: 7, Attempt: 1, Endpoint: 1, Result: balance.OK, RequestFinished: true, Elapsed: time.Millisecond,
 	}, nil))
 	// Output:
 	// 1s probe an endpoint
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -74,25 +74,25 @@
 func newWorld(t *testing.T, src func(n int) int) *world {
 	cfg := config()
 	cfg.Classes[1].Scope = Scope(src(3))
-	cfg.Limits.SecondCopies = src(3) > 0
+	cfg.Limits.Hedging = src(3) > 0
 	cfg.Limits.Cancel = src(3) > 0
 	cfg.Limits.MaxAttempts = 1 + src(5)
-	cfg.AskDiscovery = src(2) == 0
+	cfg.MustSubscribe = src(2) == 0
 	cfg.Reporting = Reporting(src(3))
 	if src(2) == 0 {
 		cfg.Costs.Probe = 0.01
 	}
-	cfg.Weights = Weights(src(4))
+	cfg.WeightMeaning = WeightMeaning(src(4))
 	if src(2) == 0 {
-		cfg.ReleaseWithin = 500 * ms
+		cfg.MaxDrainIdleTime = 500 * ms
 	}
 	for i := range cfg.Classes {
 		if c := &cfg.Classes[i]; src(2) == 0 {
-			c.MaxAttempts, c.Retries, c.OneCopy = src(4), src(4)-1, src(2) == 0
-			c.RetryWithin = time.Duration(src(2)*src(900)) * ms
+			c.MaxAttempts, c.MaxRetries, c.NoHedging = src(4), src(4)-1, src(2) == 0
+			c.RetryStartWindow = time.Duration(src(2)*src(900)) * ms
 		}
 	}
-	cfg.AskWithin = time.Duration(1+src(10)) * time.Second
+	cfg.MaxSubscribeDelay = time.Duration(1+src(10)) * time.Second
 	w := &world{t: t, src: src, cfg: cfg, now: time.Hour, conns: make(map[EndpointID]*conn),
 		reqs: make(map[RequestID]*tracked), states: make(map[EndpointID]Endpoint)}
 	b, err := New(cfg, uint64(src(1<<16)))
@@ -100,10 +100,10 @@
 		t.Fatal(err)
 	}
 	w.b = b
-	if cfg.AskDiscovery {
-		w.askBy = w.now + cfg.AskWithin
+	if cfg.MustSubscribe {
+		w.askBy = w.now + cfg.MaxSubscribeDelay
 	}
-	w.list(ListRemember)
+	w.list(ListLastKnown)
 	return w
 }
 
@@ -115,10 +115,10 @@
 	for range w.src(12) {
 		id := 1 + w.src(15)
 		e := Endpoint{
-			ID: EndpointID(id), Zone: id % 2, Cell: id % 4, State: State(w.src(3)), Weight: float64(w.src(5)),
+			ID: EndpointID(id), Zone: id % 2, Cell: id % 4, State: EndpointState(w.src(3)), Weight: float64(w.src(5)),
 		}
 		if w.src(3) == 0 {
-			e.Started = w.now - time.Duration(w.src(20))*time.Second
+			e.StartedAt = w.now - time.Duration(w.src(20))*time.Second
 		}
 		list = append(list, e)
 		w.states[e.ID] = e
@@ -126,7 +126,7 @@
 			w.conn(e.ID)
 		}
 	}
-	w.take(w.b.Endpoints(w.now, kind, list, nil))
+	w.take(w.b.EndpointsUpdated(w.now, kind, list, nil))
 }
 
 // step plays one event.
@@ -134,11 +134,11 @@
 	switch w.src(10) {
 	case 0, 1:
 		w.nextID++
-		q := Request{ID: w.nextID, Class: w.src(len(w.cfg.Classes)), Budget: time.Duration(w.src(3000)) * ms,
-			Work: time.Duration(w.src(3)) * 50 * ms}
-		w.reqs[q.ID] = &tracked{class: q.Class, arrived: w.now, deadline: w.now + q.Budget}
+		q := Request{ID: w.nextID, Class: w.src(len(w.cfg.Classes)), Timeout: time.Duration(w.src(3000)) * ms,
+			ExpectedWork: time.Duration(w.src(3)) * 50 * ms}
+		w.reqs[q.ID] = &tracked{class: q.Class, arrived: w.now, deadline: w.now + q.Timeout}
 		w.ids = append(w.ids, q.ID)
-		w.take(w.b.Request(w.now, q, nil))
+		w.take(w.b.RequestArrived(w.now, q, nil))
 	case 2, 3, 4:
 		if len(w.out) > 0 {
 			w.end(w.src(len(w.out)), Result(w.src(8)))
@@ -154,12 +154,12 @@
 			if w.src(4) > 0 {
 				load = &Load{InFlight: float64(w.src(3))}
 			}
-			w.take(w.b.Probed(w.now, id, Result(w.src(2)*w.src(8)), load, nil))
+			w.take(w.b.ProbeEnded(w.now, id, Result(w.src(2)*w.src(8)), load, nil))
 		}
 	case 6:
-		if w.src(4) == 0 && w.cfg.AskDiscovery && w.askBy == 0 {
-			w.askBy = w.now + 4*w.cfg.AskWithin
-			w.take(w.b.Endpoints(w.now, ListRefused, nil, nil))
+		if w.src(4) == 0 && w.cfg.MustSubscribe && w.askBy == 0 {
+			w.askBy = w.now + 4*w.cfg.MaxSubscribeDelay
+			w.take(w.b.EndpointsUpdated(w.now, ListUnavailable, nil, nil))
 			break
 		}
 		w.list(ListKind(w.src(4)) % 2)
@@ -168,15 +168,15 @@
 			id := w.ids[w.src(len(w.ids))]
 			if q := w.reqs[id]; !q.closed && w.src(3) == 0 {
 				q.closed = true
-				w.take(w.b.Abandoned(w.now, id, nil))
+				w.take(w.b.RequestAbandoned(w.now, id, nil))
 			}
 		}
 	case 8: // an event about nothing that is known
-		w.take(w.b.Abandoned(w.now, RequestID(1<<40), nil))
-		w.take(w.b.Ended(w.now, Outcome{Request: RequestID(w.src(50)), Attempt: 90, Endpoint: 99}, nil))
-		w.take(w.b.Probed(w.now, 99, OK, nil, nil))
-		w.take(w.b.Fired(w.now, Timer{Kind: uint8(w.src(9)), Ref: uint64(w.src(40))}, nil))
-		w.take(w.b.Bound(w.now, 99, Class{}, nil))
+		w.take(w.b.RequestAbandoned(w.now, RequestID(1<<40), nil))
+		w.take(w.b.AttemptEnded(w.now, Outcome{Request: RequestID(w.src(50)), Attempt: 90, Endpoint: 99}, nil))
+		w.take(w.b.ProbeEnded(w.now, 99, OK, nil, nil))
+		w.take(w.b.TimerFired(w.now, Timer{Kind: uint8(w.src(9)), Ref: uint64(w.src(40))}, nil))
+		w.take(w.b.SetClassLimits(w.now, 99, Class{}, nil))
 		w.bound(w.src(len(w.cfg.Classes)))
 	case 9:
 		w.pass(time.Duration(w.src(400)) * ms)
@@ -186,8 +186,8 @@
 // bound changes a class's bounds but Retries, of which a request may have been granted one already.
 func (w *world) bound(class int) {
 	c := &w.cfg.Classes[class]
-	c.MaxAttempts, c.OneCopy, c.RetryWithin = w.src(4), w.src(2) == 0, time.Duration(w.src(2)*w.src(900))*ms
-	w.take(w.b.Bound(w.now, class, *c, nil))
+	c.MaxAttempts, c.NoHedging, c.RetryStartWindow = w.src(4), w.src(2) == 0, time.Duration(w.src(2)*w.src(900))*ms
+	w.take(w.b.SetClassLimits(w.now, class, *c, nil))
 }
 
 // pass lets time go by, ringing timers on the way.
@@ -206,7 +206,7 @@
 		r := w.timers[i]
 		w.timers = slices.Delete(w.timers, i, i+1)
 		w.now = max(w.now, r.at)
-		w.take(w.b.Fired(w.now, r.timer, nil))
+		w.take(w.b.TimerFired(w.now, r.timer, nil))
 		w.checkDeadlines()
 	}
 	w.now = until
@@ -223,8 +223,8 @@
 		w.t.Fatalf("discovery was not asked by %v", w.askBy)
 	}
 	for id, c := range w.conns {
-		if w.cfg.ReleaseWithin > 0 && w.states[id].State == Draining && c.idle && c.used == 0 &&
-			w.now-c.last > w.cfg.ReleaseWithin {
+		if w.cfg.MaxDrainIdleTime > 0 && w.states[id].State == Draining && c.idle && c.used == 0 &&
+			w.now-c.last > w.cfg.MaxDrainIdleTime {
 			w.t.Fatalf("an idle connection to %d, which drains, is open after %v", id, w.now-c.last)
 		}
 	}
@@ -242,8 +242,8 @@
 	}
 	c := w.conn(a.to)
 	c.used, c.idle = c.used-1, true
-	w.take(w.b.Ended(w.now, Outcome{Request: f.req, Attempt: f.attempt, Endpoint: a.to, Result: res,
-		Closed: q.closed, Elapsed: w.now - a.at}, nil))
+	w.take(w.b.AttemptEnded(w.now, Outcome{Request: f.req, Attempt: f.attempt, Endpoint: a.to, Result: res,
+		RequestFinished: q.closed, Elapsed: w.now - a.at}, nil))
 }
 
 // take checks actions against the rules.
@@ -286,7 +286,7 @@
 			w.conn(a.Endpoint).used++
 		case Subscribe:
 			w.askBy = 0
-		case Release:
+		case CloseIdle:
 			w.conn(a.Endpoint).idle = false
 		}
 	}
@@ -304,8 +304,8 @@
 		w.t.Fatalf("request %d: over %d attempts", a.Request, w.cfg.Limits.MaxAttempts)
 	case c.MaxAttempts > 0 && len(q.attempts) >= c.MaxAttempts:
 		w.t.Fatalf("request %d: over the %d attempts of its class", a.Request, c.MaxAttempts)
-	case len(q.attempts) > 0 && c.RetryWithin > 0 && w.now >= q.arrived+c.RetryWithin:
-		w.t.Fatalf("request %d was sent again %v after it came, over %v", a.Request, w.now-q.arrived, c.RetryWithin)
+	case len(q.attempts) > 0 && c.RetryStartWindow > 0 && w.now >= q.arrived+c.RetryStartWindow:
+		w.t.Fatalf("request %d was sent again %v after it came, over %v", a.Request, w.now-q.arrived, c.RetryStartWindow)
 	case w.now > q.deadline:
 		w.t.Fatalf("request %d was sent after its deadline", a.Request)
 	}
@@ -314,8 +314,8 @@
 		ran, out = ran || !s.provenNo, out || s.out
 	}
 	if ran && !out {
-		if q.reruns++; c.Retries < 0 || c.Retries > 0 && q.reruns > c.Retries {
-			w.t.Fatalf("request %d: retry %d after it may have run, of %d", a.Request, q.reruns, c.Retries)
+		if q.reruns++; c.MaxRetries < 0 || c.MaxRetries > 0 && q.reruns > c.MaxRetries {
+			w.t.Fatalf("request %d: retry %d after it may have run, of %d", a.Request, q.reruns, c.MaxRetries)
 		}
 	}
 	for i, s := range q.attempts {
@@ -324,7 +324,7 @@
 		}
 		here, there := int(s.to), int(e.ID)
 		switch {
-		case s.out && (!w.cfg.Limits.SecondCopies || c.OneCopy):
+		case s.out && (!w.cfg.Limits.Hedging || c.NoHedging):
 			w.t.Fatalf("request %d: a second copy, though attempt %d is out", a.Request, i)
 		case c.Semantics == Unsafe:
 			w.t.Fatalf("unsafe request %d was sent again", a.Request)
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -46,13 +46,13 @@
 		for i := range batch.Events {
 			e := &batch.Events[i]
 			switch e.Kind {
-			case wire.NewInstance:
+			case wire.InstanceCreated:
 				instances[e.Instance], err = start(e)
 				if err != nil {
 					reply = wire.AppendPanic(reply, e.Instance, err.Error())
 				}
 				continue
-			case wire.PowerOff:
+			case wire.InstanceStopped:
 				delete(instances, e.Instance)
 				continue
 			}
@@ -76,7 +76,7 @@
 				reply = wire.AppendAction(reply, e.Instance, &actions[j])
 			}
 		}
-		reply = wire.AppendEnd(reply, batch.Serial)
+		reply = wire.AppendEnd(reply, batch.SequenceNumber)
 		if _, err := w.Write(reply); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
@@ -87,7 +87,7 @@
 }
 
 func start(e *wire.Event) (*instance, error) {
-	cfg, fields, err := wire.Config(e.Config)
+	cfg, fields, err := wire.ParseConfig(e.ConfigJSON)
 	if err != nil {
 		return &instance{}, err
 	}
@@ -106,27 +106,27 @@
 	}()
 	b, now := in.balancer, batch.Now
 	switch e.Kind {
-	case wire.Endpoints:
-		return b.Endpoints(now, e.List, e.Entries, acts), nil
-	case wire.Query:
-		return b.Request(now, e.Request, acts), nil
-	case wire.Head:
-		return b.Head(now, e.Request.ID, e.Outcome.Attempt, acts), nil
-	case wire.Reply:
+	case wire.EndpointsUpdated:
+		return b.EndpointsUpdated(now, e.ListKind, e.Endpoints, acts), nil
+	case wire.RequestArrived:
+		return b.RequestArrived(now, e.Request, acts), nil
+	case wire.ResponseStarted:
+		return b.ResponseStarted(now, e.Request.ID, e.Outcome.Attempt, acts), nil
+	case wire.AttemptEnded:
 		if e.Outcome.Load, err = e.Load(in.fields); err != nil {
 			return acts, err
 		}
-		return b.Ended(now, e.Outcome, acts), nil
-	case wire.Aborted:
-		return b.Abandoned(now, e.Request.ID, acts), nil
-	case wire.Ring:
-		return b.Fired(now, e.Timer, acts), nil
-	case wire.ProbeResult:
+		return b.AttemptEnded(now, e.Outcome, acts), nil
+	case wire.RequestAbandoned:
+		return b.RequestAbandoned(now, e.Request.ID, acts), nil
+	case wire.TimerFired:
+		return b.TimerFired(now, e.Timer, acts), nil
+	case wire.ProbeEnded:
 		load, err := e.Load(in.fields)
 		if err != nil {
 			return acts, err
 		}
-		return b.Probed(now, e.Outcome.Endpoint, e.Outcome.Result, load, acts), nil
+		return b.ProbeEnded(now, e.Outcome.Endpoint, e.Outcome.Result, load, acts), nil
 	}
 	return acts, nil // a peer's message: the balancer has no use for it
 }
--- a/cmd/barleydrum/main.go
+++ b/cmd/barleydrum/main.go
@@ -88,7 +88,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores)))
-	debug.SetMemoryLimit(int64(float64(cfg.Limits.MemoryMB<<20) * cfg.Settings.Limits.Heap))
+	debug.SetMemoryLimit(int64(float64(cfg.Limits.MemoryMB<<20) * cfg.Settings.Limits.HeapShare))
 	slog.SetDefault(slog.With("name", cfg.Name))
 
 	decider, err := engine.New(cfg)
@@ -96,7 +96,7 @@
 		return err
 	}
 	var listeners []net.Listener
-	for _, addr := range append([]string{cfg.Listen}, cfg.Settings.Callers.AlsoListen...) {
+	for _, addr := range append([]string{cfg.ListenAddress}, cfg.Settings.Callers.ExtraListenAddresses...) {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			return fmt.Errorf("listen: %w", err)
@@ -111,7 +111,7 @@
 	for _, l := range listeners {
 		go func() { served <- server.Serve(l) }()
 	}
-	discovery := sidecar.NewDiscovery(cfg, decider)
+	discovery := sidecar.NewDiscoveryClient(cfg, decider)
 	go discovery.Run(context.Background()) // also while the last requests are answered
 	go func() {
 		running := running{source: source, started: cfg, settings: cfg.Settings}
--- a/cmd/barleydrum/main_test.go
+++ b/cmd/barleydrum/main_test.go
@@ -106,7 +106,7 @@
 	}
 	asked := func(d *fake.Discovery, which string) {
 		t.Helper()
-		until(t, log, "asked "+which, func() bool { return d.Calls() > 0 })
+		until(t, log, "asked "+which, func() bool { return d.RequestCount() > 0 })
 	}
 	asked(first, "the first")
 	replace("{")
--- a/cmd/barleydrum/settings.go
+++ b/cmd/barleydrum/settings.go
@@ -36,23 +36,23 @@
 		// The platform's word stands: the module guards the rules by itself, whatever it is told.
 		cfg, findings := check.Sidecar(p, s.getenv("PROXY_CONFIG"), nil, "")
 		for _, f := range findings {
-			if f.Level == config.Refused {
+			if f.Level == config.LevelRefused {
 				slog.Error("configuration", "finding", f.String())
 			}
 		}
 		if cfg == nil {
-			cfg = config.Merge(p, config.Default())
+			cfg = config.Merge(p, config.DefaultSettings())
 		}
 		return cfg, nil
 	}
 	file, findings := config.LoadSettings(s.settings)
 	var cfg *config.Config
-	if !config.Failed(findings) {
+	if !config.HasRefusal(findings) {
 		cfg, findings = check.Sidecar(p, s.getenv("PROXY_CONFIG"), file, s.settings)
 	}
 	var refused []string
 	for _, f := range findings {
-		if f.Level == config.Refused {
+		if f.Level == config.LevelRefused {
 			refused = append(refused, f.String())
 		} else {
 			slog.Warn("configuration", "finding", f.String())
@@ -73,29 +73,29 @@
 
 // reload follows the discovery that the configuration names now, and has those settings take
 // effect that need no restart. If any of it can't be used, all stays as it is.
-func (r *running) reload(e *engine.Engine, d *sidecar.Discovery) {
+func (r *running) reload(e *engine.Engine, d *sidecar.DiscoveryClient) {
 	cfg, err := r.source.again()
 	if err != nil {
 		slog.Error("reload: keeping the configuration at hand", "err", err)
 		return
 	}
-	d.Move(cfg.Discovery)
+	d.SetAddress(cfg.DiscoveryAddress)
 	if r.source.settings == "" {
 		return
 	}
 	var live []string
 	for _, c := range config.Diff(r.settings.Values(), cfg.Settings.Values()) {
-		if c.Live {
+		if c.Reloadable {
 			live = append(live, c.String())
 		}
 	}
 	var restart []string
 	for _, c := range config.Diff(r.started.Settings.Values(), cfg.Settings.Values()) {
-		if !c.Live {
+		if !c.Reloadable {
 			restart = append(restart, c.String())
 		}
 	}
-	e.Apply(cfg.Settings)
+	e.ApplySettings(cfg.Settings)
 	r.settings = cfg.Settings
 	slog.Info("reload: settings", "changed", fmt.Sprint(len(live)), "live", live)
 	if len(restart) > 0 {
--- a/cmd/barleydrum/settings_test.go
+++ b/cmd/barleydrum/settings_test.go
@@ -38,7 +38,7 @@
 // service is a node and the discovery that lists it.
 func service(t *testing.T) *fake.Discovery {
 	t.Helper()
-	node, err := fake.NewNode(fake.NodeConfig{ID: "s-1", Zone: "a", Addr: "127.0.0.1:0", Slots: 64})
+	node, err := fake.NewNode(fake.NodeConfig{ID: "s-1", Zone: "a", Addr: "127.0.0.1:0", Concurrency: 64})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { d.Close() })
-	d.Change(node.Entry("up"))
+	d.Update(node.DiscoveryEntry("up"))
 	return d
 }
 
@@ -124,9 +124,9 @@
 	return fmt.Sprintf("schema = 1\n[application]\nname = \"test\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s%s", listen, discovery, more, class)
 }
 
-func order(caller *fake.Caller, body string) fake.Order {
+func order(caller *fake.Caller, body string) fake.CallerRequest {
 	id := caller.NextID()
-	return fake.Order{ID: id, Class: "place-order", Key: id, Body: body, Timeout: patience}
+	return fake.CallerRequest{ID: id, Class: "place-order", IdempotencyKey: id, Body: body, Timeout: patience}
 }
 
 // The operators' file alone is enough to run with, on all the addresses that it names.
@@ -141,8 +141,8 @@
 	caller := fake.NewCaller(1)
 	defer caller.Close()
 	for _, addr := range []string{first, second} {
-		if v := caller.Do(context.Background(), addr, order(caller, "x"), patience); v != fake.Served {
-			_, _, why := caller.Counts()
+		if v := caller.Do(context.Background(), addr, order(caller, "x"), patience); v != fake.OutcomeServed {
+			_, _, why := caller.Results()
 			t.Errorf("%s: %v %v: %s", addr, v, why, log)
 		}
 	}
@@ -192,8 +192,8 @@
 		}()
 	}
 	served := func() int {
-		c, _, _ := caller.Counts()
-		return c[fake.Served]
+		c, _, _ := caller.Results()
+		return c[fake.OutcomeServed]
 	}
 	const kept = "keeping the configuration at hand"
 	for round := range 3 {
@@ -212,7 +212,7 @@
 	}
 	close(stop)
 	callers.Wait()
-	if c, _, why := caller.Counts(); c[fake.Lost]+c[fake.Failed]+c[fake.Refused] > 0 {
+	if c, _, why := caller.Results(); c[fake.OutcomeNoResponse]+c[fake.OutcomeFailed]+c[fake.OutcomeRefused] > 0 {
 		t.Errorf("%v %v", c, why)
 	}
 	for _, want := range []string{"callers.max_body", "take effect at a restart", "callers.idle_time", "unsafe-retried", "out-of-range", "no such file"} {
@@ -223,7 +223,7 @@
 	// What was taken last is in effect.
 	replace("[callers]\nmax_body = \"1KiB\"\n")
 	hangup("reload: settings")
-	if v := caller.Do(context.Background(), addr, order(caller, strings.Repeat("x", 2000)), patience); v != fake.Failed {
+	if v := caller.Do(context.Background(), addr, order(caller, strings.Repeat("x", 2000)), patience); v != fake.OutcomeFailed {
 		t.Errorf("a long body: %v, want it turned away", v)
 	}
 	end(t, cmd, log)
@@ -285,7 +285,7 @@
 		}
 		cfg, findings := check.Sidecar(nil, "", s, "f")
 		if cfg == nil {
-			if !config.Failed(findings) {
+			if !config.HasRefusal(findings) {
 				t.Error("refused without a word")
 			}
 			return
@@ -302,7 +302,7 @@
 			t.Fatal(err)
 		}
 		server.Close()
-		sidecar.NewDiscovery(cfg, e)
-		e.Apply(s)
+		sidecar.NewDiscoveryClient(cfg, e)
+		e.ApplySettings(s)
 	})
 }
--- a/cmd/barleydrum/soak_test.go
+++ b/cmd/barleydrum/soak_test.go
@@ -488,7 +488,7 @@
 		s := newSoakServer(t, fmt.Sprint("s-", i), rec, random(uint64(1000+i)))
 		servers = append(servers, discovery.Instance{ID: s.name, HostPort: s.l.Addr().String(), Zone: "a", Lifecycle: "up"})
 	}
-	d.Change(servers...)
+	d.Update(servers...)
 	addr := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	rec.crowd = seed%crowdEvery == 0
@@ -517,7 +517,7 @@
 	draining := servers[plan.IntN(len(servers))]
 	draining.Lifecycle = "draining"
 	time.Sleep(soakLength / 4)
-	d.Change(draining)
+	d.Update(draining)
 	rec.mu.Lock()
 	rec.drained[draining.ID] = time.Now()
 	rec.mu.Unlock()
--- a/cmd/drumctl/config.go
+++ b/cmd/drumctl/config.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		seen[name] = true
-		text, err := config.ReadFile(name, config.MaxPlatform)
+		text, err := config.ReadFile(name, config.MaxPlatformBytes)
 		out = append(out, check.File{Name: name, Text: text, Err: err})
 	}
 	return out
@@ -45,7 +45,7 @@
 		v.Findings = []config.Finding{}
 	}
 	for _, f := range findings {
-		if f.Level == config.Refused {
+		if f.Level == config.LevelRefused {
 			v.Refused++
 		} else {
 			v.Warnings++
@@ -101,7 +101,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			files := read(args)
 			all, findings := check.Explain(files)
-			if config.Failed(findings) {
+			if config.HasRefusal(findings) {
 				return say(c.OutOrStdout(), as, len(files), findings)
 			}
 			if as == "json" {
@@ -160,7 +160,7 @@
 			} else {
 				for _, change := range changes {
 					when := "at a restart"
-					if change.Live {
+					if change.Reloadable {
 						when = "at SIGHUP"
 					}
 					fmt.Fprintf(c.OutOrStdout(), "%s (%s)\n", change, when)
@@ -179,13 +179,13 @@
 
 func valuesOf(f check.File) ([]config.Value, []config.Finding) {
 	if f.Err == nil && check.IsPlatform(f.Text) {
-		p, bad := check.Platform(f)
+		p, bad := check.ParsePlatform(f)
 		if len(bad) > 0 {
 			return nil, bad
 		}
 		return p.Values(), nil
 	}
-	s, bad := check.Settings(f)
+	s, bad := check.ParseSettings(f)
 	if len(bad) > 0 {
 		return nil, bad
 	}
@@ -243,16 +243,18 @@
 // It returns the general part, and the parts of the classes with what they lacked.
 func suited(s *config.Settings, classes, parts []string) (general string, out []string) {
 	connect, probe := usualConnect, usualProbe
-	left := func(k *config.Class) time.Duration { return k.Wanted - 2*min(s.Callers.AnswerMargin, k.Wanted/10) }
-	for _, k := range s.Class {
-		if k.Wanted == 0 {
+	left := func(k *config.Class) time.Duration {
+		return k.TargetLatency - 2*min(s.Callers.ResponseMargin, k.TargetLatency/10)
+	}
+	for _, k := range s.Classes {
+		if k.TargetLatency == 0 {
 			continue // for check to refuse, or the platform's
 		}
 		fits := max(left(k)/usualAttempts, min(leastConnect, left(k)/2))
-		if k.Attempts > 0 {
-			fits = left(k) / time.Duration(k.Attempts)
+		if k.MaxAttempts > 0 {
+			fits = left(k) / time.Duration(k.MaxAttempts)
 		}
-		connect, probe = min(connect, fits), min(probe, k.Wanted/2)
+		connect, probe = min(connect, fits), min(probe, k.TargetLatency/2)
 	}
 	connect = max(connect.Truncate(time.Millisecond), time.Millisecond)
 	probe = max(probe.Truncate(time.Millisecond), connect)
@@ -264,12 +266,12 @@
 	}
 	for i, part := range parts {
 		name, _, _ := strings.Cut(classes[i], ",")
-		k := s.Class[name]
-		if k != nil && k.Wanted > 0 {
-			if n := max(left(k)/connect, 1); k.Attempts == 0 && n < usualAttempts {
+		k := s.Classes[name]
+		if k != nil && k.TargetLatency > 0 {
+			if n := max(left(k)/connect, 1); k.MaxAttempts == 0 && n < usualAttempts {
 				part += fmt.Sprintf("attempts = %d\n", n)
 			}
-			if last := k.RepeatWindow * 9 / 10; k.RetryWithin == 0 && last > 0 && last < k.Wanted {
+			if last := k.RepeatWindow * 9 / 10; k.RetryWithin == 0 && last > 0 && last < k.TargetLatency {
 				part += fmt.Sprintf("retry_within = %q\n", last.Truncate(time.Millisecond))
 			}
 		}
--- a/cmd/drumctl/docs_test.go
+++ b/cmd/drumctl/docs_test.go
@@ -61,7 +61,7 @@
 				case "bin/barleydrum":
 					ran++
 					f := read(args[2:3])[0]
-					s, bad := check.Settings(f)
+					s, bad := check.ParseSettings(f)
 					if len(bad) == 0 {
 						_, bad = check.Sidecar(nil, "", s, f.Name)
 					}
--- a/cmd/drumctl/main_test.go
+++ b/cmd/drumctl/main_test.go
@@ -69,8 +69,8 @@
 	if err := json.Unmarshal([]byte(out), &all2); err != nil || len(all2) != 1 || len(all2[0].Classes) != 1 {
 		t.Fatalf("%v: %s", err, out)
 	}
-	if k := all2[0].Classes[0]; k.Attempts != 4 || k.Retries != 1 || k.Scope != "zone" || !k.SecondCopies || !strings.Contains(k.Where, "endpoints of its zone") ||
-		k.LastBegin.Milliseconds() != 1200 {
+	if k := all2[0].Classes[0]; k.MaxAttempts != 4 || k.MaxRetries != 1 || k.Scope != "zone" || !k.Hedging || !strings.Contains(k.EligibleEndpoints, "endpoints of its zone") ||
+		k.LatestAttemptStart.Milliseconds() != 1200 {
 		t.Errorf("%+v", k)
 	}
 }
--- a/cmd/drumctl/write.go
+++ b/cmd/drumctl/write.go
@@ -32,7 +32,7 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var b strings.Builder
-			fmt.Fprintf(&b, "schema = %d\n[application]\nname = %q\n", config.Schema, args[0])
+			fmt.Fprintf(&b, "schema = %d\n[application]\nname = %q\n", config.SchemaVersion, args[0])
 			if tier == "" {
 				tier = args[0]
 			}
@@ -87,17 +87,17 @@
 			if len(findings) == 0 {
 				findings = check.Deployment([]check.File{{Text: []byte(b.String())}})
 			}
-			if config.Failed(findings) {
+			if config.HasRefusal(findings) {
 				for i := range findings { // lines of a text that nobody has seen
 					findings[i].Position = config.Position{}
 				}
 				return say(c.ErrOrStderr(), "text", 1, findings)
 			}
 			if file == "" {
-				_, err := c.OutOrStdout().Write(config.Write(s))
+				_, err := c.OutOrStdout().Write(config.FormatSettings(s))
 				return err
 			}
-			return write(file, config.Write(s), force)
+			return write(file, config.FormatSettings(s), force)
 		},
 	}
 	f := c.Flags()
@@ -137,7 +137,7 @@
 			return "", fmt.Errorf("--set %q: not PART.KEY=VALUE with a part of %s", text, strings.Join(settable, ", "))
 		}
 		keys := config.Keys()
-		i := slices.IndexFunc(keys, func(k config.Key) bool { return k.Path == path && !k.IsPart })
+		i := slices.IndexFunc(keys, func(k config.Key) bool { return k.Path == path && !k.IsTable })
 		if i < 0 {
 			return "", fmt.Errorf("--set %q: there is no key %s; see drumctl config reference", text, path)
 		}
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -15,30 +15,30 @@
 )
 
 func main() {
-	if ran, err := lab.Rival(os.Args[1:]); ran { // the lab starts itself as the other sides of -compare
+	if ran, err := lab.RunReferenceProxy(os.Args[1:]); ran { // the lab starts itself as the other sides of -compare
 		exit(err)
 		return
 	}
 	var cfg lab.Config
-	var how lab.Compared
+	var how lab.CompareOptions
 	compare := flag.Bool("compare", false, "measure the program beside httputil.ReverseProxy, a fasthttp proxy and no proxy")
 	streams := flag.Bool("streams", false, "measure the program beside httputil.ReverseProxy with long bodies: -callers of them at once")
 	slow := flag.Int("slow", 3, "with -streams: every so manieth `caller` is slow, 0 for none")
 	rate := flag.Int64("rate-slow", 1<<20, "with -streams: `bytes` a second of a slow caller, either way")
 	flag.IntVar(&how.Callers, "callers", 32, "with -compare: `callers`, each on a connection")
 	flag.IntVar(&how.Nodes, "nodes", 20, "with -compare: `nodes`, which answer at once")
-	flag.IntVar(&how.Body, "body", 200, "with -compare: `bytes` of a request's body")
-	flag.IntVar(&how.Answer, "answer", 200, "with -compare: `bytes` of an answer's body")
-	flag.DurationVar(&how.Think, "think", 0, "with -compare: a caller's `time` between an answer and its next request")
+	flag.IntVar(&how.RequestBodyBytes, "body", 200, "with -compare: `bytes` of a request's body")
+	flag.IntVar(&how.ResponseBodyBytes, "answer", 200, "with -compare: `bytes` of an answer's body")
+	flag.DurationVar(&how.ThinkTime, "think", 0, "with -compare: a caller's `time` between an answer and its next request")
 	flag.IntVar(&how.Rounds, "rounds", 3, "with -compare: `rounds` of each side")
-	flag.IntVar(&how.Open, "open", 1000, "with -compare: idle callers and open `calls` at which memory is measured, 0 for none")
+	flag.IntVar(&how.OpenConnections, "open", 1000, "with -compare: idle callers and open `calls` at which memory is measured, 0 for none")
 	flag.StringVar(&cfg.Dir, "dir", "", "`folder` for the files; one is made if it is left out")
 	flag.StringVar(&cfg.Program, "program", "", "the `program` to run; it is built if this is left out")
-	flag.Float64Var(&cfg.Rate, "rate", 20, "orders a second, 1 to 200")
-	flag.DurationVar(&cfg.Length, "length", 12*time.Second, "how long to send, 2s to 10m")
+	flag.Float64Var(&cfg.RequestsPerSecond, "rate", 20, "orders a second, 1 to 200")
+	flag.DurationVar(&cfg.Duration, "length", 12*time.Second, "how long to send, 2s to 10m")
 	flag.Parse()
-	if flag.NArg() > 0 || !(cfg.Rate >= 1 && cfg.Rate <= 200) || cfg.Length < 2*time.Second || cfg.Length > 10*time.Minute {
-		fmt.Fprintf(os.Stderr, "lab: -rate %g: 1 to 200; -length %v: 2s to 10m; no further arguments\n", cfg.Rate, cfg.Length)
+	if flag.NArg() > 0 || !(cfg.RequestsPerSecond >= 1 && cfg.RequestsPerSecond <= 200) || cfg.Duration < 2*time.Second || cfg.Duration > 10*time.Minute {
+		fmt.Fprintf(os.Stderr, "lab: -rate %g: 1 to 200; -length %v: 2s to 10m; no further arguments\n", cfg.RequestsPerSecond, cfg.Duration)
 		flag.Usage()
 		os.Exit(2)
 	}
@@ -55,8 +55,8 @@
 		return
 	}
 	if *streams {
-		exit(lab.Streams(ctx, cfg, lab.Streamed{
-			Streams: how.Callers, Nodes: how.Nodes, Body: int64(how.Body), Answer: int64(how.Answer), Slow: *slow, Rate: *rate,
+		exit(lab.CompareStreams(ctx, cfg, lab.StreamOptions{
+			ConcurrentStreams: how.Callers, Nodes: how.Nodes, RequestBodyBytes: int64(how.RequestBodyBytes), ResponseBodyBytes: int64(how.ResponseBodyBytes), SlowEvery: *slow, SlowBytesPerSecond: *rate,
 		}))
 		return
 	}
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -10,9 +10,9 @@
 
 // Why a body can't be read or written.
 var (
-	ErrNotKept = errors.New("body: its begin is not kept any more")
-	ErrStopped = errors.New("body: its reader was stopped")
-	ErrClosed  = errors.New("body: nobody wants it any more")
+	ErrDiscarded = errors.New("body: its begin is not kept any more")
+	ErrStopped   = errors.New("body: its reader was stopped")
+	ErrClosed    = errors.New("body: nobody wants it any more")
 )
 
 // State says what a further attempt would find of a body.
@@ -20,9 +20,9 @@
 
 // The states of a body.
 const (
-	Arriving State = iota // kept so far, and not whole
-	Kept                  // whole
-	Gone                  // not to be had from its begin any more
+	Receiving   State = iota // kept so far, and not whole
+	Retained                 // whole
+	Unavailable              // not to be had from its begin any more
 )
 
 // Body is the body of one request. One goroutine writes it, any number read it.
@@ -31,25 +31,25 @@
 	l     Limits
 	lost  func()
 
-	mu       sync.Mutex
-	changed  sync.Cond
-	end      int64 // bytes that have been written
-	whole    bool
-	err      error // why it broke off
-	unread   error // why its file can't be read
-	told     bool  // lost was called for that
-	closed   bool
-	wanted   bool // it has had a reader
-	readers  []*Reader
-	trailers []byte
+	mu        sync.Mutex
+	changed   sync.Cond
+	end       int64 // bytes that have been written
+	whole     bool
+	err       error // why it broke off
+	unread    error // why its file can't be read
+	told      bool  // lost was called for that
+	closed    bool
+	hadReader bool // it has had a reader
+	readers   []*Reader
+	trailers  []byte
 
 	// What is held: memory from 0 on, and behind that the file. Once it is not kept there is no file.
-	kept    bool
-	forgone bool // it was not kept because nobody wants it again
-	memory  run
-	taken   int64 // of Store.held.Memory
-	file    File
-	filed   int64
+	retained         bool
+	retentionStopped bool // it was not kept because nobody wants it again
+	memory           run
+	taken            int64 // of Store.held.Memory
+	file             File
+	filed            int64
 
 	// What has come last, where it is in a file or not kept: the reader that is ahead has it from here.
 	recent run
@@ -59,7 +59,7 @@
 // run is a stretch of a body in memory.
 type run struct {
 	first  int64 // where it begins
-	blocks []*[Block]byte
+	blocks []*[BlockSize]byte
 }
 
 // tail is what is free behind the stretch, which ends at end.
@@ -67,42 +67,42 @@
 	if len(r.blocks) == 0 {
 		return nil
 	}
-	return r.blocks[len(r.blocks)-1][Block-(r.end()-end):]
+	return r.blocks[len(r.blocks)-1][BlockSize-(r.end()-end):]
 }
 
 // end is where the last block ends.
-func (r *run) end() int64 { return r.first + int64(len(r.blocks))*Block }
+func (r *run) end() int64 { return r.first + int64(len(r.blocks))*BlockSize }
 
 // at is what of one block begins at an offset, which is inside of the stretch. It ends at end.
 func (r *run) at(from, end int64) []byte {
 	i := from - r.first
-	return r.blocks[i/Block][i%Block : min(Block, i%Block+end-from)]
+	return r.blocks[i/BlockSize][i%BlockSize : min(BlockSize, i%BlockSize+end-from)]
 }
 
 // New opens a body. lost is called, with nothing locked, as soon as a body that was kept is
 // found to be kept no longer. Close is owed.
 func (s *Store) New(l Limits, lost func()) *Body {
-	b := &Body{store: s, l: l, lost: lost, kept: true}
+	b := &Body{store: s, l: l, lost: lost, retained: true}
 	b.changed.L = &b.mu
-	s.note(func(h *Stats) { h.Bodies++ })
+	s.note(func(h *Stats) { h.OpenBodies++ })
 	return b
 }
 
-// Room waits until the body may grow and returns space for up to most bytes, of which Wrote
+// Reserve waits until the body may grow and returns space for up to most bytes, of which Wrote
 // tells how many are used. It fails once nobody wants the body any more.
-func (b *Body) Room(most int) ([]byte, error) {
+func (b *Body) Reserve(most int) ([]byte, error) {
 	b.mu.Lock()
-	for !b.closed && b.end-b.ahead() >= int64(b.l.Window) {
+	for !b.closed && b.end-b.ahead() >= int64(b.l.WindowBytes) {
 		b.changed.Wait()
 	}
 	if b.closed {
 		b.mu.Unlock()
 		return nil, ErrClosed
 	}
-	was := b.kept
+	was := b.retained
 	room := b.space()
-	lost := was && !b.kept && !b.forgone
-	room = room[:min(most, int(int64(b.l.Window)-(b.end-b.ahead())), len(room))]
+	lost := was && !b.retained && !b.retentionStopped
+	room = room[:min(most, int(int64(b.l.WindowBytes)-(b.end-b.ahead())), len(room))]
 	b.room = room
 	b.mu.Unlock()
 	if lost && b.lost != nil {
@@ -113,32 +113,32 @@
 
 // space finds where the next bytes go. A body that finds none is kept no longer.
 func (b *Body) space() []byte {
-	if b.kept && b.forgone {
+	if b.retained && b.retentionStopped {
 		b.lose()
 	}
-	if b.kept && b.file == nil {
+	if b.retained && b.file == nil {
 		if tail := b.memory.tail(b.end); len(tail) > 0 {
 			return tail
 		}
-		held := int64(len(b.memory.blocks)) * Block
+		held := int64(len(b.memory.blocks)) * BlockSize
 		switch {
-		case held < int64(b.l.Window):
+		case held < int64(b.l.WindowBytes):
 			return b.grow(&b.memory)
-		case held+Block <= b.l.Memory && b.store.take(&b.store.held.Memory, Block, b.l.MemoryAll):
-			b.taken += Block
+		case held+BlockSize <= b.l.MemoryBytes && b.store.take(&b.store.held.MemoryBytes, BlockSize, b.l.TotalMemoryBytes):
+			b.taken += BlockSize
 			return b.grow(&b.memory)
-		case b.l.File > 0:
+		case b.l.FileBytes > 0:
 			if f, err := b.store.open(); err == nil {
 				b.file = f
 				b.recent.first = b.end
-				b.store.note(func(h *Stats) { h.Files++ })
+				b.store.note(func(h *Stats) { h.OpenFiles++ })
 			} else {
-				b.store.note(func(h *Stats) { h.Failed++ })
+				b.store.note(func(h *Stats) { h.FileErrors++ })
 			}
 		}
 	}
-	left := b.l.File - b.filed
-	if b.kept && (b.file == nil || left <= 0) {
+	left := b.l.FileBytes - b.filed
+	if b.retained && (b.file == nil || left <= 0) {
 		b.lose()
 	}
 	if r := &b.recent; len(r.blocks) > 0 && len(b.readers) == 1 && b.readers[0].off == b.end {
@@ -160,8 +160,8 @@
 	return k[:]
 }
 
-// Wrote adds the first n bytes of what Room returned to the body.
-func (b *Body) Wrote(n int) error {
+// Commit adds the first n bytes of what Room returned to the body.
+func (b *Body) Commit(n int) error {
 	b.mu.Lock()
 	if b.closed {
 		b.mu.Unlock()
@@ -187,12 +187,12 @@
 func (b *Body) spill(p []byte) (lost bool) {
 	from := b.end
 	b.end += int64(len(p))
-	if b.store.take(&b.store.held.Filed, int64(len(p)), b.l.FilesAll) {
+	if b.store.take(&b.store.held.FileBytes, int64(len(p)), b.l.TotalFileBytes) {
 		b.filed += int64(len(p))
 		if n, err := b.file.WriteAt(p, from-b.memory.end()); err == nil && n == len(p) {
 			return false
 		}
-		b.store.note(func(h *Stats) { h.Failed++ })
+		b.store.note(func(h *Stats) { h.FileErrors++ })
 	}
 	b.lose()
 	return true
@@ -205,9 +205,9 @@
 		b.recent, b.memory = b.memory, run{}
 		b.pass(len(b.readers) == 1)
 	}
-	b.kept = false
-	if !b.forgone {
-		b.store.note(func(h *Stats) { h.Lost++ })
+	b.retained = false
+	if !b.retentionStopped {
+		b.store.note(func(h *Stats) { h.DiscardedBodies++ })
 	}
 	b.memory.blocks = nil // not to the pool: a reader may be looking at one
 	b.drop()
@@ -215,12 +215,12 @@
 
 // pass drops what of the last bytes the reader that is ahead has passed.
 func (b *Body) pass(again bool) {
-	for len(b.recent.blocks) > 0 && b.ahead()-b.recent.first >= Block {
+	for len(b.recent.blocks) > 0 && b.ahead()-b.recent.first >= BlockSize {
 		if again {
 			b.store.blocks.Put(b.recent.blocks[0])
 		}
 		b.recent.blocks = slices.Delete(b.recent.blocks, 0, 1)
-		b.recent.first += Block
+		b.recent.first += BlockSize
 	}
 }
 
@@ -229,10 +229,10 @@
 	file, taken, filed := b.file, b.taken, b.filed
 	b.file, b.taken, b.filed = nil, 0, 0
 	b.store.note(func(h *Stats) {
-		h.Memory -= taken
-		h.Filed -= filed
+		h.MemoryBytes -= taken
+		h.FileBytes -= filed
 		if file != nil {
-			h.Files--
+			h.OpenFiles--
 		}
 	})
 	if file != nil {
@@ -249,37 +249,37 @@
 	return most
 }
 
-// Finish ends the body, which is whole, with the trailers that came behind it, whole lines.
-func (b *Body) Finish(trailers []byte) {
+// Complete ends the body, which is whole, with the trailers that came behind it, whole lines.
+func (b *Body) Complete(trailers []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.whole, b.trailers = true, trailers
 	b.changed.Broadcast()
 }
 
-// Break ends the body, which is not whole. Its readers are told why.
-func (b *Body) Break(err error) {
+// Fail ends the body, which is not whole. Its readers are told why.
+func (b *Body) Fail(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.breakOff(err)
+	b.fail(err)
 }
 
-func (b *Body) breakOff(err error) {
+func (b *Body) fail(err error) {
 	if b.err == nil && !b.whole {
 		b.err = err
 	}
 	b.changed.Broadcast()
 }
 
-// Forgo tells that nobody will want the body from its begin again.
-func (b *Body) Forgo() {
+// StopRetaining tells that nobody will want the body from its begin again.
+func (b *Body) StopRetaining() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.closed || !b.kept {
+	if b.closed || !b.retained {
 		return
 	}
-	b.forgone = true
-	if b.room == nil && b.end-b.ahead() <= int64(b.l.Window) { // else as the next bytes come, or at the end
+	b.retentionStopped = true
+	if b.room == nil && b.end-b.ahead() <= int64(b.l.WindowBytes) { // else as the next bytes come, or at the end
 		b.lose()
 		b.changed.Broadcast()
 	}
@@ -292,9 +292,9 @@
 	if b.closed {
 		return
 	}
-	b.closed, b.kept, b.memory.blocks, b.recent.blocks = true, false, nil, nil
+	b.closed, b.retained, b.memory.blocks, b.recent.blocks = true, false, nil, nil
 	b.drop()
-	b.store.note(func(h *Stats) { h.Bodies-- })
+	b.store.note(func(h *Stats) { h.OpenBodies-- })
 	b.changed.Broadcast()
 }
 
@@ -303,22 +303,22 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case !b.kept || b.err != nil:
-		return Gone
+	case !b.retained || b.err != nil:
+		return Unavailable
 	case b.whole:
-		return Kept
+		return Retained
 	}
-	return Arriving
+	return Receiving
 }
 
-// Wanted waits for the first reader, and tells whether one came.
-func (b *Body) Wanted() bool {
+// WaitForReader waits for the first reader, and tells whether one came.
+func (b *Body) WaitForReader() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for !b.wanted && !b.closed {
+	for !b.hadReader && !b.closed {
 		b.changed.Wait()
 	}
-	return b.wanted
+	return b.hadReader
 }
 
 // Reader reads a body from its begin, at its own pace. One goroutine uses it, but for Stop.
@@ -326,7 +326,7 @@
 	b       *Body
 	off     int64
 	stopped atomic.Bool
-	buf     *[Block]byte // for what is in the file
+	buf     *[BlockSize]byte // for what is in the file
 }
 
 // Reader begins to read. It fails with ErrNotKept where the begin is gone: no request goes out
@@ -339,12 +339,12 @@
 		return nil, ErrClosed
 	case b.err != nil:
 		return nil, b.err
-	case !b.kept:
-		return nil, ErrNotKept
+	case !b.retained:
+		return nil, ErrDiscarded
 	}
 	r := &Reader{b: b}
 	b.readers = append(b.readers, r)
-	b.wanted = true
+	b.hadReader = true
 	b.changed.Broadcast()
 	return r, nil
 }
@@ -385,12 +385,12 @@
 
 // read returns what is there of the body for a reader.
 func (b *Body) read(r *Reader) ([]byte, error) {
-	recent := b.file != nil || !b.kept
+	recent := b.file != nil || !b.retained
 	switch {
 	case recent && r.off >= b.recent.first:
 		return b.recent.at(r.off, b.end), nil
-	case !b.kept: // another was ahead
-		return nil, ErrNotKept
+	case !b.retained: // another was ahead
+		return nil, ErrDiscarded
 	case b.file == nil:
 		return b.memory.at(r.off, b.end), nil
 	case r.off < b.memory.end():
@@ -399,9 +399,9 @@
 	if r.buf == nil {
 		r.buf = b.store.block()
 	}
-	p := r.buf[:min(Block, b.recent.first-r.off)]
+	p := r.buf[:min(BlockSize, b.recent.first-r.off)]
 	if _, err := b.file.ReadAt(p, r.off-b.memory.end()); err != nil {
-		b.store.note(func(h *Stats) { h.Failed++ })
+		b.store.note(func(h *Stats) { h.FileErrors++ })
 		b.err, b.unread = err, err // also where it is whole: what can't be read again is not kept
 		b.changed.Broadcast()
 		return nil, err
@@ -415,7 +415,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.off += int64(n)
-	if !b.closed && (b.file != nil || !b.kept) {
+	if !b.closed && (b.file != nil || !b.retained) {
 		b.pass(len(b.readers) == 1) // else another may be looking at it
 	}
 	b.changed.Broadcast()
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -58,17 +58,17 @@
 // write writes all of a body, as fast as it is taken.
 func write(b *Body, p []byte) error {
 	for len(p) > 0 {
-		room, err := b.Room(len(p))
+		room, err := b.Reserve(len(p))
 		if err != nil {
 			return err
 		}
 		n := copy(room, p)
-		if err := b.Wrote(n); err != nil {
+		if err := b.Commit(n); err != nil {
 			return err
 		}
 		p = p[n:]
 	}
-	b.Finish([]byte("A: b\r\n"))
+	b.Complete([]byte("A: b\r\n"))
 	return nil
 }
 
@@ -93,7 +93,7 @@
 	dir := t.TempDir()
 	s := NewStore(dir)
 	want := text(300_000)
-	b := s.New(Limits{Window: Block, Memory: 4 * Block, MemoryAll: 1 << 20, File: 1 << 20, FilesAll: 1 << 20}, func() { t.Error("lost") })
+	b := s.New(Limits{WindowBytes: BlockSize, MemoryBytes: 4 * BlockSize, TotalMemoryBytes: 1 << 20, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { t.Error("lost") })
 	r, err := b.Reader()
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 		t.Errorf("first: %v, %d bytes, %q", err, len(first), r.Trailers())
 	}
 	r.Close()
-	if got := s.Stats(); got != (Stats{Bodies: 1, Memory: 3 * Block, Files: 1, Filed: 300_000 - 4*Block}) {
+	if got := s.Stats(); got != (Stats{OpenBodies: 1, MemoryBytes: 3 * BlockSize, OpenFiles: 1, FileBytes: 300_000 - 4*BlockSize}) {
 		t.Errorf("%+v", got)
 	}
 	names, err := os.ReadDir(dir)
@@ -130,7 +130,7 @@
 			t.Errorf("again: %v, %d bytes", err, len(got))
 		}
 	}
-	if b.State() != Kept {
+	if b.State() != Retained {
 		t.Errorf("state %d", b.State())
 	}
 	b.Close()
@@ -147,7 +147,7 @@
 		"short": {short: true, room: 50_001}, "at once": {full: syscall.EIO}, "no file": {room: -1},
 	} {
 		open := 0
-		s := NewStoreWith(func() (File, error) {
+		s := NewStoreWithFileOpener(func() (File, error) {
 			if d.room < 0 {
 				return nil, syscall.EMFILE
 			}
@@ -157,7 +157,7 @@
 			return &f, nil
 		})
 		lost := 0
-		b := s.New(Limits{Window: Block, File: 1 << 20, FilesAll: 1 << 20}, func() { lost++ })
+		b := s.New(Limits{WindowBytes: BlockSize, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { lost++ })
 		r, err := b.Reader()
 		if err != nil {
 			t.Fatal(err)
@@ -168,10 +168,10 @@
 		if err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%s: %v, %d bytes", name, err, len(got))
 		}
-		if _, err := b.Reader(); err != ErrNotKept || b.State() != Gone {
+		if _, err := b.Reader(); err != ErrDiscarded || b.State() != Unavailable {
 			t.Errorf("%s: another may begin: %v", name, err)
 		}
-		if s := s.Stats(); lost != 1 || open != 0 || s.Files != 0 || s.Filed != 0 || s.Lost != 1 || s.Failed != 1 {
+		if s := s.Stats(); lost != 1 || open != 0 || s.OpenFiles != 0 || s.FileBytes != 0 || s.DiscardedBodies != 1 || s.FileErrors != 1 {
 			t.Errorf("%s: told %d times, %d files open, %+v", name, lost, open, s)
 		}
 		b.Close()
@@ -181,9 +181,9 @@
 // A file that can't be read again fails its reader, and the body is not kept any more.
 func TestUnreadable(t *testing.T) {
 	d := &disk{room: 1 << 20, unclosed: new(int)}
-	s := NewStoreWith(func() (File, error) { return d, nil })
+	s := NewStoreWithFileOpener(func() (File, error) { return d, nil })
 	lost := 0
-	b := s.New(Limits{Window: Block, File: 1 << 20, FilesAll: 1 << 20}, func() { lost++ })
+	b := s.New(Limits{WindowBytes: BlockSize, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { lost++ })
 	r, _ := b.Reader()
 	go write(b, text(100_000))
 	if _, err := read(r); err != nil {
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := read(again); !errors.Is(err, syscall.EIO) || b.State() != Gone || lost != 1 {
+		if _, err := read(again); !errors.Is(err, syscall.EIO) || b.State() != Unavailable || lost != 1 {
 			t.Errorf("%v, state %d, told %d times", err, b.State(), lost)
 		}
 	}
@@ -208,10 +208,10 @@
 	s := NewStore(t.TempDir())
 	for name, end := range map[string]func(b *Body, r *Reader){
 		"close": func(b *Body, _ *Reader) { b.Close() },
-		"break": func(b *Body, _ *Reader) { b.Break(io.ErrUnexpectedEOF); b.Close() },
+		"break": func(b *Body, _ *Reader) { b.Fail(io.ErrUnexpectedEOF); b.Close() },
 		"stop":  func(b *Body, r *Reader) { r.Stop(); b.Close() },
 	} {
-		b := s.New(Limits{Window: Block}, nil)
+		b := s.New(Limits{WindowBytes: BlockSize}, nil)
 		r, _ := b.Reader()
 		var wg sync.WaitGroup
 		wg.Add(1)
@@ -224,17 +224,17 @@
 		end(b, r)
 		wg.Wait()
 
-		b = s.New(Limits{Window: Block}, nil)
+		b = s.New(Limits{WindowBytes: BlockSize}, nil)
 		wg.Add(2)
 		go func() {
 			defer wg.Done()
-			if err := write(b, text(5*Block)); err != ErrClosed {
+			if err := write(b, text(5*BlockSize)); err != ErrClosed {
 				t.Errorf("%s: the writer got %v", name, err)
 			}
 		}()
 		go func() {
 			defer wg.Done()
-			if b.Wanted() {
+			if b.WaitForReader() {
 				t.Errorf("%s: wanted by nobody", name)
 			}
 		}()
@@ -263,10 +263,10 @@
 // whoever must not wait, and is told once the disk is back.
 func TestSlowDisk(t *testing.T) {
 	d := stuck{&disk{unclosed: new(int)}, make(chan struct{}), make(chan struct{}), new(sync.Once)}
-	s := NewStoreWith(func() (File, error) { return d, nil })
-	b := s.New(Limits{Window: Block, File: Block, FilesAll: Block}, nil)
+	s := NewStoreWithFileOpener(func() (File, error) { return d, nil })
+	b := s.New(Limits{WindowBytes: BlockSize, FileBytes: BlockSize, TotalFileBytes: BlockSize}, nil)
 	r, _ := b.Reader()
-	go write(b, text(3*Block))
+	go write(b, text(3*BlockSize))
 	go func() {
 		for p, err := r.Next(); err == nil; p, err = r.Next() {
 			r.Advance(len(p))
@@ -285,30 +285,30 @@
 // all the same.
 func TestBoundOfAll(t *testing.T) {
 	s := NewStore(t.TempDir())
-	l := Limits{Window: Block, Memory: 8 * Block, MemoryAll: 4 * Block, File: 8 * Block, FilesAll: 4 * Block}
+	l := Limits{WindowBytes: BlockSize, MemoryBytes: 8 * BlockSize, TotalMemoryBytes: 4 * BlockSize, FileBytes: 8 * BlockSize, TotalFileBytes: 4 * BlockSize}
 	var open []*Body
 	states := map[State]int{}
 	for range 10 {
 		b := s.New(l, nil)
 		r, _ := b.Reader()
-		want := text(7 * Block)
+		want := text(7 * BlockSize)
 		go write(b, want)
 		if got, err := read(r); err != nil || !bytes.Equal(got, want) {
 			t.Fatal(err)
 		}
 		states[b.State()]++
-		if got := s.Stats(); got.Memory > l.MemoryAll || got.Filed > l.FilesAll {
+		if got := s.Stats(); got.MemoryBytes > l.TotalMemoryBytes || got.FileBytes > l.TotalFileBytes {
 			t.Fatalf("%+v", got)
 		}
 		open = append(open, b)
 	}
-	if states[Kept] != 1 || states[Gone] != 9 {
+	if states[Retained] != 1 || states[Unavailable] != 9 {
 		t.Errorf("%v", states)
 	}
 	for _, b := range open {
 		b.Close()
 	}
-	if got := s.Stats(); got != (Stats{Lost: 9}) {
+	if got := s.Stats(); got != (Stats{DiscardedBodies: 9}) {
 		t.Errorf("left: %+v", got)
 	}
 }
@@ -318,18 +318,18 @@
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		open := 0
-		s := NewStoreWith(func() (File, error) {
+		s := NewStoreWithFileOpener(func() (File, error) {
 			if rapid.IntRange(0, 5).Draw(t, "open") == 0 {
 				return nil, syscall.EMFILE
 			}
 			open++
-			return &disk{unclosed: &open, full: syscall.ENOSPC, room: rapid.IntRange(0, 8*Block).Draw(t, "room"),
+			return &disk{unclosed: &open, full: syscall.ENOSPC, room: rapid.IntRange(0, 8*BlockSize).Draw(t, "room"),
 				short: rapid.Bool().Draw(t, "short")}, nil
 		})
 		l := Limits{
-			Window: rapid.IntRange(1, 3*Block).Draw(t, "window"), Memory: rapid.Int64Range(0, 6*Block).Draw(t, "memory"),
-			File: rapid.Int64Range(0, 6*Block).Draw(t, "file"), MemoryAll: rapid.Int64Range(0, 8*Block).Draw(t, "memory all"),
-			FilesAll: rapid.Int64Range(0, 8*Block).Draw(t, "files all"),
+			WindowBytes: rapid.IntRange(1, 3*BlockSize).Draw(t, "window"), MemoryBytes: rapid.Int64Range(0, 6*BlockSize).Draw(t, "memory"),
+			FileBytes: rapid.Int64Range(0, 6*BlockSize).Draw(t, "file"), TotalMemoryBytes: rapid.Int64Range(0, 8*BlockSize).Draw(t, "memory all"),
+			TotalFileBytes: rapid.Int64Range(0, 8*BlockSize).Draw(t, "files all"),
 		}
 		type one struct {
 			b       *Body
@@ -368,27 +368,27 @@
 				for _, r := range o.readers {
 					ahead = max(ahead, r.off)
 				}
-				if o.whole || int64(len(o.written))-ahead >= int64(l.Window) {
+				if o.whole || int64(len(o.written))-ahead >= int64(l.WindowBytes) {
 					t.Skip("it would wait")
 				}
-				room, err := o.b.Room(rapid.IntRange(1, 2*Block).Draw(t, "most"))
+				room, err := o.b.Reserve(rapid.IntRange(1, 2*BlockSize).Draw(t, "most"))
 				if err != nil {
 					t.Skip("broken")
 				}
 				n := copy(room, text(len(room)))
 				o.written = append(o.written, room[:n]...)
-				o.b.Wrote(n)
+				o.b.Commit(n)
 			},
 			"finish": func(t *rapid.T) {
 				o := pick(t)
 				o.whole = true
-				o.b.Finish(nil)
+				o.b.Complete(nil)
 			},
 			"begin": func(t *rapid.T) {
 				o := pick(t)
 				state := o.b.State()
 				r, err := o.b.Reader()
-				if (err == nil) != (state != Gone) {
+				if (err == nil) != (state != Unavailable) {
 					t.Fatalf("state %d, yet %v", state, err)
 				}
 				if err == nil {
@@ -423,7 +423,7 @@
 					}
 				}
 			},
-			"forgo": func(t *rapid.T) { pick(t).b.Forgo() },
+			"forgo": func(t *rapid.T) { pick(t).b.StopRetaining() },
 			"close": func(t *rapid.T) {
 				o := pick(t)
 				o.b.Close()
@@ -436,15 +436,15 @@
 			},
 			"": func(t *rapid.T) {
 				got := s.Stats()
-				if got.Bodies != len(all) || got.Memory > l.MemoryAll || got.Filed > l.FilesAll || got.Files != open || got.Memory < 0 || got.Filed < 0 {
+				if got.OpenBodies != len(all) || got.MemoryBytes > l.TotalMemoryBytes || got.FileBytes > l.TotalFileBytes || got.OpenFiles != open || got.MemoryBytes < 0 || got.FileBytes < 0 {
 					t.Fatalf("%+v, %d files open", got, open)
 				}
 				for _, o := range all {
 					if o.lost > 1 {
 						t.Fatalf("told %d times", o.lost)
 					}
-					if held := int64(len(o.b.memory.blocks)+len(o.b.recent.blocks)) * Block; held > l.Held()+o.b.taken {
-						t.Fatalf("%d bytes held, %d bound", held, l.Held()+o.b.taken)
+					if held := int64(len(o.b.memory.blocks)+len(o.b.recent.blocks)) * BlockSize; held > l.MaxBufferBytes()+o.b.taken {
+						t.Fatalf("%d bytes held, %d bound", held, l.MaxBufferBytes()+o.b.taken)
 					}
 				}
 			},
@@ -452,7 +452,7 @@
 		for _, o := range all {
 			o.b.Close()
 		}
-		if got := s.Stats(); got.Bodies+got.Files+int(got.Memory+got.Filed)+open != 0 {
+		if got := s.Stats(); got.OpenBodies+got.OpenFiles+int(got.MemoryBytes+got.FileBytes)+open != 0 {
 			t.Fatalf("left: %+v, %d files open", got, open)
 		}
 	})
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -16,26 +16,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// Block is how many bytes memory is taken by, and the most that is read or written at once.
-const Block = 32 << 10
+// BlockSize is how many bytes memory is taken by, and the most that is read or written at once.
+const BlockSize = 32 << 10
 
 // Limits bound what bodies hold, in bytes.
 type Limits struct {
-	Window    int   // that the writer of one may be ahead of its readers
-	Memory    int64 // of one that are kept in memory, the first Window of them beside MemoryAll
-	File      int64 // of one that are kept in a file beyond those
-	MemoryAll int64 // of all that are kept in memory beyond the windows
-	FilesAll  int64 // of all in files
+	WindowBytes      int   // that the writer of one may be ahead of its readers
+	MemoryBytes      int64 // of one that are kept in memory, the first Window of them beside MemoryAll
+	FileBytes        int64 // of one that are kept in a file beyond those
+	TotalMemoryBytes int64 // of all that are kept in memory beyond the windows
+	TotalFileBytes   int64 // of all in files
 }
 
-// Held is the most memory that one open body may take beside Limits.MemoryAll: its window, cut
+// MaxBufferBytes is the most memory that one open body may take beside Limits.MemoryAll: its window, cut
 // unfavourably, and where there are files the same once more for what has come last, and a block for
 // a reader that reads again.
-func (l Limits) Held() int64 {
-	round := func(n int64) int64 { return (n + Block - 1) / Block * Block }
-	held := round(int64(l.Window) + Block - 1)
-	if l.File > 0 {
-		held += round(int64(l.Window)) + Block
+func (l Limits) MaxBufferBytes() int64 {
+	round := func(n int64) int64 { return (n + BlockSize - 1) / BlockSize * BlockSize }
+	held := round(int64(l.WindowBytes) + BlockSize - 1)
+	if l.FileBytes > 0 {
+		held += round(int64(l.WindowBytes)) + BlockSize
 	}
 	return held
 }
@@ -58,22 +58,22 @@
 
 // Stats are what a store holds.
 type Stats struct {
-	Bodies int   // that are open
-	Memory int64 // bytes kept beyond the windows
-	Files  int   // that are open
-	Filed  int64 // bytes in them
-	Lost   int64 // bodies in all that could not be kept, or not for as long as they were wanted
-	Failed int64 // files in all that could not be opened, written or read
+	OpenBodies      int   // that are open
+	MemoryBytes     int64 // bytes kept beyond the windows
+	OpenFiles       int   // that are open
+	FileBytes       int64 // bytes in them
+	DiscardedBodies int64 // bodies in all that could not be kept, or not for as long as they were wanted
+	FileErrors      int64 // files in all that could not be opened, written or read
 }
 
 // NewStore returns a store whose files are in a folder. They have no name there, or lose it at
 // once, so that nothing is left behind however the program ends.
 func NewStore(dir string) *Store {
-	return NewStoreWith(func() (File, error) { return nameless(dir) })
+	return NewStoreWithFileOpener(func() (File, error) { return nameless(dir) })
 }
 
-// NewStoreWith returns a store whose files are those that open returns.
-func NewStoreWith(open func() (File, error)) *Store { return &Store{open: open} }
+// NewStoreWithFileOpener returns a store whose files are those that open returns.
+func NewStoreWithFileOpener(open func() (File, error)) *Store { return &Store{open: open} }
 
 // nameless opens a file without a name. Where the file system has no such thing (open(2),
 // O_TMPFILE), the name is removed as soon as the file is there.
@@ -116,9 +116,9 @@
 	return true
 }
 
-func (s *Store) block() *[Block]byte {
-	if b, ok := s.blocks.Get().(*[Block]byte); ok {
+func (s *Store) block() *[BlockSize]byte {
+	if b, ok := s.blocks.Get().(*[BlockSize]byte); ok {
 		return b
 	}
-	return new([Block]byte)
+	return new([BlockSize]byte)
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -23,8 +23,8 @@
 	return bytes.HasPrefix(bytes.TrimLeft(text, " \t\r\n"), []byte("{"))
 }
 
-// Platform reads a platform's configuration, with what is wrong with it as a finding.
-func Platform(f File) (*config.Platform, []config.Finding) {
+// ParsePlatform reads a platform's configuration, with what is wrong with it as a finding.
+func ParsePlatform(f File) (*config.Platform, []config.Finding) {
 	if f.Err != nil {
 		return nil, []config.Finding{unreadable(f)}
 	}
@@ -32,14 +32,14 @@
 	if err == nil {
 		return p, nil
 	}
-	at := config.Finding{Rule: config.RulePlatform, Level: config.Refused, File: f.Name, Found: err.Error()}
+	at := config.Finding{Rule: config.RuleInvalidPlatform, Level: config.LevelRefused, File: f.Name, Found: err.Error()}
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
 		at.Rule, at.Position = config.RuleSyntax, position(f.Text, syntax.Offset)
 	case errors.As(err, &kind):
-		at.Rule, at.Key, at.Found, at.Allowed = config.RuleType, kind.Field, "a "+kind.Value, "a "+kind.Type.String()
+		at.Rule, at.Key, at.Found, at.Allowed = config.RuleWrongType, kind.Field, "a "+kind.Value, "a "+kind.Type.String()
 		at.Position = position(f.Text, kind.Offset)
 	default:
 		if key, found, ok := strings.Cut(err.Error(), ": "); ok {
@@ -50,7 +50,7 @@
 }
 
 func unreadable(f File) config.Finding {
-	return config.Finding{Rule: config.RuleUnreadable, Level: config.Refused, File: f.Name, Found: f.Err.Error()}
+	return config.Finding{Rule: config.RuleUnreadable, Level: config.LevelRefused, File: f.Name, Found: f.Err.Error()}
 }
 
 func position(text []byte, offset int64) config.Position {
@@ -59,8 +59,8 @@
 	return config.Position{Line: line + 1, Column: len(before) - bytes.LastIndexByte(before, '\n')}
 }
 
-// Settings reads an operators' file.
-func Settings(f File) (*config.Settings, []config.Finding) {
+// ParseSettings reads an operators' file.
+func ParseSettings(f File) (*config.Settings, []config.Finding) {
 	if f.Err != nil {
 		return nil, []config.Finding{unreadable(f)}
 	}
@@ -75,7 +75,7 @@
 	c.alone = p == nil
 	c.run()
 	c.all.across([]*checker{c})
-	if config.Failed(c.all.findings) {
+	if config.HasRefusal(c.all.findings) {
 		return nil, c.all.findings
 	}
 	return c.merged, c.all.findings
@@ -109,14 +109,14 @@
 	var platforms, settings []*checker
 	for _, f := range files {
 		if f.Err == nil && IsPlatform(f.Text) {
-			p, bad := Platform(f)
+			p, bad := ParsePlatform(f)
 			all.add(bad...)
 			if p != nil {
 				platforms = append(platforms, newChecker(p, f.Name, nil, ""))
 			}
 			continue
 		}
-		s, bad := Settings(f)
+		s, bad := ParseSettings(f)
 		all.add(bad...)
 		if len(bad) == 0 {
 			settings = append(settings, newChecker(nil, "", s, f.Name))
@@ -184,7 +184,7 @@
 
 func newChecker(p *config.Platform, platformFile string, s *config.Settings, settingsFile string) *checker {
 	if s == nil {
-		s, settingsFile = config.Default(), ""
+		s, settingsFile = config.DefaultSettings(), ""
 	}
 	return &checker{
 		platform: p, platformFile: platformFile, settings: s, settingsFile: settingsFile, merged: config.Merge(p, s),
@@ -193,13 +193,13 @@
 
 // complete tells whether an operators' file means to be run with alone.
 func (c *checker) complete() bool {
-	return c.settings.Application.Listen != "" || c.settings.Application.Discovery != ""
+	return c.settings.Application.ListenAddress != "" || c.settings.Application.DiscoveryAddress != ""
 }
 
 // given tells whether the operators' file gives a key.
 func (c *checker) given(keys ...string) bool {
 	for _, key := range keys {
-		if _, ok := c.settings.Given(key); ok {
+		if _, ok := c.settings.KeyPosition(key); ok {
 			return true
 		}
 	}
@@ -209,17 +209,17 @@
 // refuse adds a finding of a rule on a key of the operators' file, or of the platform's
 // configuration where the former does not give it. mend, if any, goes before the rule's own.
 func (c *checker) refuse(id, key, found, allowed string, mend ...string) {
-	r, ok := Find(id)
+	r, ok := RuleByID(id)
 	if !ok {
 		panic("check: no rule " + id)
 	}
 	f := config.Finding{
-		Rule: id, Level: r.Level, File: c.settingsFile, Key: key, Found: found, Allowed: allowed, Reason: r.Reason, Mend: r.Mend,
+		Rule: id, Level: r.Level, File: c.settingsFile, Key: key, Found: found, Allowed: allowed, Reason: r.Reason, Fix: r.Fix,
 	}
 	if len(mend) > 0 {
-		f.Mend = mend[0]
+		f.Fix = mend[0]
 	}
-	at, given := c.settings.Given(key)
+	at, given := c.settings.KeyPosition(key)
 	if f.Position = at; !given && c.platformFile != "" {
 		f.File = c.platformFile
 	}
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -209,9 +209,9 @@
 		{"two classes by case", "class-case", "class.look-up", "alone", "[class.pay]", "[class.Look-Up]", ""},
 		{"own number", "sidecar-number", "fleet.number", "alone", "number = 1", fmt.Sprintf("number = %d", n(4, 99)), ""},
 		{"calls itself", "tier-circle", "application.calls", "alone", `calls = ["run-booking"]`, `calls = ["run-booking", "order-check"]`, ""},
-		{"no tier", config.RuleMissing, "application.tier", "alone", `tier = "order-check"` + "\n", "", ""},
-		{"no semantics", config.RuleMissing, "class.look-up.semantics", "alone", `semantics = "safe"` + "\n", "", ""},
-		{"no window", config.RuleMissing, "class.place-order.repeat_window", "alone", `repeat_window = "10s"` + "\n", "", ""},
+		{"no tier", config.RuleMissingKey, "application.tier", "alone", `tier = "order-check"` + "\n", "", ""},
+		{"no semantics", config.RuleMissingKey, "class.look-up.semantics", "alone", `semantics = "safe"` + "\n", "", ""},
+		{"no window", config.RuleMissingKey, "class.place-order.repeat_window", "alone", `repeat_window = "10s"` + "\n", "", ""},
 		{"no window from the platform", "no-window", "class.place-order.repeat_window", "platform", `"repeatWindowNs": 10000000000, `, "", ""},
 		{"a goal that the module does not take", "module", "", "platform", `"goalTimeNs": 1540000000`, `"goalTimeNs": 0`, ""},
 		{"a zone by no index", "zone-unknown", "settings.zone", "platform", `"zone": 0, "zones"`, fmt.Sprintf(`"zone": %d, "zones"`, n(2, 9)), ""},
@@ -225,17 +225,17 @@
 		{"an endpoint twice", "name-twice", "known.instances[1]", "platform", `"instances": [`,
 			`"instances": [{"instanceId": "s-1", "hostPort": "10.1.0.19:9000", "zone": "campus-east", "lifecycle": "up"},`, ""},
 		{"one connect of the platform past wanted", "connect-past-wanted", "endpoints.connect_time", "platform", `"connectTimeoutNs": 250000000`, fmt.Sprintf(`"connectTimeoutNs": %d000000`, n(1520, 9000)), ""},
-		{"a bad seed", config.RulePlatform, "seed", "platform", "8c1f30d27a5be964", "seed", ""},
-		{"text for sockets", config.RuleType, "limits.sockets", "platform", `"sockets": 1024`, `"sockets": "many"`, ""},
+		{"a bad seed", config.RuleInvalidPlatform, "seed", "platform", "8c1f30d27a5be964", "seed", ""},
+		{"text for sockets", config.RuleWrongType, "limits.sockets", "platform", `"sockets": 1024`, `"sockets": "many"`, ""},
 		{"no JSON", config.RuleSyntax, "", "platform", `"limits":`, `"limits"`, ""},
-		{"a misspelt key", config.RuleUnknown, "callers.answer_margn", "beside", "answer_margin", "answer_margn", ""},
-		{"a misspelt part", config.RuleUnknown, "prob", "beside", "[probe]", "[prob]", ""},
-		{"a misspelt word", config.RuleRange, "class.place-order.semantics", "beside", `"keyed"`, `"keyd"`, ""},
-		{"a number for a time", config.RuleType, "probe.time", "beside", `time = "250ms"`, fmt.Sprintf("time = %d", n(1, 999)), ""},
-		{"a time without a unit", config.RuleRange, "probe.time", "beside", `time = "250ms"`, fmt.Sprintf(`time = "%d"`, n(1, 999)), ""},
+		{"a misspelt key", config.RuleUnknownKey, "callers.answer_margn", "beside", "answer_margin", "answer_margn", ""},
+		{"a misspelt part", config.RuleUnknownKey, "prob", "beside", "[probe]", "[prob]", ""},
+		{"a misspelt word", config.RuleOutOfRange, "class.place-order.semantics", "beside", `"keyed"`, `"keyd"`, ""},
+		{"a number for a time", config.RuleWrongType, "probe.time", "beside", `time = "250ms"`, fmt.Sprintf("time = %d", n(1, 999)), ""},
+		{"a time without a unit", config.RuleOutOfRange, "probe.time", "beside", `time = "250ms"`, fmt.Sprintf(`time = "%d"`, n(1, 999)), ""},
 		{"a key twice", config.RuleDuplicate, "probe.time", "beside", `time = "250ms"`, "time = \"250ms\"\ntime = \"250ms\"", ""},
 		{"no bracket", config.RuleSyntax, "", "beside", "[probe]", "[probe", ""},
-		{"a newer schema", config.RuleSchema, "schema", "beside", "schema = 1", fmt.Sprintf("schema = %d", n(2, 99)), ""},
+		{"a newer schema", config.RuleSchemaVersion, "schema", "beside", "schema = 1", fmt.Sprintf("schema = %d", n(2, 99)), ""},
 	}
 	for _, form := range []string{"127.0.0.1:9000", "0.0.0.0:9000", "[::]:9000", "localhost:9000", "[::ffff:127.0.0.1]:9000", "[::ffff:7f00:1]:09000"} {
 		out = append(out, mutation{"two applications at " + form, "listen-claimed", "application.listen", "alone", "", "", "claim " + form})
@@ -369,7 +369,7 @@
 		t.Errorf("%d broken files", tried)
 	}
 	for _, r := range Rules {
-		if r.Level == config.Refused && caught[r.ID] == 0 && r.ID != config.RuleUnreadable {
+		if r.Level == config.LevelRefused && caught[r.ID] == 0 && r.ID != config.RuleUnreadable {
 			t.Errorf("%s: no mutation breaks it", r.ID)
 		}
 	}
@@ -382,7 +382,7 @@
 }
 
 func refused(findings []config.Finding) []config.Finding {
-	return slices.DeleteFunc(slices.Clone(findings), func(f config.Finding) bool { return f.Level != config.Refused })
+	return slices.DeleteFunc(slices.Clone(findings), func(f config.Finding) bool { return f.Level != config.LevelRefused })
 }
 
 // Warnings are apart from refusals: the files are accepted.
@@ -417,7 +417,7 @@
 	} {
 		text2 := strings.Replace(c.base, c.old, c.new, 1)
 		got := Deployment([]File{named("p.json", platform), named("s.toml", text2)})
-		if config.Failed(got) || len(got) != 1 || got[0].Rule != rule || got[0].Level != config.Warning {
+		if config.HasRefusal(got) || len(got) != 1 || got[0].Rule != rule || got[0].Level != config.LevelWarning {
 			t.Errorf("%s: %s", rule, text(got))
 		}
 	}
@@ -434,11 +434,11 @@
 // What the checker accepts for one sidecar is what the program runs with, tightened as the
 // file says.
 func TestSidecarRunsWith(t *testing.T) {
-	p, bad := Platform(named("p.json", platform))
+	p, bad := ParsePlatform(named("p.json", platform))
 	if len(bad) > 0 {
 		t.Fatal(text(bad))
 	}
-	s, bad := Settings(named("s.toml", strings.Replace(beside, `wanted = "1540ms"`, `wanted = "1300ms"`, 1)))
+	s, bad := ParseSettings(named("s.toml", strings.Replace(beside, `wanted = "1540ms"`, `wanted = "1300ms"`, 1)))
 	if len(bad) > 0 {
 		t.Fatal(text(bad))
 	}
@@ -446,11 +446,11 @@
 	if c == nil {
 		t.Fatal(text(got))
 	}
-	k := c.Module.Classes[0]
-	if k.Goal != 1300e6 || k.MaxAttempts != 6 || k.Retries != 2 || k.RetryWithin != 1200e6 || k.OneCopy || c.ConnectTime() != 200e6 {
+	k := c.BalancerConfig.Classes[0]
+	if k.TargetLatency != 1300e6 || k.MaxAttempts != 6 || k.MaxRetries != 2 || k.RetryStartWindow != 1200e6 || k.NoHedging || c.ConnectTimeout() != 200e6 {
 		t.Errorf("%+v", k)
 	}
-	if p.Module.Classes[0].Goal != 1540e6 || p.Module.Classes[0].Retries != 0 {
+	if p.BalancerConfig.Classes[0].TargetLatency != 1540e6 || p.BalancerConfig.Classes[0].MaxRetries != 0 {
 		t.Error("the platform's own configuration was changed")
 	}
 	if k.Semantics != balance.Keyed || k.Scope != balance.ScopeAll {
@@ -470,11 +470,11 @@
 		for _, f := range broken {
 			var bad []config.Finding
 			if IsPlatform(f.Text) {
-				p, bad = Platform(f)
+				p, bad = ParsePlatform(f)
 				names[0] = f.Name
 			} else {
 				ok = ok && s == nil
-				s, bad = Settings(f)
+				s, bad = ParseSettings(f)
 				names[1] = f.Name
 			}
 			ok = ok && len(bad) == 0
@@ -507,30 +507,30 @@
 	}
 	f.Fuzz(func(t *testing.T, platform, settings []byte) {
 		all := Deployment([]File{{Name: "p", Text: platform}, {Name: "s", Text: settings}})
-		if !json.Valid(platform) && !config.Failed(all) && IsPlatform(platform) {
+		if !json.Valid(platform) && !config.HasRefusal(all) && IsPlatform(platform) {
 			t.Errorf("accepted what is no JSON: %s", text(all))
 		}
-		s, bad := Settings(File{Name: "s", Text: settings})
+		s, bad := ParseSettings(File{Name: "s", Text: settings})
 		if len(bad) > 0 {
 			return
 		}
-		p, bad := Platform(File{Name: "p", Text: platform})
+		p, bad := ParsePlatform(File{Name: "p", Text: platform})
 		for _, p := range []*config.Platform{nil, p} {
-			if p == nil && len(bad) > 0 && s.Application.Listen == "" {
+			if p == nil && len(bad) > 0 && s.Application.ListenAddress == "" {
 				continue
 			}
 			c, found := Sidecar(p, "p", s, "s")
-			if (c == nil) != config.Failed(found) {
+			if (c == nil) != config.HasRefusal(found) {
 				t.Errorf("config %v, findings %s", c != nil, text(found))
 			}
 			if c == nil {
 				continue
 			}
-			if _, err := balance.New(c.Module, 1); err != nil {
+			if _, err := balance.New(c.BalancerConfig, 1); err != nil {
 				t.Errorf("accepted, and the module says %v", err)
 			}
-			if c.EndpointConnections() < 1 || c.CallerConnections() < 1 || c.KeepAlive() <= 0 || c.ConnectTime() <= 0 {
-				t.Errorf("accepted with %d and %d connections", c.CallerConnections(), c.EndpointConnections())
+			if c.MaxEndpointConnections() < 1 || c.MaxCallerConnections() < 1 || c.KeepAliveTimeout() <= 0 || c.ConnectTimeout() <= 0 {
+				t.Errorf("accepted with %d and %d connections", c.MaxCallerConnections(), c.MaxEndpointConnections())
 			}
 		}
 	})
--- a/internal/check/fleet.go
+++ b/internal/check/fleet.go
@@ -62,10 +62,10 @@
 	ports := make(map[string][]claim)
 	for _, c := range checked {
 		var own []claim
-		if listen := c.merged.Listen; listen != "" {
+		if listen := c.merged.ListenAddress; listen != "" {
 			own = append(own, newClaim(c, "application.listen", listen))
 		}
-		for _, addr := range c.settings.Callers.AlsoListen {
+		for _, addr := range c.settings.Callers.ExtraListenAddresses {
 			own = append(own, newClaim(c, "callers.also_listen", addr))
 		}
 		var bad report
@@ -93,10 +93,10 @@
 
 // listensAt checks an address of a sidecar against what it sends to.
 func (c *checker) listensAt(x claim, bad *report) {
-	if d := c.merged.Discovery; d != "" && exact(x, newClaim(c, "", d)) {
+	if d := c.merged.DiscoveryAddress; d != "" && exact(x, newClaim(c, "", d)) {
 		c.said(bad, "listen-discovery", x.key, quoted(x.addr), "an address apart from discovery's, "+quoted(d))
 	}
-	for _, in := range c.merged.Known.Instances {
+	for _, in := range c.merged.KnownEndpoints.Instances {
 		if exact(x, newClaim(c, "", in.HostPort)) {
 			c.said(bad, "listen-endpoint", x.key, quoted(x.addr), fmt.Sprintf("an address apart from endpoint %q's", in.ID))
 		}
@@ -132,7 +132,7 @@
 			by[a.Tier] = c
 			tiers = append(tiers, a.Tier)
 		}
-		calls[a.Tier] = append(calls[a.Tier], a.Calls...)
+		calls[a.Tier] = append(calls[a.Tier], a.DownstreamTiers...)
 	}
 	for _, from := range tiers {
 		if path := circle(calls, from); path != nil && from == slices.Min(path) { // once for each circle
@@ -180,9 +180,9 @@
 			continue
 		}
 		sidecars[c.platformFile] = true
-		tier := cmp.Or(c.merged.Tier(), fmt.Sprintf("tier %d", c.merged.Module.Tier))
+		tier := cmp.Or(c.merged.Tier(), fmt.Sprintf("tier %d", c.merged.BalancerConfig.Tier))
 		tiers[tier] = append(tiers[tier], c)
-		n := number{tier, c.merged.Module.Me}
+		n := number{tier, c.merged.BalancerConfig.SidecarIndex}
 		if other := numbers[n]; other != nil {
 			c.said(r, "sidecar-number", "fleet.number", fmt.Sprint(n.me), fmt.Sprintf("a number apart from that of %s, which also sends to %s", other.name(), tier))
 		}
@@ -191,7 +191,7 @@
 	for _, tier := range slices.Sorted(maps.Keys(tiers)) {
 		all := tiers[tier]
 		for _, c := range all {
-			if told := c.merged.Module.Balancers; told < len(all) {
+			if told := c.merged.BalancerConfig.SidecarCount; told < len(all) {
 				c.said(r, "sidecars-undercounted", "fleet.sidecars", fmt.Sprint(told), fmt.Sprintf("%d or more: so many send to %s here", len(all), tier))
 			}
 		}
--- a/internal/check/reference.go
+++ b/internal/check/reference.go
@@ -17,7 +17,7 @@
 test proves that it is what that prints. ` + "`drumctl config reference --template`" + ` prints a file with
 every key. How the file is used is told in [configure.md](configure.md).
 
-The file is TOML, at most ` + config.Size(config.MaxSettings).String() + `, UTF-8. Times are strings with a unit
+The file is TOML, at most ` + config.Size(config.MaxSettingsBytes).String() + `, UTF-8. Times are strings with a unit
 ("1540ms", "10s", "1m30s"), sizes too ("64KiB", "1MiB", "500kB"). A key that is unknown, given
 twice, of another type or out of range is refused.
 
@@ -26,14 +26,14 @@
 "Read" tells when a change takes effect: at SIGHUP, or at a restart.
 
 `)
-	b.WriteString(config.Reference())
+	b.WriteString(config.KeyReference())
 	b.WriteString("\n## Rules\n\nA refused file is not run with; a warning is legal and unwise.\n")
-	for _, level := range []config.Level{config.Refused, config.Warning} {
+	for _, level := range []config.Level{config.LevelRefused, config.LevelWarning} {
 		fmt.Fprintf(&b, "\n### %s\n\n| rule | guards | found | reason | mend |\n| --- | --- | --- | --- | --- |\n",
-			map[config.Level]string{config.Refused: "Refused", config.Warning: "Warnings"}[level])
+			map[config.Level]string{config.LevelRefused: "Refused", config.LevelWarning: "Warnings"}[level])
 		for _, r := range Rules {
 			if r.Level == level {
-				fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", r.ID, r.Guards, r.What, r.Reason, r.Mend)
+				fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", r.ID, r.Protects, r.Condition, r.Reason, r.Fix)
 			}
 		}
 	}
@@ -42,8 +42,8 @@
 
 // Template is an operators' file with every key as a comment, and one class.
 func Template() []byte {
-	s := config.Default()
+	s := config.DefaultSettings()
 	s.Application.Name = "order-front"
-	s.Class = map[string]*config.Class{"place-order": {}}
-	return config.Write(s)
+	s.Classes = map[string]*config.Class{"place-order": {}}
+	return config.FormatSettings(s)
 }
--- a/internal/check/sidecar.go
+++ b/internal/check/sidecar.go
@@ -31,7 +31,7 @@
 func (c *checker) run() {
 	if c.alone {
 		c.missing()
-		if config.Failed(c.all.findings) {
+		if config.HasRefusal(c.all.findings) {
 			return // what is left out has no value to check
 		}
 	}
@@ -40,7 +40,7 @@
 		c.looser()
 	}
 	c.classNames()
-	for _, k := range c.merged.Module.Classes {
+	for _, k := range c.merged.BalancerConfig.Classes {
 		c.class(k)
 	}
 	c.names()
@@ -51,7 +51,7 @@
 	c.streams()
 	c.room()
 	if c.alone || c.platform != nil {
-		if _, err := balance.New(c.merged.Module, 1); err != nil {
+		if _, err := balance.New(c.merged.BalancerConfig, 1); err != nil {
 			c.refuse("module", "", err.Error(), "")
 		}
 	}
@@ -61,19 +61,19 @@
 func (c *checker) missing() {
 	need := func(key, found, allowed string) {
 		if found == "" {
-			c.refuse(config.RuleMissing, key, "nothing", allowed, "a file that runs without a platform's configuration says all")
+			c.refuse(config.RuleMissingKey, key, "nothing", allowed, "a file that runs without a platform's configuration says all")
 		}
 	}
 	a := c.settings.Application
 	need("application.tier", a.Tier, "a name")
-	need("application.listen", a.Listen, "HOST:PORT")
-	need("application.discovery", a.Discovery, "HOST:PORT")
-	if len(c.settings.Class) == 0 {
+	need("application.listen", a.ListenAddress, "HOST:PORT")
+	need("application.discovery", a.DiscoveryAddress, "HOST:PORT")
+	if len(c.settings.Classes) == 0 {
 		need("class.NAME", "", "a class at the least")
 	}
 	for _, name := range c.classKeys() {
-		k, at := c.settings.Class[name], config.ClassKey(name)
-		if k.Wanted == 0 {
+		k, at := c.settings.Classes[name], config.ClassKey(name)
+		if k.TargetLatency == 0 {
 			need(at+".wanted", "", "a time")
 		}
 		if k.Deadline == 0 {
@@ -91,7 +91,7 @@
 
 func (c *checker) classKeys() []string {
 	var names []string
-	for name := range c.settings.Class {
+	for name := range c.settings.Classes {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -106,30 +106,30 @@
 			c.refuse("platform-differs", key, quoted(file), quoted(platform)+", as "+c.platformFile+" says")
 		}
 	}
-	same("application.listen", s.Application.Listen, p.Listen)
-	same("application.discovery", s.Application.Discovery, p.Discovery)
+	same("application.listen", s.Application.ListenAddress, p.ListenAddress)
+	same("application.discovery", s.Application.DiscoveryAddress, p.DiscoveryAddress)
 	if p.Tier() != "" {
 		same("application.tier", s.Application.Tier, p.Tier())
 	}
-	if i := p.Module.Zone; i >= 0 && i < len(p.Zones) {
+	if i := p.BalancerConfig.Zone; i >= 0 && i < len(p.Zones) {
 		same("fleet.zone", s.Fleet.Zone, p.Zones[i])
 	}
 	same("fleet.zones", strings.Join(s.Fleet.Zones, ", "), strings.Join(p.Zones, ", "))
-	same("fleet.number", fmt.Sprint(s.Fleet.Number), fmt.Sprint(p.Module.Me))
+	same("fleet.number", fmt.Sprint(s.Fleet.SidecarIndex), fmt.Sprint(p.BalancerConfig.SidecarIndex))
 	list := "push"
-	if p.Module.AskDiscovery {
+	if p.BalancerConfig.MustSubscribe {
 		list = "ask"
 	}
-	same("fleet.list", s.Fleet.List, list)
-	same("fleet.reports", s.Fleet.Reports, config.ReportsName(p.Module.Reporting))
-	if len(s.Callers.AlsoListen) > 0 {
-		c.refuse("listen-extra", "callers.also_listen", strings.Join(s.Callers.AlsoListen, ", "), "none")
+	same("fleet.list", s.Fleet.DiscoveryMode, list)
+	same("fleet.reports", s.Fleet.LoadReporting, config.ReportingName(p.BalancerConfig.Reporting))
+	if len(s.Callers.ExtraListenAddresses) > 0 {
+		c.refuse("listen-extra", "callers.also_listen", strings.Join(s.Callers.ExtraListenAddresses, ", "), "none")
 	}
 }
 
 // looser reports where the file promises more than the platform.
 func (c *checker) looser() {
-	p, s, m := c.platform, c.settings, c.platform.Module
+	p, s, m := c.platform, c.settings, c.platform.BalancerConfig
 	over := func(id, key string, file, platform float64, show func(float64) string) {
 		if c.given(key) && platform > 0 && file > platform {
 			c.refuse(id, key, show(file), show(platform)+" at most, as "+c.platformFile+" says")
@@ -141,42 +141,42 @@
 		}
 	}
 	number := func(v float64) string { return fmt.Sprintf("%g", v) }
-	duration := func(v float64) string { return config.FormatTime(time.Duration(v)) }
+	duration := func(v float64) string { return config.FormatDuration(time.Duration(v)) }
 	size := func(v float64) string { return config.Size(v).String() }
 	over("looser-limit", "limits.cores", s.Limits.Cores, p.Limits.Cores, number)
 	over("looser-limit", "limits.memory", float64(s.Limits.Memory), float64(p.Limits.MemoryMB<<20), size)
 	over("looser-limit", "limits.sockets", float64(s.Limits.Sockets), float64(p.Limits.Sockets), number)
-	over("looser-limit", "fleet.attempts", float64(s.Fleet.Attempts), float64(m.Limits.MaxAttempts), number)
-	over("looser-limit", "endpoints.connect_time", float64(s.Endpoints.ConnectTime), float64(m.Limits.ConnectTimeout), duration)
-	over("looser-limit", "endpoints.keep_alive", float64(s.Endpoints.KeepAlive), float64(m.Limits.KeepAlive), duration)
+	over("looser-limit", "fleet.attempts", float64(s.Fleet.MaxAttempts), float64(m.Limits.MaxAttempts), number)
+	over("looser-limit", "endpoints.connect_time", float64(s.Endpoints.ConnectTimeout), float64(m.Limits.ConnectTimeout), duration)
+	over("looser-limit", "endpoints.keep_alive", float64(s.Endpoints.KeepAliveTimeout), float64(m.Limits.KeepAlive), duration)
 	over("looser-limit", "fleet.max_retry_after", float64(s.Fleet.MaxRetryAfter), float64(m.Limits.MaxRetryAfter), duration)
-	if s.Fleet.SecondCopies != nil && *s.Fleet.SecondCopies && !m.Limits.SecondCopies {
+	if s.Fleet.Hedging != nil && *s.Fleet.Hedging && !m.Limits.Hedging {
 		c.refuse("looser-limit", "fleet.second_copies", "true", "false, as "+c.platformFile+" says")
 	}
 	over("looser-drain", "fleet.drain_grace", float64(s.Fleet.DrainGrace), float64(m.DrainGrace), duration)
-	over("looser-cold", "fleet.cold_share", s.Fleet.ColdShare, m.ColdShare, number)
-	over("looser-cold", "fleet.fall_multiple", s.Fleet.FallMultiple, m.FallMultiple, number)
-	over("looser-cold", "fleet.fall_time", float64(s.Fleet.FallTime), float64(m.FallAfter), duration)
-	under("looser-cold", "fleet.cold_time", float64(s.Fleet.ColdTime), float64(m.ColdFor), duration)
-	under("looser-cold", "fleet.sidecars", float64(s.Fleet.Sidecars), float64(m.Balancers), number)
+	over("looser-cold", "fleet.cold_share", s.Fleet.ColdCapacityShare, m.ColdCapacityShare, number)
+	over("looser-cold", "fleet.fall_multiple", s.Fleet.OverloadMultiple, m.ColdOverloadMultiple, number)
+	over("looser-cold", "fleet.fall_time", float64(s.Fleet.OverloadTime), float64(m.ColdOverloadTime), duration)
+	under("looser-cold", "fleet.cold_time", float64(s.Fleet.WarmupTime), float64(m.WarmupTime), duration)
+	under("looser-cold", "fleet.sidecars", float64(s.Fleet.SidecarCount), float64(m.SidecarCount), number)
 	for _, name := range c.classKeys() {
-		i, ok := p.Classes[name]
+		i, ok := p.ClassIndex[name]
 		if !ok {
 			continue
 		}
-		k, of, at := s.Class[name], m.Classes[i], config.ClassKey(name)
-		over("looser-time", at+".wanted", float64(k.Wanted), float64(of.Goal), duration)
+		k, of, at := s.Classes[name], m.Classes[i], config.ClassKey(name)
+		over("looser-time", at+".wanted", float64(k.TargetLatency), float64(of.TargetLatency), duration)
 		over("looser-time", at+".deadline", float64(k.Deadline), float64(of.Deadline), duration)
-		if k.LateWorth != nil && *k.LateWorth > of.LateShare {
-			c.refuse("looser-time", at+".late_worth", number(*k.LateWorth), number(of.LateShare)+" at most, as "+c.platformFile+" says")
+		if k.LateValueShare != nil && *k.LateValueShare > of.LateValueShare {
+			c.refuse("looser-time", at+".late_worth", number(*k.LateValueShare), number(of.LateValueShare)+" at most, as "+c.platformFile+" says")
 		}
-		if k.Semantics != "" && config.Semantics(k.Semantics) < of.Semantics {
+		if k.Semantics != "" && config.SemanticsByName(k.Semantics) < of.Semantics {
 			c.refuse("looser-semantics", at+".semantics", quoted(k.Semantics), quoted(config.SemanticsName(of.Semantics))+" or stricter")
 		}
 		if of.Semantics != balance.Keyed {
 			continue
 		}
-		if k.Scope != "" && config.Scope(k.Scope) < of.Scope {
+		if k.Scope != "" && config.ScopeByName(k.Scope) < of.Scope {
 			c.refuse("looser-scope", at+".scope", quoted(k.Scope), quoted(config.ScopeName(of.Scope))+" or narrower")
 		}
 		over("looser-window", at+".repeat_window", float64(k.RepeatWindow), float64(of.RepeatWindow), duration)
@@ -194,22 +194,22 @@
 		}
 		return
 	}
-	m := p.Module
+	m := p.BalancerConfig
 	if n := len(p.Zones); n > 0 && (m.Zone < 0 || m.Zone >= n) {
 		c.refuse("zone-unknown", "settings.zone", fmt.Sprint(m.Zone), fmt.Sprintf("0 to %d, an index of settings.zones", n-1))
 	}
-	if n := len(p.Layers); n > 0 && (m.Tier < 0 || m.Tier >= n) {
+	if n := len(p.Tiers); n > 0 && (m.Tier < 0 || m.Tier >= n) {
 		c.refuse("tier-unknown", "settings.tier", fmt.Sprint(m.Tier), fmt.Sprintf("0 to %d, an index of settings.layers", n-1))
 	}
 	c.unique("settings.zones", p.Zones)
-	c.unique("settings.layers", p.Layers)
+	c.unique("settings.layers", p.Tiers)
 	tenants := make([]string, len(m.Tenants))
 	for i, t := range m.Tenants {
 		tenants[i] = t.Name
 	}
 	c.unique("settings.tenants", tenants)
-	ids := make([]string, len(p.Known.Instances))
-	for i, in := range p.Known.Instances {
+	ids := make([]string, len(p.KnownEndpoints.Instances))
+	for i, in := range p.KnownEndpoints.Instances {
 		ids[i] = in.ID
 		if len(p.Zones) > 0 && in.Zone != "" && !slices.Contains(p.Zones, in.Zone) {
 			c.refuse("zone-unknown", fmt.Sprintf("known.instances[%d].zone", i), quoted(in.Zone), "one of settings.zones")
@@ -233,7 +233,7 @@
 func (c *checker) classNames() {
 	folded := make(map[string]string)
 	if c.platform != nil {
-		for _, k := range c.platform.Module.Classes {
+		for _, k := range c.platform.BalancerConfig.Classes {
 			if other, ok := folded[strings.ToLower(k.Name)]; ok {
 				c.refuse("class-case", "settings.classes", quoted(k.Name), "a name apart from "+quoted(other))
 			}
@@ -247,7 +247,7 @@
 			c.refuse("class-case", config.ClassKey(name), quoted(name), "a name apart from "+quoted(other), "did you mean "+other+"?")
 		case !ok && c.platform != nil:
 			var known []string
-			for _, k := range c.platform.Module.Classes {
+			for _, k := range c.platform.BalancerConfig.Classes {
 				known = append(known, k.Name)
 			}
 			c.refuse("class-unknown", config.ClassKey(name), quoted(name), strings.Join(known, ", "))
@@ -262,15 +262,15 @@
 // checked without its platform.
 func (c *checker) class(k balance.Class) {
 	at := config.ClassKey(k.Name)
-	file := c.settings.Class[k.Name]
+	file := c.settings.Classes[k.Name]
 	if file == nil {
 		file = new(config.Class)
 	}
 	if k.Semantics == balance.Unsafe {
-		if file.Retries != nil && *file.Retries > 0 {
-			c.refuse("unsafe-retried", at+".retries", fmt.Sprint(*file.Retries), "0")
+		if file.MaxRetries != nil && *file.MaxRetries > 0 {
+			c.refuse("unsafe-retried", at+".retries", fmt.Sprint(*file.MaxRetries), "0")
 		}
-		if file.SecondCopies != nil && *file.SecondCopies {
+		if file.Hedging != nil && *file.Hedging {
 			c.refuse("unsafe-copied", at+".second_copies", "true", "false")
 		}
 	}
@@ -279,17 +279,17 @@
 		c.repeats(at, k)
 	}
 	attempts := c.attempts(k)
-	if file.Retries != nil && attempts > 0 && *file.Retries >= attempts {
-		c.warn("retries-over-attempts", at+".retries", fmt.Sprint(*file.Retries), fmt.Sprintf("%d at most", attempts-1))
+	if file.MaxRetries != nil && attempts > 0 && *file.MaxRetries >= attempts {
+		c.warn("retries-over-attempts", at+".retries", fmt.Sprint(*file.MaxRetries), fmt.Sprintf("%d at most", attempts-1))
 	}
-	if file.SecondCopies != nil && *file.SecondCopies && attempts == 1 {
+	if file.Hedging != nil && *file.Hedging && attempts == 1 {
 		c.warn("copies-over-attempts", at+".second_copies", "true", "false with one attempt")
 	}
 }
 
 // attempts is the most attempts of a class, 0 for no bound.
 func (c *checker) attempts(k balance.Class) int {
-	n := c.merged.Module.Limits.MaxAttempts
+	n := c.merged.BalancerConfig.Limits.MaxAttempts
 	if k.MaxAttempts > 0 && (n == 0 || k.MaxAttempts < n) {
 		n = k.MaxAttempts
 	}
@@ -298,47 +298,47 @@
 
 // times checks that a class's times fit in one another.
 func (c *checker) times(at string, k balance.Class, file *config.Class) {
-	wanted, deadline := k.Goal, k.Deadline
-	if i, ok := c.merged.Classes[k.Name]; ok && c.platform != nil { // as they were asked for
-		wanted = cmp.Or(file.Wanted, c.platform.Module.Classes[i].Goal)
+	wanted, deadline := k.TargetLatency, k.Deadline
+	if i, ok := c.merged.ClassIndex[k.Name]; ok && c.platform != nil { // as they were asked for
+		wanted = cmp.Or(file.TargetLatency, c.platform.BalancerConfig.Classes[i].TargetLatency)
 	} else {
-		wanted = cmp.Or(file.Wanted, wanted)
+		wanted = cmp.Or(file.TargetLatency, wanted)
 	}
-	show := config.FormatTime
+	show := config.FormatDuration
 	if wanted > 0 && deadline > 0 && wanted > deadline {
 		c.refuse("wanted-past-deadline", at+".wanted", show(wanted), "from 1ms to the deadline, "+show(deadline))
 	}
-	switch within := k.RetryWithin; {
+	switch within := k.RetryStartWindow; {
 	case within > 0 && deadline > 0 && within > deadline:
 		c.refuse("retry-past-deadline", at+".retry_within", show(within), show(wanted)+" at most, the time that the answer is wanted within")
 	case within > 0 && wanted > 0 && within > wanted:
 		c.refuse("retry-past-wanted", at+".retry_within", show(within), show(wanted)+" at most, the time that the answer is wanted within")
 	}
-	if k.Goal == 0 {
+	if k.TargetLatency == 0 {
 		return
 	}
-	margin, connect, probe := c.settings.Callers.AnswerMargin, c.merged.ConnectTime(), c.settings.Probe.Time
-	kept := 2 * min(margin, k.Goal/10)
-	if margin > k.Goal/10 {
-		c.warn("margin-over-tenth", "callers.answer_margin", show(margin), show(k.Goal/10)+" at most for class "+k.Name)
+	margin, connect, probe := c.settings.Callers.ResponseMargin, c.merged.ConnectTimeout(), c.settings.Probe.Timeout
+	kept := 2 * min(margin, k.TargetLatency/10)
+	if margin > k.TargetLatency/10 {
+		c.warn("margin-over-tenth", "callers.answer_margin", show(margin), show(k.TargetLatency/10)+" at most for class "+k.Name)
 	}
 	switch {
-	case 2*margin >= k.Goal && c.given("callers.answer_margin"):
-		c.refuse("margin-past-wanted", "callers.answer_margin", show(margin), "under half of "+show(k.Goal)+", wanted of class "+k.Name)
-	case connect+kept >= k.Goal && (c.platform != nil && c.platform.Module.Limits.ConnectTimeout > 0 || c.given("endpoints.connect_time", at+".wanted")):
-		c.refuse("connect-past-wanted", "endpoints.connect_time", show(connect), "under "+show(k.Goal-kept)+" for class "+k.Name)
-	case c.stated(at, "attempts") && c.attempts(k) > 1 && connect*time.Duration(c.attempts(k))+kept > k.Goal:
+	case 2*margin >= k.TargetLatency && c.given("callers.answer_margin"):
+		c.refuse("margin-past-wanted", "callers.answer_margin", show(margin), "under half of "+show(k.TargetLatency)+", wanted of class "+k.Name)
+	case connect+kept >= k.TargetLatency && (c.platform != nil && c.platform.BalancerConfig.Limits.ConnectTimeout > 0 || c.given("endpoints.connect_time", at+".wanted")):
+		c.refuse("connect-past-wanted", "endpoints.connect_time", show(connect), "under "+show(k.TargetLatency-kept)+" for class "+k.Name)
+	case c.stated(at, "attempts") && c.attempts(k) > 1 && connect*time.Duration(c.attempts(k))+kept > k.TargetLatency:
 		key := at + ".attempts"
 		if !c.given(key) {
 			key = "fleet.attempts"
 		}
 		c.refuse("attempts-past-wanted", key, fmt.Sprintf("%d attempts of %s", c.attempts(k), show(connect)),
-			fmt.Sprintf("%s together, for class %s; that is %d", show(k.Goal-kept), k.Name, max((k.Goal-kept)/connect, 1)))
+			fmt.Sprintf("%s together, for class %s; that is %d", show(k.TargetLatency-kept), k.Name, max((k.TargetLatency-kept)/connect, 1)))
 	}
-	if probe >= k.Goal && c.given("probe.time", at+".wanted") {
-		c.refuse("probe-past-wanted", "probe.time", show(probe), "under "+show(k.Goal)+", wanted of class "+k.Name)
+	if probe >= k.TargetLatency && c.given("probe.time", at+".wanted") {
+		c.refuse("probe-past-wanted", "probe.time", show(probe), "under "+show(k.TargetLatency)+", wanted of class "+k.Name)
 	}
-	if within := k.RetryWithin; within > 0 && within < connect {
+	if within := k.RetryStartWindow; within > 0 && within < connect {
 		c.warn("retry-idle", at+".retry_within", show(within), show(connect)+" or more, or a shorter connect_time")
 	}
 }
@@ -348,15 +348,15 @@
 	return c.given(at+"."+key, "fleet."+key, "endpoints.connect_time", at+".wanted")
 }
 
-// LastBegin is when the last attempt of a class may begin after its request came, and whether
+// LatestAttemptStart is when the last attempt of a class may begin after its request came, and whether
 // one beyond the first may.
-func LastBegin(k balance.Class, attempts int) (time.Duration, bool) {
+func LatestAttemptStart(k balance.Class, attempts int) (time.Duration, bool) {
 	last := k.Deadline
-	if k.LateShare == 0 {
-		last = min(last, k.Goal)
+	if k.LateValueShare == 0 {
+		last = min(last, k.TargetLatency)
 	}
-	if k.RetryWithin > 0 {
-		last = min(last, k.RetryWithin)
+	if k.RetryStartWindow > 0 {
+		last = min(last, k.RetryStartWindow)
 	}
 	return last, attempts != 1
 }
@@ -369,11 +369,11 @@
 		}
 		return
 	}
-	show := config.FormatTime
-	last, more := LastBegin(k, c.attempts(k))
+	show := config.FormatDuration
+	last, more := LatestAttemptStart(k, c.attempts(k))
 	if more && last >= k.RepeatWindow {
 		key := at + ".repeat_window"
-		if k.RetryWithin == last {
+		if k.RetryStartWindow == last {
 			key = at + ".retry_within"
 		}
 		c.refuse("late-repeat", key, "an attempt "+show(last)+" after the request came", "under the repeat window, "+show(k.RepeatWindow))
@@ -384,16 +384,16 @@
 }
 
 func (c *checker) drains() {
-	m, show := c.merged.Module, config.FormatTime
+	m, show := c.merged.BalancerConfig, config.FormatDuration
 	// Where a platform gives a grace, that is the measure, see looser.
-	if c.platform == nil || c.platform.Module.DrainGrace == 0 {
+	if c.platform == nil || c.platform.BalancerConfig.DrainGrace == 0 {
 		if grace := c.settings.Fleet.DrainGrace; grace > mostDrainGrace {
 			c.refuse("drain-grace", "fleet.drain_grace", show(grace), show(mostDrainGrace)+" at most")
 		}
 	}
 	w := c.settings.Discovery
-	asked := c.settings.Fleet.List == "ask" || m.AskDiscovery
-	if call, most := w.PushWait+w.PushAnswer+w.Pause, cmp.Or(m.DrainGrace, mostDrainGrace); !asked && call > most &&
+	asked := c.settings.Fleet.DiscoveryMode == "ask" || m.MustSubscribe
+	if call, most := w.PushWait+w.PushResponseTimeout+w.MinPause, cmp.Or(m.DrainGrace, mostDrainGrace); !asked && call > most &&
 		c.given("discovery.push_wait", "discovery.push_answer", "discovery.pause", "fleet.drain_grace") {
 		key := "discovery.push_wait"
 		for _, k := range []string{"discovery.push_answer", "discovery.pause", "fleet.drain_grace"} {
@@ -401,48 +401,48 @@
 				key = k
 			}
 		}
-		c.refuse("drain-unheard", key, show(w.PushWait)+" + "+show(w.PushAnswer)+" + "+show(w.Pause), show(most)+" together at most")
+		c.refuse("drain-unheard", key, show(w.PushWait)+" + "+show(w.PushResponseTimeout)+" + "+show(w.MinPause), show(most)+" together at most")
 	}
 }
 
 func (c *checker) cold() {
-	m := c.merged.Module
-	if at := c.settings.Fleet.ColdTime; c.alone && at > 0 && at < leastCold && m.ColdShare < 1 {
-		c.refuse("cold-instant", "fleet.cold_time", config.FormatTime(at), fmt.Sprintf("%s or more with cold_share %g", config.FormatTime(leastCold), m.ColdShare))
+	m := c.merged.BalancerConfig
+	if at := c.settings.Fleet.WarmupTime; c.alone && at > 0 && at < leastCold && m.ColdCapacityShare < 1 {
+		c.refuse("cold-instant", "fleet.cold_time", config.FormatDuration(at), fmt.Sprintf("%s or more with cold_share %g", config.FormatDuration(leastCold), m.ColdCapacityShare))
 	}
-	if m.Me >= m.Balancers && (c.alone || c.platform != nil) && m.Balancers > 0 {
-		c.refuse("sidecar-number", "fleet.number", fmt.Sprint(m.Me), fmt.Sprintf("0 to %d", m.Balancers-1))
+	if m.SidecarIndex >= m.SidecarCount && (c.alone || c.platform != nil) && m.SidecarCount > 0 {
+		c.refuse("sidecar-number", "fleet.number", fmt.Sprint(m.SidecarIndex), fmt.Sprintf("0 to %d", m.SidecarCount-1))
 	}
 }
 
 // shutdown checks the end against the platform's; another installation sets its own.
 func (c *checker) shutdown() {
-	end, show := c.settings.Shutdown, config.FormatTime
+	end, show := c.settings.Shutdown, config.FormatDuration
 	if c.platform == nil {
 		return
 	}
-	if end.Linger < leastLinger {
-		c.refuse("linger-short", "shutdown.linger", show(end.Linger), show(leastLinger)+" or more")
+	if end.AcceptGrace < leastLinger {
+		c.refuse("linger-short", "shutdown.linger", show(end.AcceptGrace), show(leastLinger)+" or more")
 	}
-	if end.Linger+end.Spare > killAfter {
+	if end.AcceptGrace+end.DeadlineMargin > killAfter {
 		key := "shutdown.linger"
 		if !c.given(key) {
 			key = "shutdown.spare"
 		}
-		c.refuse("shutdown-past-kill", key, show(end.Linger)+" + "+show(end.Spare), show(killAfter)+" together at most")
+		c.refuse("shutdown-past-kill", key, show(end.AcceptGrace)+" + "+show(end.DeadlineMargin), show(killAfter)+" together at most")
 	}
 }
 
 func (c *checker) callers() {
-	k, show := c.settings.Callers, config.FormatTime
-	if c.platform != nil && k.IdleTime < leastIdle {
-		c.refuse("idle-short", "callers.idle_time", show(k.IdleTime), show(leastIdle)+" or more")
+	k, show := c.settings.Callers, config.FormatDuration
+	if c.platform != nil && k.IdleTimeout < leastIdle {
+		c.refuse("idle-short", "callers.idle_time", show(k.IdleTimeout), show(leastIdle)+" or more")
 	}
-	if k.HeadTime+k.BodyTime > endCallers {
-		c.warn("slow-callers", "callers.head_time", show(k.HeadTime)+" + "+show(k.BodyTime), show(endCallers)+" together")
+	if k.HeadTimeout+k.BodyTimeout > endCallers {
+		c.warn("slow-callers", "callers.head_time", show(k.HeadTimeout)+" + "+show(k.BodyTimeout), show(endCallers)+" together")
 	}
-	if connect := c.merged.ConnectTime(); c.settings.Probe.Time < connect && c.given("probe.time", "endpoints.connect_time") {
-		c.warn("probe-under-connect", "probe.time", show(c.settings.Probe.Time), show(connect)+" or more")
+	if connect := c.merged.ConnectTimeout(); c.settings.Probe.Timeout < connect && c.given("probe.time", "endpoints.connect_time") {
+		c.warn("probe-under-connect", "probe.time", show(c.settings.Probe.Timeout), show(connect)+" or more")
 	}
 }
 
@@ -454,8 +454,8 @@
 		key, heldKey string
 		most, held   config.Size
 	}{
-		{"streams.max_body", "callers.max_body", s.MaxBody, c.settings.Callers.MaxBody},
-		{"streams.max_answer", "endpoints.max_answer", s.MaxAnswer, c.settings.Endpoints.MaxAnswer},
+		{"streams.max_body", "callers.max_body", s.MaxRequestBody, c.settings.Callers.MaxRequestBody},
+		{"streams.max_answer", "endpoints.max_answer", s.MaxResponseBody, c.settings.Endpoints.MaxResponseBody},
 	} {
 		if b.most == 0 {
 			continue
@@ -470,13 +470,13 @@
 	for _, b := range []struct {
 		key, allKey string
 		one, all    config.Size
-	}{{"streams.memory", "streams.memory_all", s.Memory, s.MemoryAll}, {"streams.file", "streams.files_all", s.File, s.FilesAll}} {
+	}{{"streams.memory", "streams.memory_all", s.MaxMemoryPerBody, s.MaxMemoryTotal}, {"streams.file", "streams.files_all", s.MaxFilePerBody, s.MaxFilesTotal}} {
 		if b.one > 0 && b.all < b.one-min(s.Window, b.one) {
 			c.refuse("streams-kept", b.key, size(b.one), size(b.all)+" at most, which "+b.allKey+" is")
 		}
 	}
-	if most := c.merged.CallerConnections(); s.Takes() && s.Open > most {
-		c.refuse("streams-open", "streams.open", fmt.Sprint(s.Open), fmt.Sprintf("%d at most, the connections of callers", most))
+	if most := c.merged.MaxCallerConnections(); s.RequestsEnabled() && s.MaxOpenRequests > most {
+		c.refuse("streams-open", "streams.open", fmt.Sprint(s.MaxOpenRequests), fmt.Sprintf("%d at most, the connections of callers", most))
 	}
 }
 
@@ -485,14 +485,14 @@
 func (c *checker) flowing() float64 {
 	s := &c.settings.Streams
 	held := 0.0
-	if s.Takes() {
-		held += float64(s.Open)*float64(s.Limits().Held()) + float64(s.MemoryAll)
+	if s.RequestsEnabled() {
+		held += float64(s.MaxOpenRequests)*float64(s.BodyLimits().MaxBufferBytes()) + float64(s.MaxMemoryTotal)
 		if s.RAMDisk != nil && *s.RAMDisk {
-			held += float64(s.FilesAll)
+			held += float64(s.MaxFilesTotal)
 		}
 	}
-	if s.MaxAnswer > 0 {
-		held += float64(c.merged.CallerConnections()) * float64(max(s.Look, body.Block))
+	if s.MaxResponseBody > 0 {
+		held += float64(c.merged.MaxCallerConnections()) * float64(max(s.ResponseCommitThreshold, body.BlockSize))
 	}
 	return held
 }
@@ -500,22 +500,22 @@
 // room checks descriptors and memory at the worst.
 func (c *checker) room() {
 	s, m := c.settings, c.merged
-	callers, endpoints := m.CallerConnections(), m.EndpointConnections()
-	if sum := callers + endpoints + m.Files() + config.ReservedSockets; sum > m.Limits.Sockets {
+	callers, endpoints := m.MaxCallerConnections(), m.MaxEndpointConnections()
+	if sum := callers + endpoints + m.MaxBodyFiles() + config.ReservedSockets; sum > m.Limits.Sockets {
 		key := "callers.connections"
 		for _, k := range []string{"endpoints.connections", "limits.sockets", "streams.open", "streams.file"} {
 			if !c.given(key) {
 				key = k
 			}
 		}
-		c.refuse("descriptors", key, fmt.Sprintf("%d for callers, %d for endpoints, %d for files and %d in reserve", callers, endpoints, m.Files(), config.ReservedSockets),
+		c.refuse("descriptors", key, fmt.Sprintf("%d for callers, %d for endpoints, %d for files and %d in reserve", callers, endpoints, m.MaxBodyFiles(), config.ReservedSockets),
 			fmt.Sprintf("%d together", m.Limits.Sockets))
 		return // what so many would hold says nothing
 	}
 	memory := float64(m.Limits.MemoryMB) * (1 << 20)
-	held := float64(callers) * float64(s.Callers.MaxHead+s.Callers.MaxBody+s.Endpoints.MaxAnswer)
+	held := float64(callers) * float64(s.Callers.MaxRequestHead+s.Callers.MaxRequestBody+s.Endpoints.MaxResponseBody)
 	flowing := c.flowing()
-	all := held + flowing + float64(callers+endpoints)*perConnection + float64(endpoints)*float64(s.Endpoints.MaxAnswerHead+s.Endpoints.MaxAnswer)
+	all := held + flowing + float64(callers+endpoints)*perConnection + float64(endpoints)*float64(s.Endpoints.MaxResponseHead+s.Endpoints.MaxResponseBody)
 	found := func(v float64) string { return config.Size(math.Round(v/(1<<20))*(1<<20)).String() + " at the worst" }
 	allowed := config.Size(memory).String()
 	keys := []string{"callers.max_body", "endpoints.max_answer", "callers.connections", "callers.max_head", "limits.memory", "limits.sockets"}
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -26,10 +26,10 @@
 // The library's decoder stops at the first wrong value and knows no bounds, so the schema is
 // walked beside its parser; what a valid document is stays the library's word.
 func ParseSettings(file string, text []byte) (*Settings, []Finding) {
-	d := &decoder{file: file, out: Default(), seen: make(map[string]Position)}
+	d := &decoder{file: file, out: DefaultSettings(), seen: make(map[string]Position)}
 	d.out.given = d.seen
-	if len(text) > MaxSettings {
-		d.add(Finding{Rule: RuleUnreadable, Found: fmt.Sprintf("%d bytes", len(text)), Allowed: Size(MaxSettings).String() + " at most"})
+	if len(text) > MaxSettingsBytes {
+		d.add(Finding{Rule: RuleUnreadable, Found: fmt.Sprintf("%d bytes", len(text)), Allowed: Size(MaxSettingsBytes).String() + " at most"})
 		return d.out, d.findings
 	}
 	// Editors of some systems put a byte order mark first, which is no part of the document.
@@ -45,7 +45,7 @@
 		return d.out, d.findings
 	}
 	d.document()
-	if at, ok := d.seen["schema"]; ok && d.out.Schema > Schema {
+	if at, ok := d.seen["schema"]; ok && d.out.SchemaVersion > SchemaVersion {
 		d.newer(at)
 		return d.out, d.findings
 	}
@@ -67,13 +67,13 @@
 
 // LoadSettings reads an operators' file.
 func LoadSettings(path string) (*Settings, []Finding) {
-	text, err := ReadFile(path, MaxSettings)
+	text, err := ReadFile(path, MaxSettingsBytes)
 	if err != nil {
-		f := Finding{Rule: RuleUnreadable, Level: Refused, File: path, Found: err.Error()}
-		if errors.Is(err, ErrTooLong) {
-			f.Allowed = Size(MaxSettings).String() + " at most"
+		f := Finding{Rule: RuleUnreadable, Level: LevelRefused, File: path, Found: err.Error()}
+		if errors.Is(err, ErrFileTooLarge) {
+			f.Allowed = Size(MaxSettingsBytes).String() + " at most"
 		}
-		return Default(), []Finding{f}
+		return DefaultSettings(), []Finding{f}
 	}
 	return ParseSettings(path, text)
 }
@@ -101,7 +101,7 @@
 }
 
 func (d *decoder) add(f Finding) {
-	f.File, f.Level = d.file, Refused
+	f.File, f.Level = d.file, LevelRefused
 	if len(d.findings) < maxFindings {
 		d.findings = append(d.findings, f)
 	}
@@ -211,7 +211,7 @@
 		return false
 	}
 	if array || to.Kind() != reflect.Struct && to.Kind() != reflect.Map {
-		d.addAt(last.at, Finding{Rule: RuleType, Key: path, Found: "a table", Allowed: d.allowed(key)})
+		d.addAt(last.at, Finding{Rule: RuleWrongType, Key: path, Found: "a table", Allowed: d.allowed(key)})
 		return false
 	}
 	if first, ok := d.seen[path]; ok {
@@ -253,7 +253,7 @@
 		switch at.Kind() {
 		case reflect.Map:
 			if err := checkText("name", p.name); err != nil {
-				d.addAt(p.at, Finding{Rule: RuleRange, Key: path, Found: strconv.Quote(p.name), Allowed: "a name"})
+				d.addAt(p.at, Finding{Rule: RuleOutOfRange, Key: path, Found: strconv.Quote(p.name), Allowed: "a name"})
 				return at, false
 			}
 			if at.IsNil() {
@@ -262,7 +262,7 @@
 			name := reflect.ValueOf(p.name)
 			if !at.MapIndex(name).IsValid() {
 				if at.Len() >= maxClasses {
-					d.addAt(p.at, Finding{Rule: RuleRange, Key: path, Found: "one more", Allowed: fmt.Sprintf("%d at most", maxClasses)})
+					d.addAt(p.at, Finding{Rule: RuleOutOfRange, Key: path, Found: "one more", Allowed: fmt.Sprintf("%d at most", maxClasses)})
 					return at, false
 				}
 				at.SetMapIndex(name, reflect.New(at.Type().Elem().Elem()))
@@ -279,7 +279,7 @@
 			}
 			at = at.FieldByIndex(f.Index)
 		default:
-			d.addAt(p.at, Finding{Rule: RuleType, Key: join(key[:i]), Found: "a table", Allowed: d.allowed(key[:i])})
+			d.addAt(p.at, Finding{Rule: RuleWrongType, Key: join(key[:i]), Found: "a table", Allowed: d.allowed(key[:i])})
 			return at, false
 		}
 	}
@@ -287,9 +287,9 @@
 }
 
 func (d *decoder) unknown(in reflect.Type, p part, path string) {
-	f := Finding{Rule: RuleUnknown, Key: path, Found: quoteKey(p.name), Allowed: strings.Join(names(in), ", ")}
+	f := Finding{Rule: RuleUnknownKey, Key: path, Found: quoteKey(p.name), Allowed: strings.Join(names(in), ", ")}
 	if near := nearest(p.name, names(in)); near != "" {
-		f.Mend = "did you mean " + near + "?"
+		f.Fix = "did you mean " + near + "?"
 	}
 	d.addAt(p.at, f)
 }
@@ -305,7 +305,7 @@
 	path, last := join(full), full[len(full)-1]
 	if to.Kind() == reflect.Struct || to.Kind() == reflect.Map {
 		if e.Value().Kind != unstable.InlineTable {
-			d.addAt(last.at, Finding{Rule: RuleType, Key: path, Found: d.found(e.Value()), Allowed: d.allowed(full)})
+			d.addAt(last.at, Finding{Rule: RuleWrongType, Key: path, Found: d.found(e.Value()), Allowed: d.allowed(full)})
 			return
 		}
 		if first, ok := d.seen[path]; ok {
@@ -366,43 +366,43 @@
 	switch {
 	case to.Type() == timeType, to.Type() == sizeType:
 		if !isText {
-			wrong(RuleType, k.Allowed()+", in quotes and with a unit")
+			wrong(RuleWrongType, k.Allowed()+", in quotes and with a unit")
 		} else if err := scalar(to, string(n.Data)); err != nil {
-			wrong(RuleRange, k.Allowed())
+			wrong(RuleOutOfRange, k.Allowed())
 		} else if !inRange(to, k) {
-			wrong(RuleRange, k.Allowed())
+			wrong(RuleOutOfRange, k.Allowed())
 		}
 	case to.Kind() == reflect.Int:
 		v, err := strconv.ParseInt(strings.ReplaceAll(string(n.Data), "_", ""), 0, 64)
 		if n.Kind != unstable.Integer {
-			wrong(RuleType, k.Allowed())
+			wrong(RuleWrongType, k.Allowed())
 		} else if to.SetInt(v); err != nil || !inRange(to, k) {
-			wrong(RuleRange, k.Allowed())
+			wrong(RuleOutOfRange, k.Allowed())
 		}
 	case to.Kind() == reflect.Float64:
 		v, err := strconv.ParseFloat(strings.ReplaceAll(string(n.Data), "_", ""), 64)
 		if n.Kind != unstable.Integer && n.Kind != unstable.Float {
-			wrong(RuleType, k.Allowed())
+			wrong(RuleWrongType, k.Allowed())
 		} else if to.SetFloat(v); err != nil || !inRange(to, k) {
-			wrong(RuleRange, k.Allowed())
+			wrong(RuleOutOfRange, k.Allowed())
 		}
 	case to.Kind() == reflect.Bool:
 		if n.Kind != unstable.Bool {
-			wrong(RuleType, k.Allowed())
+			wrong(RuleWrongType, k.Allowed())
 		}
 		to.SetBool(string(n.Data) == "true")
 	case to.Kind() == reflect.String:
 		text := string(n.Data)
 		if !isText {
-			wrong(RuleType, k.Allowed()+", in quotes")
+			wrong(RuleWrongType, k.Allowed()+", in quotes")
 		} else if len(k.Choices) > 0 && !slices.Contains(k.Choices, text) {
-			f := Finding{Rule: RuleRange, Key: path, Found: d.found(n), Allowed: k.Allowed()}
+			f := Finding{Rule: RuleOutOfRange, Key: path, Found: d.found(n), Allowed: k.Allowed()}
 			if near := nearest(text, k.Choices); near != "" {
-				f.Mend = "did you mean " + strconv.Quote(near) + "?"
+				f.Fix = "did you mean " + strconv.Quote(near) + "?"
 			}
 			d.addAt(at, f)
 		} else if checkText(f.Tag.Get("kind"), text) != nil {
-			wrong(RuleRange, k.Allowed())
+			wrong(RuleOutOfRange, k.Allowed())
 		}
 		to.SetString(text)
 	case to.Kind() == reflect.Slice:
@@ -437,7 +437,7 @@
 func (d *decoder) list(to reflect.Value, f reflect.StructField, key []part, n *unstable.Node) {
 	path, at, allowed := join(key), key[len(key)-1].at, typeName(f)
 	if n.Kind != unstable.Array {
-		d.addAt(at, Finding{Rule: RuleType, Key: path, Found: d.found(n), Allowed: allowed})
+		d.addAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.found(n), Allowed: allowed})
 		return
 	}
 	var out []string
@@ -446,14 +446,14 @@
 		text := string(e.Data)
 		switch {
 		case e.Kind != unstable.String:
-			d.addAt(at, Finding{Rule: RuleType, Key: path, Found: d.found(e), Allowed: allowed})
+			d.addAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.found(e), Allowed: allowed})
 		case checkText(f.Tag.Get("kind"), text) != nil:
-			d.addAt(at, Finding{Rule: RuleRange, Key: path, Found: d.found(e), Allowed: allowed})
+			d.addAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: d.found(e), Allowed: allowed})
 		case slices.Contains(out, text):
 			d.addAt(at, Finding{Rule: RuleDuplicate, Key: path, Found: d.found(e) + " twice", Allowed: "once"})
 		}
 		if out = append(out, text); len(out) > maxList {
-			d.addAt(at, Finding{Rule: RuleRange, Key: path, Found: "a longer list", Allowed: fmt.Sprintf("%d elements at most", maxList)})
+			d.addAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: "a longer list", Allowed: fmt.Sprintf("%d elements at most", maxList)})
 			break
 		}
 	}
@@ -464,9 +464,9 @@
 func (d *decoder) newer(at Position) {
 	d.findings = nil
 	d.addAt(at, Finding{
-		Rule: RuleSchema, Key: "schema", Found: strconv.Itoa(d.out.Schema), Allowed: strconv.Itoa(Schema),
+		Rule: RuleSchemaVersion, Key: "schema", Found: strconv.Itoa(d.out.SchemaVersion), Allowed: strconv.Itoa(SchemaVersion),
 		Reason: "the file is written for a newer program, and its keys may mean something else there",
-		Mend:   "run the program that the file is for, or write the file anew with drumctl config write",
+		Fix:    "run the program that the file is for, or write the file anew with drumctl config write",
 	})
 }
 
@@ -478,7 +478,7 @@
 		if part.Field(i).Kind() == reflect.Struct {
 			d.missing(part.Field(i), key+".")
 		} else if _, ok := d.seen[prefix+key]; !ok && f.Tag.Get("required") != "" {
-			d.add(Finding{Rule: RuleMissing, Key: prefix + key, Found: "nothing", Allowed: keyOf(f).Allowed()})
+			d.add(Finding{Rule: RuleMissingKey, Key: prefix + key, Found: "nothing", Allowed: keyOf(f).Allowed()})
 		}
 	}
 }
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -8,9 +8,9 @@
 
 // Change is a value that differs between two settings. An empty text is one that is not set.
 type Change struct {
-	Path     string `json:"key"`
-	From, To string
-	Live     bool `json:"live"` // SIGHUP has it take effect
+	Path       string `json:"key"`
+	From, To   string
+	Reloadable bool `json:"live"` // SIGHUP has it take effect
 }
 
 func (c Change) String() string {
@@ -32,13 +32,13 @@
 	var out []Change
 	for _, v := range to {
 		if old, ok := was[v.Path]; !ok || old.Text != v.Text {
-			out = append(out, Change{v.Path, old.Text, v.Text, v.Live})
+			out = append(out, Change{v.Path, old.Text, v.Text, v.Reloadable})
 		}
 		delete(was, v.Path)
 	}
 	for _, v := range from {
 		if _, ok := was[v.Path]; ok {
-			out = append(out, Change{v.Path, v.Text, "", v.Live})
+			out = append(out, Change{v.Path, v.Text, "", v.Reloadable})
 		}
 	}
 	slices.SortFunc(out, func(x, y Change) int { return strings.Compare(x.Path, y.Path) })
--- a/internal/config/finding.go
+++ b/internal/config/finding.go
@@ -10,8 +10,8 @@
 
 // The levels. A file with a refusal is not run with; a warning is legal and unwise.
 const (
-	Refused Level = "refused"
-	Warning Level = "warning"
+	LevelRefused Level = "refused"
+	LevelWarning Level = "warning"
 )
 
 // Position is a place in a file, from 1; 0 is none. Columns count bytes.
@@ -30,7 +30,7 @@
 	Found    string `json:"found,omitempty"`
 	Allowed  string `json:"allowed,omitempty"`
 	Reason   string `json:"reason,omitempty"` // what would go wrong
-	Mend     string `json:"mend,omitempty"`   // what to do
+	Fix      string `json:"mend,omitempty"`   // what to do
 }
 
 // String is the finding in a line, as a compiler would write it.
@@ -45,7 +45,7 @@
 	}
 	fmt.Fprintf(&b, "%s [%s]", f.Level, f.Rule)
 	for _, part := range []struct{ before, text string }{
-		{" ", f.Key}, {": found ", f.Found}, {"; allowed: ", f.Allowed}, {"; ", f.Reason}, {"; mend: ", f.Mend},
+		{" ", f.Key}, {": found ", f.Found}, {"; allowed: ", f.Allowed}, {"; ", f.Reason}, {"; mend: ", f.Fix},
 	} {
 		if part.text != "" {
 			b.WriteString(part.before + part.text)
@@ -54,10 +54,10 @@
 	return b.String()
 }
 
-// Failed tells whether a file with these findings is refused.
-func Failed(findings []Finding) bool {
+// HasRefusal tells whether a file with these findings is refused.
+func HasRefusal(findings []Finding) bool {
 	for _, f := range findings {
-		if f.Level == Refused {
+		if f.Level == LevelRefused {
 			return true
 		}
 	}
@@ -66,13 +66,13 @@
 
 // The rules of reading a file. Those of what it says are internal/check's.
 const (
-	RuleUnreadable = "unreadable"     // the file can't be opened, is too long, or changes as it is read
-	RuleSyntax     = "syntax"         // it is not TOML, or not JSON
-	RuleUnknown    = "unknown-key"    // it has a key that means nothing
-	RuleType       = "wrong-type"     // a value is of another type than its key's
-	RuleDuplicate  = "duplicate"      // a key, a table or an element of a list is given twice
-	RuleRange      = "out-of-range"   // a value is not among those allowed
-	RuleMissing    = "missing-key"    // a key is left out that is needed
-	RuleSchema     = "schema-version" // the file is written for another version of the program
-	RulePlatform   = "platform"       // a platform's configuration has a value that can't be used
+	RuleUnreadable      = "unreadable"     // the file can't be opened, is too long, or changes as it is read
+	RuleSyntax          = "syntax"         // it is not TOML, or not JSON
+	RuleUnknownKey      = "unknown-key"    // it has a key that means nothing
+	RuleWrongType       = "wrong-type"     // a value is of another type than its key's
+	RuleDuplicate       = "duplicate"      // a key, a table or an element of a list is given twice
+	RuleOutOfRange      = "out-of-range"   // a value is not among those allowed
+	RuleMissingKey      = "missing-key"    // a key is left out that is needed
+	RuleSchemaVersion   = "schema-version" // the file is written for another version of the program
+	RuleInvalidPlatform = "platform"       // a platform's configuration has a value that can't be used
 )
--- a/internal/config/kinds.go
+++ b/internal/config/kinds.go
@@ -55,8 +55,8 @@
 	return fmt.Sprintf("%dB", int64(s))
 }
 
-// parseTime reads a time, such as "1540ms" or "1m30s".
-func parseTime(text string) (time.Duration, error) {
+// parseDuration reads a time, such as "1540ms" or "1m30s".
+func parseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return 0, fmt.Errorf("%q is not a time such as \"1540ms\"", text)
@@ -64,8 +64,8 @@
 	return d, nil
 }
 
-// FormatTime writes a time as people write it: "1540ms" and "10s", not "1.54s" and "1m40s".
-func FormatTime(d time.Duration) string {
+// FormatDuration writes a time as people write it: "1540ms" and "10s", not "1.54s" and "1m40s".
+func FormatDuration(d time.Duration) string {
 	for _, u := range []struct {
 		name string
 		d    time.Duration
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -20,7 +20,7 @@
 
 // The reserve of descriptors for the listener, discovery, the runtime, the log and the
 // configuration, and the fewest that a sidecar can do with.
-const ReservedSockets, LeastSockets = 24, 64
+const ReservedSockets, MinSockets = 24, 64
 
 // What holds where neither the platform nor the file says anything.
 const (
@@ -28,35 +28,35 @@
 	defaultKeepAlive   = 10 * time.Second
 )
 
-// CallerConnections is how many connections callers may have open: a third of the descriptors
+// MaxCallerConnections is how many connections callers may have open: a third of the descriptors
 // unless the file says otherwise, which is what they need at most for the requests that they
 // may hold.
-func (c *Config) CallerConnections() int {
-	return cmp.Or(c.Settings.Callers.Connections, c.Limits.Sockets/3)
+func (c *Config) MaxCallerConnections() int {
+	return cmp.Or(c.Settings.Callers.MaxConnections, c.Limits.Sockets/3)
 }
 
-// Files is how many bodies may be kept in files: each takes a descriptor.
-func (c *Config) Files() int {
-	if s := &c.Settings.Streams; s.Takes() && s.File > 0 {
-		return s.Open
+// MaxBodyFiles is how many bodies may be kept in files: each takes a descriptor.
+func (c *Config) MaxBodyFiles() int {
+	if s := &c.Settings.Streams; s.RequestsEnabled() && s.MaxFilePerBody > 0 {
+		return s.MaxOpenRequests
 	}
 	return 0
 }
 
-// EndpointConnections is how many connections to endpoints may be open: the rest.
-func (c *Config) EndpointConnections() int {
-	rest := c.Limits.Sockets - c.CallerConnections() - ReservedSockets - c.Files()
-	return cmp.Or(c.Settings.Endpoints.Connections, max(rest, 1))
+// MaxEndpointConnections is how many connections to endpoints may be open: the rest.
+func (c *Config) MaxEndpointConnections() int {
+	rest := c.Limits.Sockets - c.MaxCallerConnections() - ReservedSockets - c.MaxBodyFiles()
+	return cmp.Or(c.Settings.Endpoints.MaxConnections, max(rest, 1))
 }
 
-// ConnectTime is how long a connection to an endpoint may take to come up.
-func (c *Config) ConnectTime() time.Duration {
-	return cmp.Or(c.Module.Limits.ConnectTimeout, defaultConnectTime)
+// ConnectTimeout is how long a connection to an endpoint may take to come up.
+func (c *Config) ConnectTimeout() time.Duration {
+	return cmp.Or(c.BalancerConfig.Limits.ConnectTimeout, defaultConnectTime)
 }
 
-// KeepAlive is how long an endpoint keeps an idle connection at the least.
-func (c *Config) KeepAlive() time.Duration {
-	return cmp.Or(c.Module.Limits.KeepAlive, defaultKeepAlive)
+// KeepAliveTimeout is how long an endpoint keeps an idle connection at the least.
+func (c *Config) KeepAliveTimeout() time.Duration {
+	return cmp.Or(c.BalancerConfig.Limits.KeepAlive, defaultKeepAlive)
 }
 
 // ProbePath is what a probe asks an endpoint for by these settings.
@@ -64,7 +64,7 @@
 	if s.Probe.Path != "" {
 		return s.Probe.Path
 	}
-	if c.Module.Reporting == balance.ReportsNone {
+	if c.BalancerConfig.Reporting == balance.ReportsNone {
 		return "/healthz"
 	}
 	return "/load"
@@ -75,7 +75,7 @@
 var scopes = map[string]balance.Scope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 
 var reports = map[string]balance.Reporting{
-	"probe": balance.ReportsProbe, "answers": balance.ReportsInAnswer, "none": balance.ReportsNone,
+	"probe": balance.ReportsInProbe, "answers": balance.ReportsInResponse, "none": balance.ReportsNone,
 }
 
 // SemanticsName and ScopeName are what the file calls the module's values.
@@ -102,14 +102,14 @@
 		p = standalone(s)
 	} else {
 		narrowed := *p
-		narrowed.Module.Classes = slices.Clone(p.Module.Classes)
+		narrowed.BalancerConfig.Classes = slices.Clone(p.BalancerConfig.Classes)
 		p = &narrowed
 	}
 	c := &Config{Platform: p, Settings: s, Standalone: alone}
 	c.narrowLimits()
-	for name, k := range s.Class {
-		if i, ok := p.Classes[name]; ok {
-			p.Module.Classes[i] = narrow(p.Module.Classes[i], k)
+	for name, k := range s.Classes {
+		if i, ok := p.ClassIndex[name]; ok {
+			p.BalancerConfig.Classes[i] = narrow(p.BalancerConfig.Classes[i], k)
 		}
 	}
 	return c
@@ -119,9 +119,9 @@
 // SIGTERM.
 const mostKillDeadline = 3 * time.Second
 
-// ShutdownDeadline is how long a request that was taken before the end of the linger time may take at most
+// ShutdownRequestTimeout is how long a request that was taken before the end of the linger time may take at most
 // once SIGTERM has come.
-func (c *Config) ShutdownDeadline() time.Duration {
+func (c *Config) ShutdownRequestTimeout() time.Duration {
 	if c.Standalone {
 		return c.LongestDeadline()
 	}
@@ -138,29 +138,29 @@
 }
 
 func (c *Config) narrowLimits() {
-	s, p, m := c.Settings, c.Platform, &c.Platform.Module
+	s, p, m := c.Settings, c.Platform, &c.Platform.BalancerConfig
 	p.Limits.Cores = less(p.Limits.Cores, s.Limits.Cores)
 	p.Limits.MemoryMB = less(p.Limits.MemoryMB, int64(s.Limits.Memory)>>20)
 	p.Limits.Sockets = less(p.Limits.Sockets, s.Limits.Sockets)
-	m.Limits.ConnectTimeout = less(m.Limits.ConnectTimeout, s.Endpoints.ConnectTime)
-	m.Limits.KeepAlive = less(m.Limits.KeepAlive, s.Endpoints.KeepAlive)
-	m.Limits.MaxAttempts = less(m.Limits.MaxAttempts, s.Fleet.Attempts)
+	m.Limits.ConnectTimeout = less(m.Limits.ConnectTimeout, s.Endpoints.ConnectTimeout)
+	m.Limits.KeepAlive = less(m.Limits.KeepAlive, s.Endpoints.KeepAliveTimeout)
+	m.Limits.MaxAttempts = less(m.Limits.MaxAttempts, s.Fleet.MaxAttempts)
 	m.Limits.MaxRetryAfter = min(m.Limits.MaxRetryAfter, cmp.Or(s.Fleet.MaxRetryAfter, m.Limits.MaxRetryAfter))
-	if s.Fleet.SecondCopies != nil {
-		m.Limits.SecondCopies = m.Limits.SecondCopies && *s.Fleet.SecondCopies
+	if s.Fleet.Hedging != nil {
+		m.Limits.Hedging = m.Limits.Hedging && *s.Fleet.Hedging
 	}
 	m.DrainGrace = less(m.DrainGrace, s.Fleet.DrainGrace)
-	m.ColdShare = less(m.ColdShare, s.Fleet.ColdShare)
-	m.ColdFor = max(m.ColdFor, s.Fleet.ColdTime)
-	m.FallMultiple = less(m.FallMultiple, s.Fleet.FallMultiple)
-	m.FallAfter = less(m.FallAfter, s.Fleet.FallTime)
-	m.Balancers = max(m.Balancers, s.Fleet.Sidecars)
+	m.ColdCapacityShare = less(m.ColdCapacityShare, s.Fleet.ColdCapacityShare)
+	m.WarmupTime = max(m.WarmupTime, s.Fleet.WarmupTime)
+	m.ColdOverloadMultiple = less(m.ColdOverloadMultiple, s.Fleet.OverloadMultiple)
+	m.ColdOverloadTime = less(m.ColdOverloadTime, s.Fleet.OverloadTime)
+	m.SidecarCount = max(m.SidecarCount, s.Fleet.SidecarCount)
 }
 
 // narrow narrows a class by what the file says of it.
 func narrow(k balance.Class, s *Class) balance.Class {
-	k.Goal, k.Deadline = less(k.Goal, s.Wanted), less(k.Deadline, s.Deadline)
-	k.Goal = min(k.Goal, k.Deadline)
+	k.TargetLatency, k.Deadline = less(k.TargetLatency, s.TargetLatency), less(k.Deadline, s.Deadline)
+	k.TargetLatency = min(k.TargetLatency, k.Deadline)
 	was := k.Semantics
 	k.Semantics = max(k.Semantics, semantics[s.Semantics])
 	k.Scope = max(k.Scope, scopes[s.Scope])
@@ -169,33 +169,33 @@
 	} else {
 		k.RepeatWindow = less(k.RepeatWindow, s.RepeatWindow)
 	}
-	k.Worth = cmp.Or(s.Worth, k.Worth)
-	if s.LateWorth != nil {
-		k.LateShare = min(k.LateShare, *s.LateWorth)
+	k.Value = cmp.Or(s.Value, k.Value)
+	if s.LateValueShare != nil {
+		k.LateValueShare = min(k.LateValueShare, *s.LateValueShare)
 	}
 	return limit(k, s)
 }
 
 // limit sets the bounds of a class that may change while a sidecar runs.
 func limit(k balance.Class, s *Class) balance.Class {
-	k.MaxAttempts, k.Retries, k.OneCopy, k.RetryWithin = 0, 0, false, 0
+	k.MaxAttempts, k.MaxRetries, k.NoHedging, k.RetryStartWindow = 0, 0, false, 0
 	if s == nil {
 		return k
 	}
-	k.MaxAttempts, k.RetryWithin = s.Attempts, s.RetryWithin
-	if s.Retries != nil {
-		k.Retries = cmp.Or(*s.Retries, -1)
+	k.MaxAttempts, k.RetryStartWindow = s.MaxAttempts, s.RetryWithin
+	if s.MaxRetries != nil {
+		k.MaxRetries = cmp.Or(*s.MaxRetries, -1)
 	}
-	k.OneCopy = s.SecondCopies != nil && !*s.SecondCopies
+	k.NoHedging = s.Hedging != nil && !*s.Hedging
 	return k
 }
 
-// Limited returns the classes of a running sidecar with the bounds that may change set by
+// ReloadedClasses returns the classes of a running sidecar with the bounds that may change set by
 // other settings.
-func (c *Config) Limited(s *Settings) []balance.Class {
-	out := slices.Clone(c.Module.Classes)
+func (c *Config) ReloadedClasses(s *Settings) []balance.Class {
+	out := slices.Clone(c.BalancerConfig.Classes)
 	for i := range out {
-		out[i] = limit(out[i], s.Class[out[i].Name])
+		out[i] = limit(out[i], s.Classes[out[i].Name])
 	}
 	return out
 }
@@ -209,24 +209,24 @@
 		zones = []string{cmp.Or(f.Zone, "local")}
 	}
 	p := &Platform{
-		Name: s.Application.Name, Listen: s.Application.Listen, Discovery: s.Application.Discovery, Zones: zones,
+		Name: s.Application.Name, ListenAddress: s.Application.ListenAddress, DiscoveryAddress: s.Application.DiscoveryAddress, Zones: zones,
 		Limits: Limits{Cores: 1, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}, Seed: rand.Uint64(),
-		Layers: []string{s.Application.Tier},
-		Module: balance.Config{
-			Me: f.Number, Balancers: max(f.Sidecars, 1), Zone: max(slices.Index(zones, f.Zone), 0),
-			AskDiscovery: f.List == "ask", AskWithin: 10 * time.Second,
-			Reporting: balance.ReportsProbe, PassesBudget: true,
-			Costs:     balance.Costs{CrossZone: 0.005, LateFail: 0.08, Probe: 0.002, Waste: 0.04},
-			Goal:      balance.GoalWeights{Whole: 0.9, WorstWindow: 0.1},
-			ColdShare: 0.14, ColdFor: 22 * time.Second, FallMultiple: 3, FallAfter: 2 * time.Second,
-			DrainGrace: 500 * time.Millisecond, Step: time.Millisecond,
+		Tiers: []string{s.Application.Tier},
+		BalancerConfig: balance.Config{
+			SidecarIndex: f.SidecarIndex, SidecarCount: max(f.SidecarCount, 1), Zone: max(slices.Index(zones, f.Zone), 0),
+			MustSubscribe: f.DiscoveryMode == "ask", MaxSubscribeDelay: 10 * time.Second,
+			Reporting: balance.ReportsInProbe, EndpointsPropagateDeadline: true,
+			Costs:             balance.Costs{CrossZone: 0.005, LateFail: 0.08, Probe: 0.002, Waste: 0.04},
+			Objective:         balance.ObjectiveWeights{Overall: 0.9, WorstWindow: 0.1},
+			ColdCapacityShare: 0.14, WarmupTime: 22 * time.Second, ColdOverloadMultiple: 3, ColdOverloadTime: 2 * time.Second,
+			DrainGrace: 500 * time.Millisecond, ClockResolution: time.Millisecond,
 			Limits: balance.Limits{
-				MaxAttempts: 6, SecondCopies: true, Cancel: true, Probes: true, MaxStreams: 1,
+				MaxAttempts: 6, Hedging: true, Cancel: true, Probes: true, MaxStreams: 1,
 				MaxRetryAfter: 2 * time.Second, ConnectTimeout: defaultConnectTime, KeepAlive: defaultKeepAlive,
 			},
 		},
 	}
-	m := &p.Module
+	m := &p.BalancerConfig
 	if s.Limits.Cores > 0 {
 		p.Limits.Cores = s.Limits.Cores
 	}
@@ -234,26 +234,26 @@
 		p.Limits.MemoryMB = int64(s.Limits.Memory) >> 20
 	}
 	p.Limits.Sockets = cmp.Or(s.Limits.Sockets, p.Limits.Sockets)
-	if f.Reports != "" {
-		m.Reporting = reports[f.Reports]
+	if f.LoadReporting != "" {
+		m.Reporting = reports[f.LoadReporting]
 	}
 	m.DrainGrace = cmp.Or(f.DrainGrace, m.DrainGrace)
-	m.ColdShare, m.ColdFor = cmp.Or(f.ColdShare, m.ColdShare), cmp.Or(f.ColdTime, m.ColdFor)
-	m.FallMultiple, m.FallAfter = cmp.Or(f.FallMultiple, m.FallMultiple), cmp.Or(f.FallTime, m.FallAfter)
-	m.Limits.MaxAttempts = cmp.Or(f.Attempts, m.Limits.MaxAttempts)
+	m.ColdCapacityShare, m.WarmupTime = cmp.Or(f.ColdCapacityShare, m.ColdCapacityShare), cmp.Or(f.WarmupTime, m.WarmupTime)
+	m.ColdOverloadMultiple, m.ColdOverloadTime = cmp.Or(f.OverloadMultiple, m.ColdOverloadMultiple), cmp.Or(f.OverloadTime, m.ColdOverloadTime)
+	m.Limits.MaxAttempts = cmp.Or(f.MaxAttempts, m.Limits.MaxAttempts)
 	m.Limits.MaxRetryAfter = cmp.Or(f.MaxRetryAfter, m.Limits.MaxRetryAfter)
-	m.Limits.ConnectTimeout = cmp.Or(s.Endpoints.ConnectTime, m.Limits.ConnectTimeout)
-	m.Limits.KeepAlive = cmp.Or(s.Endpoints.KeepAlive, m.Limits.KeepAlive)
-	p.Classes, p.Tenants = make(map[string]int), make(map[string]int)
-	for _, name := range slices.Sorted(maps.Keys(s.Class)) {
-		k := s.Class[name]
-		p.Classes[name] = len(m.Classes)
+	m.Limits.ConnectTimeout = cmp.Or(s.Endpoints.ConnectTimeout, m.Limits.ConnectTimeout)
+	m.Limits.KeepAlive = cmp.Or(s.Endpoints.KeepAliveTimeout, m.Limits.KeepAlive)
+	p.ClassIndex, p.TenantIndex = make(map[string]int), make(map[string]int)
+	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
+		k := s.Classes[name]
+		p.ClassIndex[name] = len(m.Classes)
 		class := balance.Class{
-			Name: name, Goal: k.Wanted, Deadline: k.Deadline, Worth: cmp.Or(k.Worth, 1),
+			Name: name, TargetLatency: k.TargetLatency, Deadline: k.Deadline, Value: cmp.Or(k.Value, 1),
 			Semantics: semantics[k.Semantics], Scope: scopes[k.Scope], RepeatWindow: k.RepeatWindow,
 		}
-		if k.LateWorth != nil {
-			class.LateShare = *k.LateWorth
+		if k.LateValueShare != nil {
+			class.LateValueShare = *k.LateValueShare
 		}
 		m.Classes = append(m.Classes, class)
 	}
@@ -263,12 +263,12 @@
 // ClassKey is the key of a class's part in the file.
 func ClassKey(name string) string { return "class." + quoteKey(name) }
 
-// Semantics and Scope are the module's values for the file's words, ReportsName the file's
+// SemanticsByName and Scope are the module's values for the file's words, ReportsName the file's
 // word for the module's.
-func Semantics(word string) balance.Semantics { return semantics[word] }
+func SemanticsByName(word string) balance.Semantics { return semantics[word] }
 
-// Scope is the module's value for the file's word.
-func Scope(word string) balance.Scope { return scopes[word] }
+// ScopeByName is the module's value for the file's word.
+func ScopeByName(word string) balance.Scope { return scopes[word] }
 
-// ReportsName is the file's word for a way of reporting.
-func ReportsName(r balance.Reporting) string { return nameOf(reports, r) }
+// ReportingName is the file's word for a way of reporting.
+func ReportingName(r balance.Reporting) string { return nameOf(reports, r) }
--- a/internal/config/other_test.go
+++ b/internal/config/other_test.go
@@ -51,13 +51,13 @@
 	}) {
 		return true
 	}
-	return slices.ContainsFunc(Keys(), func(k Key) bool { return k.IsPart && k.Path == path })
+	return slices.ContainsFunc(Keys(), func(k Key) bool { return k.IsTable && k.Path == path })
 }
 
 func TestOtherReaderAgrees(t *testing.T) {
 	s, _ := ParseSettings("good", []byte(good))
 	for name, text := range map[string][]byte{
-		"good": []byte(good), "CRLF": []byte(strings.ReplaceAll(good, "\n", "\r\n")), "written": Write(s), "template": Write(Default()),
+		"good": []byte(good), "CRLF": []byte(strings.ReplaceAll(good, "\n", "\r\n")), "written": FormatSettings(s), "template": FormatSettings(DefaultSettings()),
 		"inline": []byte("schema = 1\napplication = { name = \"a\" }\nclass.x = { wanted = \"1s\" }\nclass.y.wanted = \"2s\"\n"),
 		"quoted": []byte("schema = 1\n[\"application\"]\n'name' = \"a\"\n[class.\"a.b\"]\n\"wanted\" = '''1s'''\n"),
 	} {
