--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -26,18 +26,18 @@
 
 // Platform is what the platform tells a sidecar, see DEPLOY, "What a sidecar is told".
 type Platform struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Module    balance.Config
-	Known     discovery.List
-	Zones     []string
-	Layers    []string // the tiers; Module.Tier is the index of the one it sends to
+	Name             string
+	ListenAddress    string
+	DiscoveryAddress string
+	Seed             uint64
+	Limits           Limits
+	BalancerConfig   balance.Config
+	KnownEndpoints   discovery.List
+	Zones            []string
+	Tiers            []string // the tiers; Module.Tier is the index of the one it sends to
 
-	// Classes and Tenants are the indexes of names in Module.
-	Classes, Tenants map[string]int
+	// ClassIndex and Tenants are the indexes of names in Module.
+	ClassIndex, TenantIndex map[string]int
 }
 
 // LoadPlatform reads the configuration file that PROXY_CONFIG names. The other
@@ -58,7 +58,7 @@
 	if path == "" {
 		return nil, errors.New("PROXY_CONFIG: not set")
 	}
-	text, err := ReadFile(path, MaxPlatform)
+	text, err := ReadFile(path, MaxPlatformBytes)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
 	}
@@ -69,7 +69,7 @@
 	for _, v := range []struct {
 		name string
 		to   *string
-	}{{"PROXY_NAME", &p.Name}, {"PROXY_LISTEN", &p.Listen}, {"PROXY_DISCOVERY", &p.Discovery}} {
+	}{{"PROXY_NAME", &p.Name}, {"PROXY_LISTEN", &p.ListenAddress}, {"PROXY_DISCOVERY", &p.DiscoveryAddress}} {
 		if s := override(v.name); s != "" {
 			*v.to = s
 		}
@@ -90,7 +90,7 @@
 }
 
 func (p *Platform) checkAddresses() error {
-	for _, a := range []struct{ name, addr string }{{"listen", p.Listen}, {"discovery", p.Discovery}} {
+	for _, a := range []struct{ name, addr string }{{"listen", p.ListenAddress}, {"discovery", p.DiscoveryAddress}} {
 		if err := discovery.CheckAddress(a.addr); err != nil {
 			return fmt.Errorf("%s: %w", a.name, err)
 		}
@@ -112,8 +112,8 @@
 		return nil, err
 	}
 	p := &Platform{
-		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery,
-		Limits: file.Limits, Known: file.Known,
+		Name: file.Name, ListenAddress: file.Listen, DiscoveryAddress: file.Discovery,
+		Limits: file.Limits, KnownEndpoints: file.Known,
 	}
 	var err error
 	if p.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
@@ -128,16 +128,16 @@
 	if p.Limits.Sockets == 0 {
 		p.Limits.Sockets = defaultSockets
 	}
-	if p.Limits.Sockets < LeastSockets {
-		return nil, fmt.Errorf("limits.sockets: %d is fewer than %d", p.Limits.Sockets, LeastSockets)
+	if p.Limits.Sockets < MinSockets {
+		return nil, fmt.Errorf("limits.sockets: %d is fewer than %d", p.Limits.Sockets, MinSockets)
 	}
-	if err := p.Known.Check(); err != nil {
+	if err := p.KnownEndpoints.Check(); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if p.Module, _, err = wire.Config(file.Settings); err != nil {
+	if p.BalancerConfig, _, err = wire.ParseConfig(file.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	var names struct {
@@ -147,29 +147,29 @@
 	if err := json.Unmarshal(file.Settings, &names); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.Zones, p.Layers = names.Zones, names.Layers
+	p.Zones, p.Tiers = names.Zones, names.Layers
 	return p, p.index()
 }
 
 // index makes Classes and Tenants.
 func (p *Platform) index() error {
-	p.Classes, p.Tenants = make(map[string]int), make(map[string]int)
-	for i, k := range p.Module.Classes {
-		if _, ok := p.Classes[k.Name]; ok || k.Name == "" {
+	p.ClassIndex, p.TenantIndex = make(map[string]int), make(map[string]int)
+	for i, k := range p.BalancerConfig.Classes {
+		if _, ok := p.ClassIndex[k.Name]; ok || k.Name == "" {
 			return fmt.Errorf("settings: classes[%d].name: %q is empty or taken", i, k.Name)
 		}
-		p.Classes[k.Name] = i
+		p.ClassIndex[k.Name] = i
 	}
-	for i, t := range p.Module.Tenants {
-		p.Tenants[t.Name] = i
+	for i, t := range p.BalancerConfig.Tenants {
+		p.TenantIndex[t.Name] = i
 	}
 	return nil
 }
 
 // Tier is the name of the tier that the sidecar sends to, or empty where it is told none.
 func (p *Platform) Tier() string {
-	if t := p.Module.Tier; t >= 0 && t < len(p.Layers) {
-		return p.Layers[t]
+	if t := p.BalancerConfig.Tier; t >= 0 && t < len(p.Tiers) {
+		return p.Tiers[t]
 	}
 	return ""
 }
@@ -177,7 +177,7 @@
 // LongestDeadline is how long the most patient client waits.
 func (p *Platform) LongestDeadline() time.Duration {
 	var most time.Duration
-	for _, k := range p.Module.Classes {
+	for _, k := range p.BalancerConfig.Classes {
 		most = max(most, k.Deadline)
 	}
 	return most
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -11,12 +11,12 @@
 
 func TestPlatformNamesTheSettingAtFault(t *testing.T) {
 	good := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
-"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"instances": []}, "settings": ` + fake.Settings + "}"
+"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"instances": []}, "settings": ` + fake.PlatformSettingsJSON + "}"
 	c, err := config.ParsePlatform([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Classes["pay"] != 2 || c.Module.Classes[2].Semantics != balance.Unsafe || c.Seed != 0x1f {
+	if c.ClassIndex["pay"] != 2 || c.BalancerConfig.Classes[2].Semantics != balance.Unsafe || c.Seed != 0x1f {
 		t.Errorf("config %+v", c)
 	}
 	for _, s := range []struct{ old, new, want string }{
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -11,8 +11,8 @@
 
 // The most bytes of a file: a platform's lists some ten thousand endpoints at most.
 const (
-	MaxPlatform = 16 << 20
-	MaxSettings = 256 << 10
+	MaxPlatformBytes = 16 << 20
+	MaxSettingsBytes = 256 << 10
 )
 
 // A file that is written in place as it is read may be torn: it is read again, so often and
@@ -22,11 +22,11 @@
 	readPause = 20 * time.Millisecond
 )
 
-// ErrTooLong says that a file holds more than is taken.
-var ErrTooLong = errors.New("too long")
+// ErrFileTooLarge says that a file holds more than is taken.
+var ErrFileTooLarge = errors.New("too long")
 
-// ErrChanging says that a file did not stay as it was for as long as it took to read it.
-var ErrChanging = errors.New("changed each time it was read: replace it by a rename")
+// ErrModifiedDuringRead says that a file did not stay as it was for as long as it took to read it.
+var ErrModifiedDuringRead = errors.New("changed each time it was read: replace it by a rename")
 
 // ReadFile reads a regular file of at most so many bytes whole, as it was at one moment.
 func ReadFile(path string, most int64) ([]byte, error) {
@@ -36,7 +36,7 @@
 			return text, err
 		}
 		if try == readTries {
-			return nil, fmt.Errorf("%s: %w", path, ErrChanging)
+			return nil, fmt.Errorf("%s: %w", path, ErrModifiedDuringRead)
 		}
 		time.Sleep(readPause)
 	}
@@ -73,7 +73,7 @@
 		return nil, false, err
 	}
 	if int64(len(text)) > most {
-		return nil, false, fmt.Errorf("%w: over %d bytes", ErrTooLong, most)
+		return nil, false, fmt.Errorf("%w: over %d bytes", ErrFileTooLarge, most)
 	}
 	after, err := f.Stat()
 	if err != nil {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -13,13 +13,13 @@
 
 // Key describes a key of the operators' file.
 type Key struct {
-	Path                   string // such as "callers.head_time" or "class.NAME.wanted"
-	Type                   string // what its value is, in words
-	Default, Unset         string // at most one of them is set
-	Min, Max               string
-	Choices                []string
-	Doc                    string
-	Live, Required, IsPart bool // IsPart: it is a part of the file, such as [callers]
+	Path                          string // such as "callers.head_time" or "class.NAME.wanted"
+	Type                          string // what its value is, in words
+	Default, UnsetMeaning         string // at most one of them is set
+	Min, Max                      string
+	Choices                       []string
+	Doc                           string
+	Reloadable, Required, IsTable bool // IsPart: it is a part of the file, such as [callers]
 }
 
 // Allowed is what a key's value may be, in words.
@@ -54,9 +54,9 @@
 			k.Path += ".NAME"
 			part = part.Elem().Elem()
 		}
-		k.IsPart = part.Kind() == reflect.Struct
+		k.IsTable = part.Kind() == reflect.Struct
 		out = append(out, k)
-		if k.IsPart {
+		if k.IsTable {
 			out = keysOf(part, k.Path+".", out)
 		}
 	}
@@ -66,9 +66,9 @@
 // keyOf reads a field's tags.
 func keyOf(f reflect.StructField) Key {
 	k := Key{
-		Path: f.Tag.Get("key"), Doc: f.Tag.Get("doc"), Default: f.Tag.Get("default"), Unset: f.Tag.Get("unset"),
+		Path: f.Tag.Get("key"), Doc: f.Tag.Get("doc"), Default: f.Tag.Get("default"), UnsetMeaning: f.Tag.Get("unset"),
 		Min: f.Tag.Get("min"), Max: f.Tag.Get("max"),
-		Live: f.Tag.Get("reload") == "live", Required: f.Tag.Get("required") != "", Type: typeName(f),
+		Reloadable: f.Tag.Get("reload") == "live", Required: f.Tag.Get("required") != "", Type: typeName(f),
 	}
 	if words := f.Tag.Get("choices"); words != "" {
 		k.Choices = strings.Split(words, ",")
@@ -131,7 +131,7 @@
 func scalar(to reflect.Value, text string) error {
 	switch {
 	case to.Type() == timeType:
-		d, err := parseTime(text)
+		d, err := parseDuration(text)
 		to.SetInt(int64(d))
 		return err
 	case to.Type() == sizeType:
@@ -168,9 +168,9 @@
 	}
 }
 
-// Default returns the settings of a program that is given no file.
-func Default() *Settings {
-	s := &Settings{Schema: Schema}
+// DefaultSettings returns the settings of a program that is given no file.
+func DefaultSettings() *Settings {
+	s := &Settings{SchemaVersion: SchemaVersion}
 	defaults(reflect.ValueOf(s).Elem())
 	return s
 }
@@ -202,8 +202,8 @@
 	return k.Max == "" || compare(bound(k.Max), v) > 0
 }
 
-// Given returns where a file gives a key, such as "callers.head_time".
-func (s *Settings) Given(path string) (Position, bool) {
+// KeyPosition returns where a file gives a key, such as "callers.head_time".
+func (s *Settings) KeyPosition(path string) (Position, bool) {
 	at, ok := s.given[path]
 	return at, ok
 }
@@ -211,7 +211,7 @@
 // Value is a key's value in effect.
 type Value struct {
 	Path, Text string
-	Live       bool
+	Reloadable bool
 }
 
 // Values lists the values in effect, defaults and all; what is neither given nor has a default
@@ -247,7 +247,7 @@
 	}
 	switch x := v.Interface().(type) {
 	case time.Duration:
-		return strconv.Quote(FormatTime(x))
+		return strconv.Quote(FormatDuration(x))
 	case Size:
 		return strconv.Quote(x.String())
 	case string:
@@ -263,14 +263,20 @@
 	case balance.Scope:
 		return ScopeName(x)
 	case balance.Reporting:
-		return ReportsName(x)
+		return ReportingName(x)
 	case float64:
 		return strconv.FormatFloat(x, 'g', -1, 64)
 	}
 	return fmt.Sprint(v.Interface())
 }
 
-// Values lists what a platform's configuration says, by the names of its fields. Its list of
+// printedName returns the name under which [Platform.Values] lists a field: its name tag, or its Go name if it
+// has none.
+func printedName(field reflect.StructField) string {
+	return cmp.Or(field.Tag.Get("name"), field.Name)
+}
+
+// Values lists what a platform's configuration says, by the printed names of its fields. Its list of
 // endpoints and its seed are left out: they differ with every start.
 func (p *Platform) Values() []Value {
 	var out []Value
@@ -279,7 +285,7 @@
 		switch {
 		case v.Kind() == reflect.Struct:
 			for i := range v.NumField() {
-				walk(v.Field(i), path+"."+v.Type().Field(i).Name)
+				walk(v.Field(i), path+"."+printedName(v.Type().Field(i)))
 			}
 		case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
 			for i := range v.Len() {
@@ -294,6 +300,6 @@
 		Limits                  Limits
 		Zones, Layers           []string
 		Settings                balance.Config
-	}{p.Name, p.Listen, p.Discovery, p.Limits, p.Zones, p.Layers, p.Module}), "")
+	}{p.Name, p.ListenAddress, p.DiscoveryAddress, p.Limits, p.Zones, p.Tiers, p.BalancerConfig}), "")
 	return out
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -40,26 +40,26 @@
 
 // Without a file the program does what it did when these figures stood in its code.
 func TestDefaults(t *testing.T) {
-	s := Default()
+	s := DefaultSettings()
 	for _, c := range []struct{ got, want any }{
-		{s.Callers.HeadTime, 2 * time.Second}, {s.Callers.BodyTime, 700 * time.Millisecond},
-		{s.Callers.WriteTime, 5 * time.Second}, {s.Callers.IdleTime, 5 * time.Second},
-		{s.Callers.EvictionGrace, 100 * time.Millisecond}, {s.Callers.AnswerMargin, 10 * time.Millisecond},
-		{s.Callers.MaxHead, Size(16 << 10)}, {s.Callers.MaxBody, Size(64 << 10)},
-		{s.Endpoints.MaxAnswerHead, Size(16 << 10)}, {s.Endpoints.MaxAnswer, Size(64 << 10)},
-		{s.Probe.Time, 250 * time.Millisecond}, {s.Limits.Heap, 0.75},
-		{s.Discovery.PushWait, 200 * time.Millisecond}, {s.Discovery.PushAnswer, 200 * time.Millisecond},
-		{s.Discovery.AskWait, 20 * time.Second}, {s.Discovery.AskAnswer, 2 * time.Second},
-		{s.Discovery.Pause, 100 * time.Millisecond},
-		{s.Shutdown.Linger, 500 * time.Millisecond}, {s.Shutdown.Spare, 200 * time.Millisecond},
+		{s.Callers.HeadTimeout, 2 * time.Second}, {s.Callers.BodyTimeout, 700 * time.Millisecond},
+		{s.Callers.WriteTimeout, 5 * time.Second}, {s.Callers.IdleTimeout, 5 * time.Second},
+		{s.Callers.EvictionGrace, 100 * time.Millisecond}, {s.Callers.ResponseMargin, 10 * time.Millisecond},
+		{s.Callers.MaxRequestHead, Size(16 << 10)}, {s.Callers.MaxRequestBody, Size(64 << 10)},
+		{s.Endpoints.MaxResponseHead, Size(16 << 10)}, {s.Endpoints.MaxResponseBody, Size(64 << 10)},
+		{s.Probe.Timeout, 250 * time.Millisecond}, {s.Limits.HeapShare, 0.75},
+		{s.Discovery.PushWait, 200 * time.Millisecond}, {s.Discovery.PushResponseTimeout, 200 * time.Millisecond},
+		{s.Discovery.PollWait, 20 * time.Second}, {s.Discovery.PollResponseTimeout, 2 * time.Second},
+		{s.Discovery.MinPause, 100 * time.Millisecond},
+		{s.Shutdown.AcceptGrace, 500 * time.Millisecond}, {s.Shutdown.DeadlineMargin, 200 * time.Millisecond},
 	} {
 		if c.got != c.want {
 			t.Errorf("%v, want %v", c.got, c.want)
 		}
 	}
 	c := Merge(&Platform{Limits: Limits{Sockets: 1024}}, s)
-	if c.CallerConnections() != 341 || c.EndpointConnections() != 659 || c.ConnectTime() != 250*time.Millisecond || c.KeepAlive() != 10*time.Second {
-		t.Errorf("%d and %d connections, %v, %v", c.CallerConnections(), c.EndpointConnections(), c.ConnectTime(), c.KeepAlive())
+	if c.MaxCallerConnections() != 341 || c.MaxEndpointConnections() != 659 || c.ConnectTimeout() != 250*time.Millisecond || c.KeepAliveTimeout() != 10*time.Second {
+		t.Errorf("%d and %d connections, %v, %v", c.MaxCallerConnections(), c.MaxEndpointConnections(), c.ConnectTimeout(), c.KeepAliveTimeout())
 	}
 }
 
@@ -71,16 +71,16 @@
 			t.Errorf("%s: twice, or without a sentence on it", k.Path)
 		}
 		seen[k.Path] = true
-		if k.IsPart {
+		if k.IsTable {
 			continue
 		}
 		if k.Type == "" || k.Type == "a part of the file" {
 			t.Errorf("%s: no type", k.Path)
 		}
-		if k.Default != "" && k.Unset != "" && k.Default != "0" {
+		if k.Default != "" && k.UnsetMeaning != "" && k.Default != "0" {
 			t.Errorf("%s: a default, and a word on being left out", k.Path)
 		}
-		if k.Default == "" && k.Unset == "" && !k.Required && !strings.HasPrefix(k.Type, "a list") {
+		if k.Default == "" && k.UnsetMeaning == "" && !k.Required && !strings.HasPrefix(k.Type, "a list") {
 			t.Errorf("%s: nothing says what leaving it out means", k.Path)
 		}
 	}
@@ -99,7 +99,7 @@
 			}
 		}
 	}
-	walk(reflect.ValueOf(Default()).Elem())
+	walk(reflect.ValueOf(DefaultSettings()).Elem())
 	walk(reflect.ValueOf(new(Class)).Elem())
 }
 
@@ -114,18 +114,18 @@
 			t.Errorf("%s: %v", name, bad)
 			continue
 		}
-		k := s.Class["place-order"]
-		if s.Callers.HeadTime != time.Second || len(s.Callers.AlsoListen) != 2 || k == nil || k.Wanted != 1540*time.Millisecond ||
-			k.Semantics != "keyed" || k.Retries == nil || *k.Retries != 0 || k.SecondCopies == nil || !*k.SecondCopies {
+		k := s.Classes["place-order"]
+		if s.Callers.HeadTimeout != time.Second || len(s.Callers.ExtraListenAddresses) != 2 || k == nil || k.TargetLatency != 1540*time.Millisecond ||
+			k.Semantics != "keyed" || k.MaxRetries == nil || *k.MaxRetries != 0 || k.Hedging == nil || !*k.Hedging {
 			t.Errorf("%s: %+v", name, s)
 		}
-		if at, ok := s.Given("class.place-order.wanted"); name == "CRLF" && (!ok || at != (Position{14, 1})) {
+		if at, ok := s.KeyPosition("class.place-order.wanted"); name == "CRLF" && (!ok || at != (Position{14, 1})) {
 			t.Errorf("%s: wanted is at %v", name, at)
 		}
 	}
 	text := "schema = 1\napplication = { name = \"a\" }\nclass.x = { wanted = \"1s\" }\nclass.y.wanted = \"2s\"\nlimits.cores = 1\n"
 	s, bad := ParseSettings("f", []byte(text))
-	if len(bad) > 0 || s.Class["x"].Wanted != time.Second || s.Class["y"].Wanted != 2*time.Second || s.Limits.Cores != 1 {
+	if len(bad) > 0 || s.Classes["x"].TargetLatency != time.Second || s.Classes["y"].TargetLatency != 2*time.Second || s.Limits.Cores != 1 {
 		t.Errorf("%v %+v", bad, s)
 	}
 }
@@ -199,21 +199,21 @@
 	for name, c := range map[string]struct{ text, rule string }{
 		"10 MB":           {strings.Repeat("# long\n", 10<<20/7), RuleUnreadable},
 		"deep":            {"schema = 1\nx = " + strings.Repeat("[", 200_000), RuleSyntax},
-		"deep tables":     {"schema = 1\nclass.a" + strings.Repeat(".a", 50_000) + " = 1", RuleUnknown},
+		"deep tables":     {"schema = 1\nclass.a" + strings.Repeat(".a", 50_000) + " = 1", RuleUnknownKey},
 		"NUL":             {strings.Replace(good, "order-front", "order\x00front", 1), RuleSyntax},
-		"NUL, escaped":    {strings.Replace(good, "order-front", `order\u0000front`, 1), RuleRange},
+		"NUL, escaped":    {strings.Replace(good, "order-front", `order\u0000front`, 1), RuleOutOfRange},
 		"invalid UTF-8":   {strings.Replace(good, "order-front", "order\xff", 1), RuleSyntax},
 		"UTF-16":          {"\xff\xfes\x00c\x00", RuleSyntax},
 		"lone CR":         {strings.ReplaceAll(good, "\n", "\r"), RuleSyntax},
-		"empty":           {"", RuleMissing},
-		"no schema":       {strings.Replace(good, "schema = 1", "", 1), RuleMissing},
-		"newer":           {strings.Replace(good, "schema = 1", "schema = 2\nfuture = true", 1), RuleSchema},
-		"schema of words": {strings.Replace(good, "schema = 1", `schema = "1"`, 1), RuleType},
-		"two documents":   {good + good, RuleUnknown},
-		"mixed tables":    {good + "\n[class.place-order.x]\ny = 1\n", RuleUnknown},
+		"empty":           {"", RuleMissingKey},
+		"no schema":       {strings.Replace(good, "schema = 1", "", 1), RuleMissingKey},
+		"newer":           {strings.Replace(good, "schema = 1", "schema = 2\nfuture = true", 1), RuleSchemaVersion},
+		"schema of words": {strings.Replace(good, "schema = 1", `schema = "1"`, 1), RuleWrongType},
+		"two documents":   {good + good, RuleUnknownKey},
+		"mixed tables":    {good + "\n[class.place-order.x]\ny = 1\n", RuleUnknownKey},
 		"header, dotted":  {"callers.write_time = \"1s\"\n" + good, RuleSyntax},
-		"many classes":    {good + manyClasses(300), RuleRange},
-		"a class's name":  {good + "[class.\"two words\"]\n", RuleRange},
+		"many classes":    {good + manyClasses(300), RuleOutOfRange},
+		"a class's name":  {good + "[class.\"two words\"]\n", RuleOutOfRange},
 		"JSON":            {`{"schema": 1}`, RuleSyntax},
 		"binary":          {"\x7fELF\x02\x01\x01", RuleSyntax},
 	} {
@@ -221,7 +221,7 @@
 		if len(bad) == 0 || len(bad) > maxFindings || bad[0].Rule != c.rule {
 			t.Errorf("%s: %.200v, want %s", name, bad, c.rule)
 		}
-		if c.rule == RuleSchema && (len(bad) != 1 || !strings.Contains(bad[0].String(), "newer program")) {
+		if c.rule == RuleSchemaVersion && (len(bad) != 1 || !strings.Contains(bad[0].String(), "newer program")) {
 			t.Errorf("%s: %v", name, bad)
 		}
 	}
@@ -336,7 +336,7 @@
 	if len(bad) > 0 {
 		t.Fatal(bad)
 	}
-	text := Write(s)
+	text := FormatSettings(s)
 	again, bad := ParseSettings("again", text)
 	if len(bad) > 0 {
 		t.Fatalf("%v\n%s", bad, text)
@@ -345,7 +345,7 @@
 		t.Errorf("written and read again: %v", d)
 	}
 	for _, k := range Keys() {
-		if name := k.Path[strings.LastIndex(k.Path, ".")+1:]; !k.IsPart && !bytes.Contains(text, []byte("\n"+name+" =")) &&
+		if name := k.Path[strings.LastIndex(k.Path, ".")+1:]; !k.IsTable && !bytes.Contains(text, []byte("\n"+name+" =")) &&
 			!bytes.Contains(text, []byte("\n#"+name+" =")) {
 			t.Errorf("%s is not in the file", k.Path)
 		}
@@ -375,8 +375,8 @@
 			t.Fatalf("%d as %s is read as %d, %v", n, n, got, err)
 		}
 		d := time.Duration(rapid.Int64Range(0, int64(time.Hour)*1000).Draw(t, "time"))
-		if got, err := parseTime(FormatTime(d)); err != nil || got != d {
-			t.Fatalf("%v as %s is read as %v, %v", d, FormatTime(d), got, err)
+		if got, err := parseDuration(FormatDuration(d)); err != nil || got != d {
+			t.Fatalf("%v as %s is read as %v, %v", d, FormatDuration(d), got, err)
 		}
 	})
 	for _, text := range []string{"", "5", "-1KiB", "1.5B", "1e3B", "KiB", "0x10B", "1KiBKiB", "999999999TiB", "NaNB"} {
@@ -389,14 +389,14 @@
 // Whatever the text, reading ends with settings or with findings that have a place in it.
 func FuzzParseSettings(f *testing.F) {
 	f.Add([]byte(good))
-	f.Add(Write(Default()))
+	f.Add(FormatSettings(DefaultSettings()))
 	f.Add([]byte("schema = 1\n[class.a]\nwanted = { x = [1, { y = 2 }] }\n[[callers]]\n"))
 	f.Add([]byte("class.\"\\u0000\".wanted = '''\n\n'''\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, bad := ParseSettings("f", text)
 		lines := bytes.Count(text, []byte("\n")) + 1
 		for _, b := range bad {
-			if b.Rule == "" || b.Level != Refused || b.Line > lines || b.Found == "" || strings.ContainsAny(b.String(), "\n\x00") {
+			if b.Rule == "" || b.Level != LevelRefused || b.Line > lines || b.Found == "" || strings.ContainsAny(b.String(), "\n\x00") {
 				t.Errorf("%+v", b)
 			}
 		}
@@ -404,9 +404,9 @@
 			return
 		}
 		agree(t, "f", text, s)
-		again, bad := ParseSettings("again", Write(s))
+		again, bad := ParseSettings("again", FormatSettings(s))
 		if len(bad) > 0 || len(Diff(s.Values(), again.Values())) > 0 {
-			t.Errorf("written and read again: %v %v\n%s", bad, Diff(s.Values(), again.Values()), Write(s))
+			t.Errorf("written and read again: %v %v\n%s", bad, Diff(s.Values(), again.Values()), FormatSettings(s))
 		}
 	})
 }
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Write writes settings as an operators' file, with a comment on each key. What has its
+// FormatSettings writes settings as an operators' file, with a comment on each key. What has its
 // default stands as a comment. Reading the file again gives the same settings.
-func Write(s *Settings) []byte {
+func FormatSettings(s *Settings) []byte {
 	var w writer
 	w.comment("", "The operators' file of barleydrum. docs/operators/settings.md lists every key and rule;\n"+
 		"`drumctl config check FILE` tells what is wrong with a file before a sidecar meets it.")
@@ -80,10 +80,10 @@
 	w.WriteString("\n")
 	w.comment("", k.Doc)
 	about := "Allowed: " + k.Allowed() + "."
-	if text := cmp.Or(k.Unset, k.Default); text != "" && !k.Required {
+	if text := cmp.Or(k.UnsetMeaning, k.Default); text != "" && !k.Required {
 		about += " Left out: " + text + "."
 	}
-	if k.Live {
+	if k.Reloadable {
 		about += " SIGHUP changes it."
 	}
 	w.comment("", about)
@@ -105,16 +105,16 @@
 	}
 }
 
-// Reference is the list of parts and keys as a page in Markdown.
-func Reference() string {
+// KeyReference is the list of parts and keys as a page in Markdown.
+func KeyReference() string {
 	var b strings.Builder
 	row := func(k Key) {
-		left := cmp.Or(k.Default, k.Unset)
+		left := cmp.Or(k.Default, k.UnsetMeaning)
 		if k.Required {
 			left = "needed"
 		}
 		when := "restart"
-		if k.Live {
+		if k.Reloadable {
 			when = "SIGHUP"
 		}
 		name := k.Path[strings.LastIndex(k.Path, ".")+1:]
@@ -126,7 +126,7 @@
 	b.WriteString("### The top\n")
 	head()
 	for _, k := range Keys() {
-		if k.IsPart {
+		if k.IsTable {
 			fmt.Fprintf(&b, "\n### `[%s]`\n\n%s\n", k.Path, k.Doc)
 			head()
 			continue
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -15,29 +15,29 @@
 // List is a list of endpoints, or of changes to one.
 type List struct {
 	Generation uint64     `json:"generation"`
-	Reset      bool       `json:"reset"` // the whole list, not changes
+	Full       bool       `json:"reset"` // the whole list, not changes
 	Instances  []Instance `json:"instances"`
 }
 
 // Instance is one endpoint.
 type Instance struct {
-	ID          string   `json:"instanceId"`
-	HostPort    string   `json:"hostPort"`
-	Zone        string   `json:"zone"`
-	MachineType string   `json:"machineType,omitempty"`
-	Cell        int      `json:"cell"`
-	Lifecycle   string   `json:"lifecycle"` // a key of States
-	Weight      *float64 `json:"weight,omitempty"`
-	StartedMS   int64    `json:"startedAtMs"` // Unix time in milliseconds; 0 is long ago
+	ID                 string   `json:"instanceId"`
+	HostPort           string   `json:"hostPort"`
+	Zone               string   `json:"zone"`
+	MachineType        string   `json:"machineType,omitempty"`
+	Cell               int      `json:"cell"`
+	Lifecycle          string   `json:"lifecycle"` // a key of States
+	Weight             *float64 `json:"weight,omitempty"`
+	StartedAtUnixMilli int64    `json:"startedAtMs"` // Unix time in milliseconds; 0 is long ago
 }
 
-// States are the lifecycles of an instance.
-var States = map[string]balance.State{
-	"up": balance.InService, "draining": balance.Draining, "removed": balance.Gone,
+// StatesByLifecycle are the lifecycles of an instance.
+var StatesByLifecycle = map[string]balance.EndpointState{
+	"up": balance.InService, "draining": balance.Draining, "removed": balance.Removed,
 }
 
-// Index is the list's version as a call names it.
-func (l *List) Index() string { return strconv.FormatUint(l.Generation, 10) }
+// GenerationString is the list's version as a call names it.
+func (l *List) GenerationString() string { return strconv.FormatUint(l.Generation, 10) }
 
 // Check returns an error for the first entry that can't be used.
 func (l *List) Check() error {
@@ -46,17 +46,17 @@
 		if in.ID == "" {
 			return fmt.Errorf("instances[%d].instanceId: empty", i)
 		}
-		state, ok := States[in.Lifecycle]
+		state, ok := StatesByLifecycle[in.Lifecycle]
 		if !ok {
 			return fmt.Errorf("instance %q: lifecycle: unknown value %q", in.ID, in.Lifecycle)
 		}
-		if err := CheckAddress(in.HostPort); err != nil && state != balance.Gone {
+		if err := CheckAddress(in.HostPort); err != nil && state != balance.Removed {
 			return fmt.Errorf("instance %q: hostPort: %w", in.ID, err)
 		}
 		if in.Weight != nil && *in.Weight < 0 {
 			return fmt.Errorf("instance %q: weight: negative", in.ID)
 		}
-		if in.StartedMS < 0 || in.StartedMS > int64(1<<62)/1e6 {
+		if in.StartedAtUnixMilli < 0 || in.StartedAtUnixMilli > int64(1<<62)/1e6 {
 			return fmt.Errorf("instance %q: startedAtMs: out of range", in.ID)
 		}
 	}
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -16,29 +16,29 @@
 type Call struct {
 	balance.Request // but for its ID
 
-	Name  string         // the request's id, for whoever made the call
-	Head  *http1.Request // and the body need hold until Serve returns
-	Body  []byte
-	Flow  *body.Body // in place of Body, for one that is still arriving; to be closed before Done
-	Size  int64      // of Flow, -1 where it is not known
-	Until time.Time  // its caller's time is up
+	CallerRequestID    string         // the request's id, for whoever made the call
+	Head               *http1.Request // and the body need hold until Serve returns
+	Body               []byte
+	StreamedBody       *body.Body // in place of Body, for one that is still arriving; to be closed before Done
+	StreamedBodyLength int64      // of Flow, -1 where it is not known
+	Deadline           time.Time  // its caller's time is up
 
-	// CallerGone tells whether the caller has gone, nil where it can't be asked. Any goroutine may call it.
-	CallerGone func() bool
+	// CallerDisconnected tells whether the caller has gone, nil where it can't be asked. Any goroutine may call it.
+	CallerDisconnected func() bool
 
 	engine *Engine
 	last   time.Duration // Until on the module's clock
 
 	// Under Engine.mu.
 	answered bool
-	final    Final
+	final    FinalResult
 	attempts []*attempt
 	out      int
 	next     *attempt // for its goroutine to carry
 	inline   *attempt // that it carries
 	waiting  bool     // its goroutine waits for wake
 	flowing  *attempt // whose answer flows
-	gate     retry.Gate
+	gate     retry.CompletionGate
 
 	wake  chan struct{}
 	timer *time.Timer
@@ -46,10 +46,10 @@
 	few   [2]*attempt
 }
 
-// Final is a final answer: served, refused, or neither: failed.
-type Final struct {
-	Served     *upstream.Exchange // whose answer it is, until Done; nil if it was not served
-	Flows      bool               // the answer is to be had by Served.Next
+// FinalResult is a final answer: served, refused, or neither: failed.
+type FinalResult struct {
+	ServedBy   *upstream.Exchange // whose answer it is, until Done; nil if it was not served
+	Streaming  bool               // the answer is to be had by Served.Next
 	Refused    bool               // trying again is harmless
 	RetryAfter time.Duration      // when to come back, 0 for no advice
 }
@@ -77,15 +77,15 @@
 	return c
 }
 
-// Done takes a call back whose final answer, if it has one, has been passed on. One that flows
+// ReleaseCall takes a call back whose final answer, if it has one, has been passed on. One that flows
 // ends here, if it has not ended.
-func (e *Engine) Done(c *Call) {
+func (e *Engine) ReleaseCall(c *Call) {
 	if x := c.flowing; x != nil {
-		x.Abort()
+		x.AbortStream()
 		e.ended(x)
 	}
-	if c.final.Served != nil {
-		c.final.Served.Done()
+	if c.final.ServedBy != nil {
+		c.final.ServedBy.Release()
 	}
 	e.mu.Lock()
 	out := c.out
@@ -97,46 +97,46 @@
 	case <-c.wake:
 	default:
 	}
-	c.Request, c.Name, c.Head, c.Body, c.Until = balance.Request{}, "", nil, nil, time.Time{}
-	c.Flow, c.Size, c.flowing, c.CallerGone = nil, 0, nil, nil
-	c.engine, c.answered, c.final, c.next, c.inline, c.waiting = nil, false, Final{}, nil, nil, false
+	c.Request, c.CallerRequestID, c.Head, c.Body, c.Deadline = balance.Request{}, "", nil, nil, time.Time{}
+	c.StreamedBody, c.StreamedBodyLength, c.flowing, c.CallerDisconnected = nil, 0, nil, nil
+	c.engine, c.answered, c.final, c.next, c.inline, c.waiting = nil, false, FinalResult{}, nil, nil, false
 	c.attempts, c.few = nil, [2]*attempt{}
 	c.first.call, c.first.endpoint = nil, nil
 	e.spent.Put(c)
 }
 
-// callerGone is asked right before an attempt goes out.
-func (c *Call) callerGone() bool {
-	if !c.CallerGone() {
+// cancelIfDisconnected is asked right before an attempt goes out.
+func (c *Call) cancelIfDisconnected() bool {
+	if !c.CallerDisconnected() {
 		return false
 	}
-	c.Leave()
+	c.Cancel()
 	return true
 }
 
-// Leave tells the engine that the caller has gone, see door.Leaver.
-func (c *Call) Leave() { c.engine.abandon(c, "the caller has gone") }
+// Cancel tells the engine that the caller has gone, see door.Leaver.
+func (c *Call) Cancel() { c.engine.abandon(c, "the caller has gone") }
 
 // Serve hands a call to the balancer and returns its final answer. gone tells that the caller
 // has gone by now; Leave tells it later.
-func (e *Engine) Serve(c *Call, gone bool) Final {
+func (e *Engine) Serve(c *Call, gone bool) FinalResult {
 	x, answered := e.begin(c, gone)
 	for !answered {
 		if x == nil {
 			x, answered = e.wait(c)
 			continue
 		}
-		p := upstream.Unsent
-		for p == upstream.Unsent && x.Ready() {
+		p := upstream.NeedsConnection
+		for p == upstream.NeedsConnection && x.TakeIdleConn() {
 			p = x.Run()
 		}
 		it := x
 		switch p {
-		case upstream.Over:
+		case upstream.Ended:
 			x, answered = e.ended(x)
-		case upstream.Flowing:
+		case upstream.Streaming:
 			x, answered = e.flow(x)
-		case upstream.Unsent: // a connection that has to come up is waited for elsewhere
+		case upstream.NeedsConnection: // a connection that has to come up is waited for elsewhere
 			x, answered = e.free(c)
 			go e.carry(it)
 		case upstream.Interrupted: // there is an answer, and this attempt is to go on beside it
@@ -158,21 +158,21 @@
 		c.answered = true
 		return nil, true
 	}
-	if left := c.Until.Sub(e.endBy); !e.endBy.IsZero() && left > 0 {
-		c.Until = e.endBy
-		c.Budget -= left
+	if left := c.Deadline.Sub(e.shutdownDeadline); !e.shutdownDeadline.IsZero() && left > 0 {
+		c.Deadline = e.shutdownDeadline
+		c.Timeout -= left
 	}
 	c.attempts = c.few[:0]
-	c.last = e.epoch + c.Until.Sub(e.origin)
-	if c.Flow != nil {
-		k := &e.cfg.Module.Classes[c.Class]
+	c.last = e.epoch + c.Deadline.Sub(e.origin)
+	if c.StreamedBody != nil {
+		k := &e.cfg.BalancerConfig.Classes[c.Class]
 		c.gate.Reset(k.Semantics, k.RepeatWindow)
 	}
 	e.last++
 	c.ID = e.last
 	e.calls[c.ID] = c
 	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.Request(now, c.Request, acts)
+		return e.balancer.RequestArrived(now, c.Request, acts)
 	})
 	return e.poll(c)
 }
@@ -194,7 +194,7 @@
 
 // wait waits for something to do, or until the caller's time is up: then the call has failed.
 func (e *Engine) wait(c *Call) (next *attempt, answered bool) {
-	c.timer.Reset(time.Until(c.Until))
+	c.timer.Reset(time.Until(c.Deadline))
 	select {
 	case <-c.wake:
 		c.timer.Stop()
@@ -220,22 +220,22 @@
 		c.answered = true
 		return
 	}
-	e.answer(c, Final{}, why)
+	e.answer(c, FinalResult{}, why)
 	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.Abandoned(now, c.ID, acts)
+		return e.balancer.RequestAbandoned(now, c.ID, acts)
 	})
 }
 
 // answer gives a call its final answer, unless it has one. What waits to go out does not go
 // out any more.
-func (e *Engine) answer(c *Call, f Final, decidedBy string) {
+func (e *Engine) answer(c *Call, f FinalResult, decidedBy string) {
 	if c == nil || c.answered {
 		return
 	}
 	logAnswer(c, &f, decidedBy)
 	c.answered, c.final = true, f
 	for _, x := range c.attempts {
-		x.Leave()
+		x.CancelUnsent()
 	}
 	if x := c.next; x != nil {
 		c.next = nil
@@ -279,29 +279,29 @@
 	to.uses++
 	x.slot = len(to.out)
 	to.out = append(to.out, x)
-	until := min(a.Until, c.last)
-	x.Begin(e.pool, to.route, e.on(until), func(b []byte) ([]byte, int) {
+	until := min(a.Deadline, c.last)
+	x.Prepare(e.pool, to.route, e.on(until), func(b []byte) ([]byte, int) {
 		if c.answered {
 			return b, 0
 		}
 		return appendRequest(b, c)
 	})
-	if c.CallerGone != nil {
-		x.Unless(c.callerGone)
+	if c.CallerDisconnected != nil {
+		x.SkipSendIf(c.cancelIfDisconnected)
 	}
-	if a.BeginBy > 0 {
-		x.BeginBy(e.on(a.BeginBy))
+	if a.StartDeadline > 0 {
+		x.SetStartDeadline(e.on(a.StartDeadline))
 	}
-	if c.Flow != nil {
+	if c.StreamedBody != nil {
 		n := x.n
-		x.Upload(c.Flow, c.Size, func() bool { return c.gate.Last(n, e.now()) })
+		x.SetStreamedBody(c.StreamedBody, c.StreamedBodyLength, func() bool { return c.gate.TryComplete(n, e.now()) })
 	}
 	logSend(x)
 	switch {
 	case c.answered || to.left:
-		x.Leave()
+		x.CancelUnsent()
 		go e.carry(x)
-	case c.Flow != nil: // its caller's goroutine waits for what comes first
+	case c.StreamedBody != nil: // its caller's goroutine waits for what comes first
 		go e.carry(x)
 	case c.next == nil && c.inline == nil:
 		c.next = x
@@ -313,7 +313,7 @@
 
 // carry carries an attempt in a goroutine of its own.
 func (e *Engine) carry(x *attempt) {
-	if x.Carry() {
+	if x.ConnectAndRun() {
 		e.flow(x)
 	} else {
 		e.ended(x)
@@ -326,7 +326,7 @@
 	for p == upstream.Interrupted {
 		p = x.Run()
 	}
-	if p == upstream.Flowing {
+	if p == upstream.Streaming {
 		e.flow(x)
 	} else {
 		e.ended(x)
@@ -340,7 +340,7 @@
 	c := x.call
 	if c.answered {
 		e.mu.Unlock()
-		x.Abort()
+		x.AbortStream()
 		return e.ended(x)
 	}
 	defer e.mu.Unlock()
@@ -349,11 +349,11 @@
 	}
 	now := e.now()
 	x.took = e.elapsed(x, now)
-	x.Extend(c.Until)
+	x.ExtendDeadline(c.Deadline)
 	c.flowing = x
-	e.answer(c, Final{Served: &x.Exchange, Flows: true}, "an attempt")
+	e.answer(c, FinalResult{ServedBy: &x.Exchange, Streaming: true}, "an attempt")
 	e.eventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.Head(now, c.ID, x.n, acts)
+		return e.balancer.ResponseStarted(now, c.ID, x.n, acts)
 	})
 	return e.poll(c)
 }
@@ -365,19 +365,19 @@
 		return x.took
 	}
 	began := x.began
-	if x.call.Flow != nil {
-		if at := x.Whole(); !at.IsZero() {
+	if x.call.StreamedBody != nil {
+		if at := x.BodySentAt(); !at.IsZero() {
 			began = max(began, e.epoch+at.Sub(e.origin))
 		}
 	}
 	return max(now-began, 1)
 }
 
-// Whole tells that the body of a call has come whole that was still arriving.
-func (c *Call) Whole() { c.engine.arrived(c, balance.BodyWhole) }
+// MarkBodyComplete tells that the body of a call has come whole that was still arriving.
+func (c *Call) MarkBodyComplete() { c.engine.arrived(c, balance.BodyComplete) }
 
-// Lost tells that it is kept no longer: no further attempt can have it.
-func (c *Call) Lost() { c.engine.arrived(c, balance.BodyLost) }
+// MarkBodyUnavailable tells that it is kept no longer: no further attempt can have it.
+func (c *Call) MarkBodyUnavailable() { c.engine.arrived(c, balance.BodyUnavailable) }
 
 func (e *Engine) arrived(c *Call, s balance.BodyState) {
 	e.mu.Lock()
@@ -386,11 +386,11 @@
 		return
 	}
 	if c.ID == 0 { // it has not begun
-		c.Arriving = c.Arriving && s != balance.BodyWhole
+		c.BodyArriving = c.BodyArriving && s != balance.BodyComplete
 		return
 	}
 	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.Body(now, c.ID, s, acts)
+		return e.balancer.BodyStateChanged(now, c.ID, s, acts)
 	})
 }
 
@@ -406,24 +406,24 @@
 	}
 	c.out--
 	result := x.Result()
-	if c.Flow != nil && retry.NeverRan(result) {
-		c.gate.Unrun(x.n)
+	if c.StreamedBody != nil && retry.NeverExecuted(result) {
+		c.gate.MarkNotExecuted(x.n)
 	}
 	if result == balance.OK {
 		if !c.answered {
-			e.answer(c, Final{Served: &x.Exchange}, "an attempt")
+			e.answer(c, FinalResult{ServedBy: &x.Exchange}, "an attempt")
 		} else {
-			x.Done()
+			x.Release()
 		}
 	}
 	now := e.now()
 	o := balance.Outcome{
-		Request: c.ID, Attempt: x.n, Endpoint: x.id, Result: result, Closed: c.answered,
-		Elapsed: e.elapsed(x, now), Load: x.Load(),
+		Request: c.ID, Attempt: x.n, Endpoint: x.id, Result: result, RequestFinished: c.answered,
+		Elapsed: e.elapsed(x, now), Load: x.LoadReport(),
 	}
 	logEnd(x, &o)
 	e.eventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.Ended(now, o, acts)
+		return e.balancer.AttemptEnded(now, o, acts)
 	})
 	e.forget(c)
 	to := x.endpoint
@@ -443,23 +443,23 @@
 func appendRequest(b []byte, c *Call) (text []byte, timeoutAt int) {
 	r := c.Head
 	b = http1.AppendRequestLine(b, r.Method(), r.Target())
-	for i := range r.Len() {
-		if f := r.Field(i); !http1.Is(f.Name, "X-Timeout") && r.EndToEnd(f.Name) {
-			b = http1.AppendParsed(b, f)
+	for i := range r.NumFields() {
+		if f := r.Field(i); !http1.EqualFieldName(f.Name, "X-Timeout") && r.IsEndToEnd(f.Name) {
+			b = http1.AppendParsedField(b, f)
 		}
 	}
 	switch {
-	case c.Flow != nil && c.Size < 0:
-		b = http1.AppendCoding(b)
-	case c.Flow != nil:
-		b = http1.AppendLength(b, c.Size)
+	case c.StreamedBody != nil && c.StreamedBodyLength < 0:
+		b = http1.AppendChunkedEncoding(b)
+	case c.StreamedBody != nil:
+		b = http1.AppendContentLength(b, c.StreamedBodyLength)
 	case len(c.Body) > 0 || string(r.Method()) != http.MethodGet:
-		b = http1.AppendLength(b, int64(len(c.Body)))
+		b = http1.AppendContentLength(b, int64(len(c.Body)))
 	}
 	b = append(b, "X-Timeout: "...)
 	timeoutAt = len(b)
-	b = http1.AppendEnd(append(b, "\r\n"...))
-	if c.Flow == nil {
+	b = http1.AppendHeadEnd(append(b, "\r\n"...))
+	if c.StreamedBody == nil {
 		b = append(b, c.Body...)
 	}
 	return b, timeoutAt
--- a/internal/engine/call_test.go
+++ b/internal/engine/call_test.go
@@ -24,7 +24,7 @@
 
 func newEngine(t *testing.T, known discovery.List) *Engine {
 	t.Helper()
-	e, err := New(fake.Config(t, known))
+	e, err := New(fake.NewConfig(t, known))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 func newCall(t *testing.T, e *Engine, wait time.Duration) *Call {
 	t.Helper()
 	c := e.NewCall()
-	c.Class, c.Budget, c.Until = e.cfg.Classes["book"], wait, time.Now().Add(wait)
+	c.Class, c.Timeout, c.Deadline = e.cfg.ClassIndex["book"], wait, time.Now().Add(wait)
 	c.Head, c.Body = http1.NewRequest(http1.DefaultLimits), []byte("x")
 	if n, err := c.Head.Parse([]byte("POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nContent-Length: 1\r\n\r\n")); n == 0 || err != nil {
 		t.Fatal(n, err)
@@ -65,19 +65,19 @@
 // The probe goes to the path and is waited for as long as the file says.
 func TestProbeIsTheFiles(t *testing.T) {
 	paths := make(chan string, 1)
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		paths <- r.URL.Path
 		if r.URL.Path == "/late" {
 			<-r.Context().Done()
 		}
 		io.WriteString(w, "TEXT inflight=3, queue=0, util=0.5")
 	})
-	c := config.Merge(fake.Config(t, discovery.List{}).Platform, settings(t, "[probe]\npath = \"/how-busy\"\ntime = \"10s\"\n"))
+	c := config.Merge(fake.NewConfig(t, discovery.List{}).Platform, settings(t, "[probe]\npath = \"/how-busy\"\ntime = \"10s\"\n"))
 	set := newLive(c.Settings)
 	p, to := newPool(c, set), &upstream.Route{Addr: addr}
-	defer p.Release(to, false)
+	defer p.CloseIdleConnections(to, false)
 	probe := func() (balance.Result, *balance.Load) {
-		return p.Probe(to, c.ProbePath(set.Load()), set.Load().Probe.Time)
+		return p.Probe(to, c.ProbePath(set.Load()), set.Load().Probe.Timeout)
 	}
 	if got, load := probe(); <-paths != "/how-busy" || got != balance.OK || load.InFlight != 3 {
 		t.Errorf("%d %+v", got, load)
@@ -86,11 +86,11 @@
 	if got, _ := probe(); <-paths != "/late" || got != balance.Timeout {
 		t.Errorf("%d", got)
 	}
-	if got := c.ProbePath(config.Default()); got != "/load" {
+	if got := c.ProbePath(config.DefaultSettings()); got != "/load" {
 		t.Errorf("by default %s", got)
 	}
-	c.Module.Reporting = balance.ReportsNone
-	if got := c.ProbePath(config.Default()); got != "/healthz" {
+	c.BalancerConfig.Reporting = balance.ReportsNone
+	if got := c.ProbePath(config.DefaultSettings()); got != "/healthz" {
 		t.Errorf("without reports %s", got)
 	}
 }
@@ -130,7 +130,7 @@
 	t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		s := e.Stats()
-		if s.Calls == 0 && s.Attempts == 0 {
+		if s.OpenCalls == 0 && s.AttemptsInFlight == 0 {
 			return
 		}
 		if time.Now().After(end) {
@@ -145,7 +145,7 @@
 	began, finish := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(finish) })
 	var first atomic.Bool
-	e := newEngine(t, fake.Up(fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if first.CompareAndSwap(false, true) { // so that a connection stands idle
 			return
@@ -155,19 +155,19 @@
 	})))
 	defer release() // before the node's end, which waits for its handlers
 	c := newCall(t, e, patience)
-	if f := e.Serve(c, false); f.Served == nil {
+	if f := e.Serve(c, false); f.ServedBy == nil {
 		t.Fatalf("%+v", f)
 	}
-	e.Done(c)
+	e.ReleaseCall(c)
 	c = newCall(t, e, 10*patience) // its own end must not pass for the answer
-	finals := make(chan Final, 1)
+	finals := make(chan FinalResult, 1)
 	go func() { finals <- e.Serve(c, false) }()
 	wait(t, began, "attempt")
 	e.mu.Lock()
 	if c.inline == nil {
 		t.Error("the call's goroutine does not carry the attempt")
 	}
-	e.answer(c, Final{Refused: true}, "the test")
+	e.answer(c, FinalResult{Refused: true}, "the test")
 	e.mu.Unlock()
 	select {
 	case f := <-finals:
@@ -177,21 +177,21 @@
 	case <-time.After(patience):
 		t.Fatal("it waits for its own attempt")
 	}
-	e.Done(c)
+	e.ReleaseCall(c)
 	release()
 	drained(t, e)
 }
 
 // What has its answer before its first byte went out stays here.
 func TestNothingGoesOutOnceAnswered(t *testing.T) {
-	e := newEngine(t, fake.Up(fake.HTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out") })))
+	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out") })))
 	c := newCall(t, e, patience)
 	x, answered := e.begin(c, false)
 	if x == nil || answered {
 		t.Fatalf("%v %v: no attempt to carry", x, answered)
 	}
 	e.abandon(c, "the test") // its caller goes between the decision and the first byte
-	x.Carry()
+	x.ConnectAndRun()
 	if _, answered := e.ended(x); !answered || x.Result() != balance.NotSent {
 		t.Errorf("answered %v, result %d", answered, x.Result())
 	}
@@ -200,31 +200,31 @@
 
 // A call that is abandoned before the engine has it is never handed to the balancer.
 func TestGoneBeforeBegin(t *testing.T) {
-	e := newEngine(t, fake.Up("127.0.0.1:1"))
+	e := newEngine(t, fake.EndpointList("127.0.0.1:1"))
 	for _, early := range []bool{false, true} {
 		c := newCall(t, e, patience)
 		if early {
-			c.Leave()
+			c.Cancel()
 		}
-		if f := e.Serve(c, !early); f.Served != nil || f.Refused || e.Stats().Taken != 0 {
+		if f := e.Serve(c, !early); f.ServedBy != nil || f.Refused || e.Stats().CallsTotal != 0 {
 			t.Errorf("%+v, %+v", f, e.Stats())
 		}
-		e.Done(c)
+		e.ReleaseCall(c)
 	}
 }
 
 // A call that nobody takes fails when its caller's time is up, whatever the balancer does.
 func TestTimeIsUp(t *testing.T) {
-	e := newEngine(t, fake.Up(fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})))
 	c := newCall(t, e, patience)
-	c.Until = time.Now().Add(50 * time.Millisecond) // sooner than the balancer is told
-	if f := e.Serve(c, false); f.Served != nil || f.Refused {
+	c.Deadline = time.Now().Add(50 * time.Millisecond) // sooner than the balancer is told
+	if f := e.Serve(c, false); f.ServedBy != nil || f.Refused {
 		t.Errorf("%+v", f)
 	}
-	e.Done(c)
+	e.ReleaseCall(c)
 	drained(t, e)
 }
 
@@ -232,7 +232,7 @@
 // then goes to another.
 func TestDrainWhileOut(t *testing.T) {
 	began, finish := make(chan struct{}), make(chan struct{})
-	list := fake.Up(fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	list := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		close(began)
 		<-finish
@@ -240,15 +240,15 @@
 	}))
 	e := newEngine(t, list)
 	c := newCall(t, e, patience)
-	finals := make(chan Final, 1)
+	finals := make(chan FinalResult, 1)
 	go func() { finals <- e.Serve(c, false) }()
 	wait(t, began, "attempt")
 	list.Instances[0].Lifecycle = "draining"
-	e.List(&list)
+	e.UpdateEndpoints(&list)
 	close(finish)
-	if f := <-finals; f.Served == nil || string(f.Served.Body()) != "old" {
+	if f := <-finals; f.ServedBy == nil || string(f.ServedBy.ResponseBody()) != "old" {
 		t.Errorf("%+v", f)
 	}
-	e.Done(c)
+	e.ReleaseCall(c)
 	drained(t, e)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -23,28 +23,28 @@
 // Engine owns the balancer. Every event goes to it under one lock, and its
 // actions are started there in their order; none waits for I/O.
 type Engine struct {
-	origin     time.Time // of the module's clock, which read epoch then
-	epoch      time.Duration
-	pool       *upstream.Pool
-	cfg        *config.Config
-	settings   *live
-	subscribed chan struct{} // the module wants a watch
-	ready      atomic.Bool   // it knows of endpoints
-	spent      sync.Pool     // of *Call
+	origin             time.Time // of the module's clock, which read epoch then
+	epoch              time.Duration
+	pool               *upstream.Pool
+	cfg                *config.Config
+	settings           *live
+	subscribeRequested chan struct{} // the module wants a watch
+	ready              atomic.Bool   // it knows of endpoints
+	spent              sync.Pool     // of *Call
 
-	mu        sync.Mutex
-	balancer  *balance.Balancer
-	names     *names
-	endpoints map[balance.EndpointID]*endpoint
-	calls     map[balance.RequestID]*Call
-	last      balance.RequestID
-	actions   []balance.Action
-	at        time.Duration // of the event whose actions are carried out
-	timers    timers
-	clock     *time.Timer
-	armed     time.Duration // what the clock is set for, 0 for nothing
-	starts    starts
-	endBy     time.Time // by which every call is answered, zero for no such time
+	mu               sync.Mutex
+	balancer         *balance.Balancer
+	names            *names
+	endpoints        map[balance.EndpointID]*endpoint
+	calls            map[balance.RequestID]*Call
+	last             balance.RequestID
+	actions          []balance.Action
+	at               time.Duration // of the event whose actions are carried out
+	timers           timers
+	clock            *time.Timer
+	armed            time.Duration // what the clock is set for, 0 for nothing
+	starts           starts
+	shutdownDeadline time.Time // by which every call is answered, zero for no such time
 }
 
 // endpoint is where an endpoint is reached.
@@ -64,49 +64,49 @@
 
 // New returns an Engine that knows the list in its configuration.
 func New(c *config.Config) (*Engine, error) {
-	b, err := balance.New(c.Module, c.Seed)
+	b, err := balance.New(c.BalancerConfig, c.Seed)
 	if err != nil {
 		return nil, err
 	}
 	settings := newLive(c.Settings)
 	e := &Engine{
 		origin: time.Now(), pool: newPool(c, settings), cfg: c, settings: settings,
-		subscribed: make(chan struct{}, 1),
-		balancer:   b, names: newNames(c.Zones),
+		subscribeRequested: make(chan struct{}, 1),
+		balancer:           b, names: newNames(c.Zones),
 		endpoints: make(map[balance.EndpointID]*endpoint),
 		calls:     make(map[balance.RequestID]*Call),
 	}
 	// The module's clock goes on from Unix time without steps, so that the time an
 	// endpoint started needs no conversion and is the same in every list.
 	e.epoch = time.Duration(e.origin.UnixNano())
-	e.update(balance.ListRemember, &c.Known)
+	e.update(balance.ListLastKnown, &c.KnownEndpoints)
 	return e, nil
 }
 
 // newPool returns the pool of a sidecar.
 func newPool(c *config.Config, settings *live) *upstream.Pool {
-	keep := c.KeepAlive()
+	keep := c.KeepAliveTimeout()
 	return upstream.NewPool(upstream.Config{
-		Connections: c.EndpointConnections(), ConnectTime: c.ConnectTime(),
+		MaxConnections: c.MaxEndpointConnections(), ConnectTimeout: c.ConnectTimeout(),
 		// Idle connections must close here first: a request written as the endpoint closes is
 		// reset, and may have run for all that is known.
-		KeepAlive: keep - keep/10,
-		Limits: func() upstream.Limits {
+		IdleTimeout: keep - keep/10,
+		ResponseLimits: func() upstream.ResponseLimits {
 			most, flows := &settings.Load().Endpoints, &settings.Load().Streams
-			return upstream.Limits{
-				Head: int(most.MaxAnswerHead), Body: int64(most.MaxAnswer),
-				Long: int64(flows.MaxAnswer), Look: int64(flows.Look), Unknown: flows.MaxAnswer > 0 && flows.Chunks(),
+			return upstream.ResponseLimits{
+				HeadBytes: int(most.MaxResponseHead), BufferedBodyBytes: int64(most.MaxResponseBody),
+				StreamedBodyBytes: int64(flows.MaxResponseBody), PrefetchBytes: int64(flows.ResponseCommitThreshold), StreamUnknownLength: flows.MaxResponseBody > 0 && flows.ChunkedEnabled(),
 			}
 		},
-		Pace: func() transferrate.Meter { return settings.Load().Streams.Pace() },
+		NewRateMeter: func() transferrate.Meter { return settings.Load().Streams.RateMeter() },
 	})
 }
 
-// EndBy has every call that is open, or begins, answered by a time: one that is still open then has failed.
-func (e *Engine) EndBy(t time.Time) {
+// SetShutdownDeadline has every call that is open, or begins, answered by a time: one that is still open then has failed.
+func (e *Engine) SetShutdownDeadline(t time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.endBy = t
+	e.shutdownDeadline = t
 	time.AfterFunc(time.Until(t), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -143,23 +143,23 @@
 		e.send(a)
 	case balance.Cancel:
 		if c := e.calls[a.Request]; c != nil && a.Attempt < len(c.attempts) {
-			c.attempts[a.Attempt].End(upstream.ErrCanceled)
+			c.attempts[a.Attempt].Cancel(upstream.ErrCanceled)
 		}
 	case balance.Shed:
-		e.answer(e.calls[a.Request], Final{Refused: true, RetryAfter: a.Delay}, "the balancer")
+		e.answer(e.calls[a.Request], FinalResult{Refused: true, RetryAfter: a.Delay}, "the balancer")
 	case balance.Fail:
-		e.answer(e.calls[a.Request], Final{}, "the balancer")
+		e.answer(e.calls[a.Request], FinalResult{}, "the balancer")
 	case balance.SetTimer:
 		e.timers.push(due{e.at + a.Delay, a.Timer})
 	case balance.Probe:
 		e.probe(a.Endpoint)
-	case balance.Release:
+	case balance.CloseIdle:
 		if to := e.endpoints[a.Endpoint]; to != nil {
-			e.pool.Release(to.route, !to.left)
+			e.pool.CloseIdleConnections(to.route, !to.left)
 		}
 	case balance.Subscribe:
 		select {
-		case e.subscribed <- struct{}{}:
+		case e.subscribeRequested <- struct{}{}:
 		default:
 		}
 	}
@@ -177,12 +177,12 @@
 		result, load := balance.NotSent, (*balance.Load)(nil)
 		if !left {
 			set := e.settings.Load()
-			result, load = e.pool.Probe(way, e.cfg.ProbePath(set), set.Probe.Time)
+			result, load = e.pool.Probe(way, e.cfg.ProbePath(set), set.Probe.Timeout)
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
-			return e.balancer.Probed(now, id, result, load, acts)
+			return e.balancer.ProbeEnded(now, id, result, load, acts)
 		})
 		e.unuse(id, to)
 	}()
@@ -202,8 +202,8 @@
 	}
 }
 
-// Subscribed has something in it when the module wants the list to be watched.
-func (e *Engine) Subscribed() <-chan struct{} { return e.subscribed }
+// SubscribeRequested has something in it when the module wants the list to be watched.
+func (e *Engine) SubscribeRequested() <-chan struct{} { return e.subscribeRequested }
 
 // Ready tells whether any endpoint is known.
 func (e *Engine) Ready() bool { return e.ready.Load() }
@@ -211,8 +211,8 @@
 // Settings are those at hand; SIGHUP may bring others.
 func (e *Engine) Settings() *config.Settings { return e.settings.Load() }
 
-// Endpoint tells where an endpoint is that the list names, and whether it is in service.
-func (e *Engine) Endpoint(name string) (addr string, inService, known bool) {
+// LookupEndpoint tells where an endpoint is that the list names, and whether it is in service.
+func (e *Engine) LookupEndpoint(name string) (addr string, inService, known bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	to := e.endpoints[e.names.ids[name]]
@@ -224,49 +224,49 @@
 
 // Stats are what the engine holds.
 type Stats struct {
-	Taken     int // calls in all
-	Calls     int // that are open, or have an attempt out
-	Attempts  int // that are out
-	Waiting   int // exchanges that wait for a connection to be closed
-	Endpoints int // that are known, or have an attempt or probe out
-	Names     int // of endpoints
+	CallsTotal       int // calls in all
+	OpenCalls        int // that are open, or have an attempt out
+	AttemptsInFlight int // that are out
+	WaitingExchanges int // exchanges that wait for a connection to be closed
+	Endpoints        int // that are known, or have an attempt or probe out
+	EndpointNames    int // of endpoints
 }
 
 // Stats counts what the engine holds.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := Stats{Taken: int(e.last), Calls: len(e.calls), Endpoints: len(e.endpoints), Names: max(len(e.names.ids), len(e.names.taken)),
-		Waiting: e.pool.Waiting()}
+	s := Stats{CallsTotal: int(e.last), OpenCalls: len(e.calls), Endpoints: len(e.endpoints), EndpointNames: max(len(e.names.ids), len(e.names.taken)),
+		WaitingExchanges: e.pool.WaitingExchanges()}
 	for _, to := range e.endpoints {
-		s.Attempts += len(to.out)
+		s.AttemptsInFlight += len(to.out)
 	}
 	return s
 }
 
-// List takes a list from discovery.
-func (e *Engine) List(l *discovery.List) {
+// UpdateEndpoints takes a list from discovery.
+func (e *Engine) UpdateEndpoints(l *discovery.List) {
 	kind := balance.ListChanges
-	if l.Reset {
+	if l.Full {
 		kind = balance.ListFull
 	}
 	e.update(kind, l)
 }
 
-// Heard notes that discovery has answered, also where it had no news.
-func (e *Engine) Heard() {
+// RecordDiscoveryResponse notes that discovery has answered, also where it had no news.
+func (e *Engine) RecordDiscoveryResponse() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.starts.heard = e.now()
 }
 
-// Refused tells the balancer that a call to discovery has failed.
-func (e *Engine) Refused() { e.update(balance.ListRefused, &discovery.List{}) }
+// RecordDiscoveryFailure tells the balancer that a call to discovery has failed.
+func (e *Engine) RecordDiscoveryFailure() { e.update(balance.ListUnavailable, &discovery.List{}) }
 
 func (e *Engine) update(kind balance.ListKind, l *discovery.List) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if kind == balance.ListFull || kind == balance.ListRemember {
+	if kind == balance.ListFull || kind == balance.ListLastKnown {
 		for _, to := range e.endpoints {
 			to.left, to.gone = true, true
 		}
@@ -276,27 +276,27 @@
 	now := e.now()
 	for i, in := range entries {
 		to := e.endpoints[in.ID]
-		reported := in.Started
-		in.Started = e.starts.of(reported, now, to)
+		reported := in.StartedAt
+		in.StartedAt = e.starts.of(reported, now, to)
 		list[i] = in.Endpoint
 		if to == nil {
-			to = &endpoint{name: in.name, route: &upstream.Route{Addr: in.addr}, started: in.Started}
+			to = &endpoint{name: in.name, route: &upstream.Route{Addr: in.addr}, started: in.StartedAt}
 			e.endpoints[in.ID] = to
 		}
 		to.reported = reported
 		// Connections to the old address or process are of no more use; one to a machine
 		// that vanished may stay open and silent, and the next request on it would be lost.
 		addr := cmp.Or(in.addr, to.route.Addr)
-		if addr != to.route.Addr || in.Started != to.started || to.closed && in.State == balance.InService {
-			e.pool.Release(to.route, false)
-			to.route, to.started, to.closed = &upstream.Route{Addr: addr}, in.Started, false
+		if addr != to.route.Addr || in.StartedAt != to.started || to.closed && in.State == balance.InService {
+			e.pool.CloseIdleConnections(to.route, false)
+			to.route, to.started, to.closed = &upstream.Route{Addr: addr}, in.StartedAt, false
 		}
-		to.left, to.gone = in.State != balance.InService, in.State == balance.Gone
+		to.left, to.gone = in.State != balance.InService, in.State == balance.Removed
 		slog.Debug("endpoint", "name", in.name, "version", l.Generation, "whole list", kind != balance.ListChanges,
 			"in service", !to.left, "gone", to.gone)
 	}
 	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.Endpoints(now, kind, list, acts)
+		return e.balancer.EndpointsUpdated(now, kind, list, acts)
 	})
 	if len(e.endpoints) > 0 {
 		e.ready.Store(true)
@@ -320,9 +320,9 @@
 		return
 	}
 	for _, x := range to.out {
-		x.Leave()
+		x.CancelUnsent()
 	}
-	e.pool.Release(to.route, false)
+	e.pool.CloseIdleConnections(to.route, false)
 	to.closed = true
 	e.drop(id, to)
 }
--- a/internal/engine/live.go
+++ b/internal/engine/live.go
@@ -19,15 +19,15 @@
 	return l
 }
 
-// Apply has the sidecar go by other settings, as far as they need no restart. They must have
+// ApplySettings has the sidecar go by other settings, as far as they need no restart. They must have
 // passed internal/check beside the configuration that the sidecar was started with.
-func (e *Engine) Apply(s *config.Settings) {
+func (e *Engine) ApplySettings(s *config.Settings) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.settings.Store(s)
-	for i, k := range e.cfg.Limited(s) {
+	for i, k := range e.cfg.ReloadedClasses(s) {
 		e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
-			return e.balancer.Bound(now, i, k, acts)
+			return e.balancer.SetClassLimits(now, i, k, acts)
 		})
 	}
 }
--- a/internal/engine/log.go
+++ b/internal/engine/log.go
@@ -19,30 +19,30 @@
 // logSend logs the begin of an attempt.
 func logSend(x *attempt) {
 	if debugging() {
-		slog.Debug("attempt begun", "request", x.call.Name, "attempt", x.n, "endpoint", x.endpoint.name, "left service", x.endpoint.left)
+		slog.Debug("attempt begun", "request", x.call.CallerRequestID, "attempt", x.n, "endpoint", x.endpoint.name, "left service", x.endpoint.left)
 	}
 }
 
 // logEnd logs the end of an attempt, and why it has no answer.
 func logEnd(x *attempt, o *balance.Outcome) {
 	if debugging() {
-		slog.Debug("attempt ended", "request", x.call.Name, "attempt", x.n, "endpoint", x.endpoint.name,
-			"result", resultNames[o.Result], "why", x.Failed(), "elapsed", o.Elapsed, "after the answer", o.Closed)
+		slog.Debug("attempt ended", "request", x.call.CallerRequestID, "attempt", x.n, "endpoint", x.endpoint.name,
+			"result", resultNames[o.Result], "why", x.Err(), "elapsed", o.Elapsed, "after the answer", o.RequestFinished)
 	}
 }
 
 // logAnswer logs the final answer to a request: what decided it is the module's answer, an attempt's, or
 // that the caller has gone or its time is up.
-func logAnswer(c *Call, f *Final, decidedBy string) {
+func logAnswer(c *Call, f *FinalResult, decidedBy string) {
 	if !debugging() {
 		return
 	}
 	kind := "failed"
 	switch {
-	case f.Served != nil:
+	case f.ServedBy != nil:
 		kind = "served"
 	case f.Refused:
 		kind = "refused"
 	}
-	slog.Debug("request answered", "request", c.Name, "answer", kind, "by", decidedBy, "attempts", len(c.attempts), "retry after", f.RetryAfter)
+	slog.Debug("request answered", "request", c.CallerRequestID, "answer", kind, "by", decidedBy, "attempts", len(c.attempts), "retry after", f.RetryAfter)
 }
--- a/internal/engine/names.go
+++ b/internal/engine/names.go
@@ -78,8 +78,8 @@
 			weight = *in.Weight
 		}
 		out[i] = entry{name: in.ID, addr: in.HostPort, Endpoint: balance.Endpoint{
-			ID: n.id(in.ID), Zone: n.zone(in.Zone), Cell: in.Cell, State: discovery.States[in.Lifecycle],
-			Weight: weight, Started: time.Duration(in.StartedMS) * time.Millisecond,
+			ID: n.id(in.ID), Zone: n.zone(in.Zone), Cell: in.Cell, State: discovery.StatesByLifecycle[in.Lifecycle],
+			Weight: weight, StartedAt: time.Duration(in.StartedAtUnixMilli) * time.Millisecond,
 		}}
 	}
 	return out
--- a/internal/engine/names_test.go
+++ b/internal/engine/names_test.go
@@ -50,13 +50,13 @@
 
 // The start of an endpoint, in Unix time, is at its place on the module's clock.
 func TestStartIsOnTheModulesClock(t *testing.T) {
-	l := fake.Up("127.0.0.1:2")
-	l.Instances[0].StartedMS = time.Now().Add(-time.Minute).UnixMilli()
-	e, err := New(fake.Config(t, l))
+	l := fake.EndpointList("127.0.0.1:2")
+	l.Instances[0].StartedAtUnixMilli = time.Now().Add(-time.Minute).UnixMilli()
+	e, err := New(fake.NewConfig(t, l))
 	if err != nil {
 		t.Fatal(err)
 	}
-	age := e.now() - e.names.entries(&l)[0].Started
+	age := e.now() - e.names.entries(&l)[0].StartedAt
 	if age < time.Minute || age > time.Minute+patience {
 		t.Errorf("age %v, want a minute", age)
 	}
--- a/internal/engine/starts_test.go
+++ b/internal/engine/starts_test.go
@@ -12,14 +12,14 @@
 		"no step": 0, "an hour ahead": time.Hour, "an hour behind": -time.Hour, "seconds behind": -5 * time.Second,
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := newEngine(t, discovery.List{Generation: 1, Reset: true})
-			e.Heard()
+			e := newEngine(t, discovery.List{Generation: 1, Full: true})
+			e.RecordDiscoveryResponse()
 			// The list's clock is right, and the sidecar's own was off by the step as it started.
 			started := time.Now().Add(-step)
 			list := discovery.List{Generation: 2, Instances: []discovery.Instance{
-				{ID: "new", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedMS: started.UnixMilli()},
+				{ID: "new", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedAtUnixMilli: started.UnixMilli()},
 			}}
-			e.List(&list)
+			e.UpdateEndpoints(&list)
 			e.mu.Lock()
 			first := e.endpoints[e.names.ids["new"]].started
 			age := e.now() - first
@@ -28,7 +28,7 @@
 				t.Errorf("it is held to have started %v ago", age)
 			}
 			time.Sleep(2 * time.Millisecond)
-			e.List(&list) // the same again is the same process
+			e.UpdateEndpoints(&list) // the same again is the same process
 			e.mu.Lock()
 			again := e.endpoints[e.names.ids["new"]].started
 			e.mu.Unlock()
@@ -40,10 +40,10 @@
 }
 
 func TestStartBeforeTheSidecarsOwnIsTakenAsTold(t *testing.T) {
-	e := newEngine(t, discovery.List{Generation: 1, Reset: true})
+	e := newEngine(t, discovery.List{Generation: 1, Full: true})
 	told := time.Now().Add(-time.Minute)
-	e.List(&discovery.List{Generation: 2, Reset: true, Instances: []discovery.Instance{
-		{ID: "old", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedMS: told.UnixMilli()},
+	e.UpdateEndpoints(&discovery.List{Generation: 2, Full: true, Instances: []discovery.Instance{
+		{ID: "old", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedAtUnixMilli: told.UnixMilli()},
 	}})
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -76,7 +76,7 @@
 	for now := e.now(); len(e.timers) > 0 && e.timers[0].at <= now; {
 		t := e.timers.pop().timer
 		e.eventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
-			return e.balancer.Fired(now, t, acts)
+			return e.balancer.TimerFired(now, t, acts)
 		})
 	}
 	e.at = e.now()
--- a/internal/fake/bulk.go
+++ b/internal/fake/bulk.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// NewBulk starts a node on loopback that takes bodies of any length and answers with so many
+// NewLargeBodyServer starts a node on loopback that takes bodies of any length and answers with so many
 // bytes once it has read one whole. It is net/http's server; Close ends it.
-func NewBulk(answer int64) (*http.Server, string, error) {
+func NewLargeBodyServer(answer int64) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", fmt.Errorf("stand-in node: %w", err)
@@ -34,12 +34,12 @@
 
 func (zeros) Read(p []byte) (int, error) { return len(p), nil }
 
-// BulkCaller sends a long body and reads a long answer on a connection of its own.
-type BulkCaller struct {
-	Addr, Class, Path, ID string
-	Body, Answer          int64
-	Rate                  int64 // bytes a second either way, 0 for as fast as it goes
-	Timeout               time.Duration
+// LargeBodyCaller sends a long body and reads a long answer on a connection of its own.
+type LargeBodyCaller struct {
+	Addr, Class, Path, ID    string
+	BodyBytes, ResponseBytes int64
+	BytesPerSecond           int64 // bytes a second either way, 0 for as fast as it goes
+	Timeout                  time.Duration
 }
 
 // pieceTime is how often a caller with a rate sends or reads.
@@ -64,7 +64,7 @@
 }
 
 // Do asks once. An error tells that the answer was none, or not whole.
-func (b BulkCaller) Do() error {
+func (b LargeBodyCaller) Do() error {
 	c, err := net.Dial("tcp", b.Addr)
 	if err != nil {
 		return fmt.Errorf("stand-in caller: %w", err)
@@ -74,16 +74,16 @@
 	sent := make(chan error, 1)
 	go func() {
 		_, err := fmt.Fprintf(c, "POST /api/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nIdempotency-Key: %s\r\nX-Priority-Class: %s\r\n"+
-			"X-Timeout: %dm\r\nContent-Length: %d\r\n\r\n", b.Path, b.ID, b.ID, b.Class, b.Timeout.Milliseconds(), b.Body)
-		sent <- errors.Join(err, paced(c, zeros{}, b.Body, b.Rate))
+			"X-Timeout: %dm\r\nContent-Length: %d\r\n\r\n", b.Path, b.ID, b.ID, b.Class, b.Timeout.Milliseconds(), b.BodyBytes)
+		sent <- errors.Join(err, paced(c, zeros{}, b.BodyBytes, b.BytesPerSecond))
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return fmt.Errorf("stand-in caller: %w", err)
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK || resp.ContentLength != b.Answer {
+	if resp.StatusCode != http.StatusOK || resp.ContentLength != b.ResponseBytes {
 		return fmt.Errorf("stand-in caller: %s, %d bytes", resp.Status, resp.ContentLength)
 	}
-	return errors.Join(paced(io.Discard, resp.Body, b.Answer, b.Rate), <-sent)
+	return errors.Join(paced(io.Discard, resp.Body, b.ResponseBytes, b.BytesPerSecond), <-sent)
 }
--- a/internal/fake/caller.go
+++ b/internal/fake/caller.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Order is one request as a caller sends it.
-type Order struct {
+// CallerRequest is one request as a caller sends it.
+type CallerRequest struct {
 	ID, Class, Tenant string
-	Key               string // empty for a class without keys
+	IdempotencyKey    string // empty for a class without keys
 	Path              string // from /api/ on; empty is "order"
 	Body              string
 	Timeout           time.Duration // the caller's patience
 	Retried           bool
 }
 
-// NewRequest returns an order as a request to a sidecar, see PROTOCOL, "Callers to sidecars".
-func NewRequest(ctx context.Context, sidecar string, o Order) (*http.Request, error) {
+// NewHTTPRequest returns an order as a request to a sidecar, see PROTOCOL, "Callers to sidecars".
+func NewHTTPRequest(ctx context.Context, sidecar string, o CallerRequest) (*http.Request, error) {
 	method := http.MethodPost
-	if o.Key == "" && o.Body == "" {
+	if o.IdempotencyKey == "" && o.Body == "" {
 		method = http.MethodGet
 	}
 	path := o.Path
@@ -37,7 +37,7 @@
 		return nil, fmt.Errorf("stand-in caller: %w", err)
 	}
 	for name, value := range map[string]string{
-		"X-Request-ID": o.ID, "X-Priority-Class": o.Class, "X-Tenant-Id": o.Tenant, "Idempotency-Key": o.Key,
+		"X-Request-ID": o.ID, "X-Priority-Class": o.Class, "X-Tenant-Id": o.Tenant, "Idempotency-Key": o.IdempotencyKey,
 	} {
 		if value != "" {
 			req.Header.Set(name, value)
@@ -52,19 +52,19 @@
 	return req, nil
 }
 
-// Verdict is how a request ended for its caller.
-type Verdict int
+// Outcome is how a request ended for its caller.
+type Outcome int
 
 // The verdicts. Lost is no answer in time, or one that no node made for this request.
 const (
-	Served Verdict = iota
-	Refused
-	Failed
-	Lost
-	verdicts
+	OutcomeServed Outcome = iota
+	OutcomeRefused
+	OutcomeFailed
+	OutcomeNoResponse
+	outcomeCount
 )
 
-func (v Verdict) String() string { return [...]string{"served", "refused", "failed", "lost"}[v] }
+func (v Outcome) String() string { return [...]string{"served", "refused", "failed", "lost"}[v] }
 
 // Caller sends orders and counts what became of them. It tries none again; its library sends one
 // once more if the connection it was written to turns out to be closed, as PROTOCOL has it.
@@ -72,7 +72,7 @@
 	client http.Client
 
 	mu     sync.Mutex
-	counts [verdicts]int
+	counts [outcomeCount]int
 	took   []time.Duration // of those served
 	why    map[string]int  // what was lost, by reason
 	seq    atomic.Int64
@@ -94,7 +94,7 @@
 
 // Do sends an order and notes its verdict. spare is the time beyond the order's own that an
 // answer may be late by for what lies between caller and sidecar.
-func (c *Caller) Do(ctx context.Context, sidecar string, o Order, spare time.Duration) Verdict {
+func (c *Caller) Do(ctx context.Context, sidecar string, o CallerRequest, spare time.Duration) Outcome {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout+spare)
 	defer cancel()
@@ -102,53 +102,53 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[v]++
-	if v == Served {
+	if v == OutcomeServed {
 		c.took = append(c.took, time.Since(began))
 	}
-	if v == Lost {
+	if v == OutcomeNoResponse {
 		c.why[why]++
 	}
 	return v
 }
 
-func (c *Caller) do(ctx context.Context, sidecar string, o Order) (Verdict, string) {
-	req, err := NewRequest(ctx, sidecar, o)
+func (c *Caller) do(ctx context.Context, sidecar string, o CallerRequest) (Outcome, string) {
+	req, err := NewHTTPRequest(ctx, sidecar, o)
 	if err != nil {
-		return Lost, err.Error()
+		return OutcomeNoResponse, err.Error()
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
-		return Lost, err.Error()
+		return OutcomeNoResponse, err.Error()
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Lost, err.Error()
+		return OutcomeNoResponse, err.Error()
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		var a Answer
+		var a Response
 		if err := json.Unmarshal(body, &a); err != nil || a.ID != o.ID {
-			return Lost, fmt.Sprintf("answered with %.60q", body)
+			return OutcomeNoResponse, fmt.Sprintf("answered with %.60q", body)
 		}
-		return Served, ""
+		return OutcomeServed, ""
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return Refused, ""
+		return OutcomeRefused, ""
 	default:
-		return Failed, ""
+		return OutcomeFailed, ""
 	}
 }
 
 // NextID returns an id that this caller has not used.
 func (c *Caller) NextID() string { return fmt.Sprintf("%016x", uint64(c.seq.Add(1))) }
 
-// Counts returns how many orders ended with each verdict, and how long those served took.
-func (c *Caller) Counts() (counts map[Verdict]int, took []time.Duration, lost map[string]int) {
+// Results returns how many orders ended with each verdict, and how long those served took.
+func (c *Caller) Results() (counts map[Outcome]int, took []time.Duration, lost map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	counts, lost = make(map[Verdict]int), make(map[string]int)
+	counts, lost = make(map[Outcome]int), make(map[string]int)
 	for v, n := range c.counts {
-		counts[Verdict(v)] = n
+		counts[Outcome(v)] = n
 	}
 	for why, n := range c.why {
 		lost[why] = n
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -57,8 +57,8 @@
 // Close ends the service and its watches.
 func (d *Discovery) Close() error { return d.server.Close() }
 
-// Change lists instances anew, adds them, or with lifecycle "removed" takes them away.
-func (d *Discovery) Change(list ...discovery.Instance) {
+// Update lists instances anew, adds them, or with lifecycle "removed" takes them away.
+func (d *Discovery) Update(list ...discovery.Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
@@ -76,8 +76,8 @@
 	d.wake()
 }
 
-// Calls is how many calls have come.
-func (d *Discovery) Calls() int {
+// RequestCount is how many calls have come.
+func (d *Discovery) RequestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
@@ -97,7 +97,7 @@
 
 // since returns what changed after a version, or all without one.
 func (d *Discovery) since(index *uint64) discovery.List {
-	l := discovery.List{Generation: d.generation, Reset: index == nil, Instances: []discovery.Instance{}}
+	l := discovery.List{Generation: d.generation, Full: index == nil, Instances: []discovery.Instance{}}
 	for _, id := range slices.Sorted(maps.Keys(d.instances)) {
 		in := d.instances[id]
 		if index == nil && in.Lifecycle != "removed" || index != nil && in.changed > *index {
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -20,26 +20,26 @@
 
 // The faults.
 const (
-	Well     Fault = iota
-	TurnAway       // 503 with X-Not-Processed: it has not run
-	Fail           // 500: it has run
-	Drop           // the connection closes after the request has run
-	Stall          // nothing, until the fault ends: then it runs
-	Garble         // it runs, and its answer can't be read
+	FaultNone              Fault = iota
+	FaultRefuse                  // 503 with X-Not-Processed: it has not run
+	FaultInternalError           // 500: it has run
+	FaultDropConnection          // the connection closes after the request has run
+	FaultStall                   // nothing, until the fault ends: then it runs
+	FaultMalformedResponse       // it runs, and its answer can't be read
 )
 
 // NodeConfig says what a node is.
 type NodeConfig struct {
-	ID, Zone string
-	Addr     string        // of loopback; ":0" picks a port
-	Slots    int           // requests in work together; 0 is 1
-	Queue    int           // requests that wait beyond them
-	Work     time.Duration // for each request
-	Ledger   *Ledger       // shared by the nodes of a tier; nil notes nothing
+	ID, Zone      string
+	Addr          string        // of loopback; ":0" picks a port
+	Concurrency   int           // requests in work together; 0 is 1
+	QueueCapacity int           // requests that wait beyond them
+	ServiceTime   time.Duration // for each request
+	ExecutionLog  *ExecutionLog // shared by the nodes of a tier; nil notes nothing
 
-	// Next carries a request on to the next tier, through a sidecar of the node's own; nil for
+	// Forward carries a request on to the next tier, through a sidecar of the node's own; nil for
 	// the last tier. An error fails the request.
-	Next func(ctx context.Context, r *http.Request) error
+	Forward func(ctx context.Context, r *http.Request) error
 }
 
 // Node is one endpoint of a tier.
@@ -59,8 +59,8 @@
 
 // NewNode starts a node.
 func NewNode(cfg NodeConfig) (*Node, error) {
-	cfg.Slots = max(cfg.Slots, 1)
-	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Slots), addr: cfg.Addr, mended: make(chan struct{})}
+	cfg.Concurrency = max(cfg.Concurrency, 1)
+	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Concurrency), addr: cfg.Addr, mended: make(chan struct{})}
 	if err := n.Start(); err != nil {
 		return nil, err
 	}
@@ -92,8 +92,8 @@
 	return n.server.Close()
 }
 
-// Set has the node show a fault, or none.
-func (n *Node) Set(f Fault) {
+// SetFault has the node show a fault, or none.
+func (n *Node) SetFault(f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fault = f
@@ -101,27 +101,27 @@
 	n.mended = make(chan struct{})
 }
 
-// Arrivals are the times at which requests came to the node, probes aside.
-func (n *Node) Arrivals() []time.Time {
+// ArrivalTimes are the times at which requests came to the node, probes aside.
+func (n *Node) ArrivalTimes() []time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.arrivals)
 }
 
-// Started is when the node's process last started; zero is long ago.
-func (n *Node) Started() time.Time {
+// StartedAt is when the node's process last started; zero is long ago.
+func (n *Node) StartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.started
 }
 
-// Entry is the node as discovery lists it.
-func (n *Node) Entry(lifecycle string) discovery.Instance {
+// DiscoveryEntry is the node as discovery lists it.
+func (n *Node) DiscoveryEntry(lifecycle string) discovery.Instance {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	in := discovery.Instance{ID: n.cfg.ID, HostPort: n.addr, Zone: n.cfg.Zone, Lifecycle: lifecycle}
 	if !n.started.IsZero() {
-		in.StartedMS = n.started.UnixMilli()
+		in.StartedAtUnixMilli = n.started.UnixMilli()
 	}
 	return in
 }
@@ -131,12 +131,12 @@
 	n.mu.Lock()
 	inFlight := n.inFlight
 	n.mu.Unlock()
-	busy := min(inFlight, n.cfg.Slots)
-	fmt.Fprintf(w, "TEXT inflight=%d, queue=%d, util=%.2f", inFlight, inFlight-busy, float64(busy)/float64(n.cfg.Slots))
+	busy := min(inFlight, n.cfg.Concurrency)
+	fmt.Fprintf(w, "TEXT inflight=%d, queue=%d, util=%.2f", inFlight, inFlight-busy, float64(busy)/float64(n.cfg.Concurrency))
 }
 
-// Answer is the body of a node's answer.
-type Answer struct {
+// Response is the body of a node's answer.
+type Response struct {
 	ID, Key, Node string
 }
 
@@ -151,21 +151,21 @@
 	}
 	fault, err := n.work(r, id, key)
 	switch {
-	case errors.Is(err, errFull), fault == TurnAway:
+	case errors.Is(err, errFull), fault == FaultRefuse:
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case fault == Drop:
+	case fault == FaultDropConnection:
 		panic(http.ErrAbortHandler)
-	case fault == Garble:
+	case fault == FaultMalformedResponse:
 		if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 			io.WriteString(c, "\x00\xffnoise\r\n\r\n")
 			c.Close()
 		}
-	case err != nil, fault == Fail:
+	case err != nil, fault == FaultInternalError:
 		w.WriteHeader(http.StatusInternalServerError)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(Answer{id, key, n.cfg.ID})
+		json.NewEncoder(w).Encode(Response{id, key, n.cfg.ID})
 	}
 }
 
@@ -174,7 +174,7 @@
 	n.mu.Lock()
 	n.arrivals = append(n.arrivals, time.Now())
 	fault, mended := n.fault, n.mended
-	if fault == TurnAway || n.inFlight >= n.cfg.Slots+n.cfg.Queue {
+	if fault == FaultRefuse || n.inFlight >= n.cfg.Concurrency+n.cfg.QueueCapacity {
 		n.mu.Unlock()
 		return fault, errFull
 	}
@@ -186,7 +186,7 @@
 		n.mu.Unlock()
 	}()
 	ctx := r.Context()
-	if fault == Stall {
+	if fault == FaultStall {
 		select {
 		case <-mended:
 		case <-ctx.Done():
@@ -199,24 +199,24 @@
 		return fault, ctx.Err()
 	}
 	defer func() { <-n.slots }()
-	if n.cfg.Ledger != nil {
-		n.cfg.Ledger.Run(id, key)
+	if n.cfg.ExecutionLog != nil {
+		n.cfg.ExecutionLog.Record(id, key)
 	}
 	select {
-	case <-time.After(n.cfg.Work):
+	case <-time.After(n.cfg.ServiceTime):
 	case <-ctx.Done():
 		return fault, ctx.Err()
 	}
-	if n.cfg.Next != nil {
-		return fault, n.cfg.Next(ctx, r)
+	if n.cfg.Forward != nil {
+		return fault, n.cfg.Forward(ctx, r)
 	}
 	return fault, nil
 }
 
-// Ledger notes what has run in a tier. A repeat of a key within the window is dropped, as
+// ExecutionLog notes what has run in a tier. A repeat of a key within the window is dropped, as
 // by endpoints that share which keys they have seen; a request with no key counts each time.
-type Ledger struct {
-	Window time.Duration
+type ExecutionLog struct {
+	RepeatWindow time.Duration
 
 	mu       sync.Mutex
 	runs     map[string]int // by key, or by id where there is none: effects
@@ -225,8 +225,8 @@
 	repeats  int
 }
 
-// Run notes that a request runs.
-func (l *Ledger) Run(id, key string) {
+// Record notes that a request runs.
+func (l *ExecutionLog) Record(id, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.runs == nil {
@@ -236,7 +236,7 @@
 	name, now := id, time.Now()
 	if key != "" {
 		name = "key " + key
-		if at, ok := l.last[name]; ok && now.Sub(at) < l.Window {
+		if at, ok := l.last[name]; ok && now.Sub(at) < l.RepeatWindow {
 			l.repeats++
 			return
 		}
@@ -247,7 +247,7 @@
 
 // Totals returns how many attempts have run, how many repeats were dropped, and for how many
 // requests the effect has happened more than once.
-func (l *Ledger) Totals() (attempts, repeats, twice int) {
+func (l *ExecutionLog) Totals() (attempts, repeats, twice int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, n := range l.runs {
--- a/internal/fake/quick.go
+++ b/internal/fake/quick.go
@@ -12,25 +12,25 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-// Quick is a node that answers at once and does as little as a node can, so that what is
+// BenchNode is a node that answers at once and does as little as a node can, so that what is
 // measured before it is not its own work. A request to /api/hold is answered after QuickHold.
-type Quick struct {
+type BenchNode struct {
 	l        net.Listener
 	answer   []byte
 	inFlight atomic.Int64
 }
 
-// QuickHold is how long a Quick holds a request to /api/hold.
-const QuickHold = 1200 * time.Millisecond
+// BenchHoldTime is how long a Quick holds a request to /api/hold.
+const BenchHoldTime = 1200 * time.Millisecond
 
-// NewQuick starts a node on loopback whose answers have so many bytes of body.
-func NewQuick(body int) (*Quick, error) {
+// NewBenchNode starts a node on loopback whose answers have so many bytes of body.
+func NewBenchNode(body int) (*BenchNode, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in node: %w", err)
 	}
-	q := &Quick{l: l}
-	q.answer = append(quickHead(body), bytes.Repeat([]byte("x"), body)...)
+	q := &BenchNode{l: l}
+	q.answer = append(benchHead(body), bytes.Repeat([]byte("x"), body)...)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -43,18 +43,18 @@
 	return q, nil
 }
 
-func quickHead(body int) []byte {
+func benchHead(body int) []byte {
 	b := http1.AppendField(http1.AppendStatusLine(nil, 200), "Content-Type", "text/plain")
-	return http1.AppendEnd(http1.AppendLength(b, int64(body)))
+	return http1.AppendHeadEnd(http1.AppendContentLength(b, int64(body)))
 }
 
 // Addr is where the node listens.
-func (q *Quick) Addr() string { return q.l.Addr().String() }
+func (q *BenchNode) Addr() string { return q.l.Addr().String() }
 
 // Close stops listening.
-func (q *Quick) Close() error { return q.l.Close() }
+func (q *BenchNode) Close() error { return q.l.Close() }
 
-func (q *Quick) serve(c net.Conn) {
+func (q *BenchNode) serve(c net.Conn) {
 	defer c.Close()
 	r := http1.NewRequest(http1.DefaultLimits)
 	var buf http1.Buffer
@@ -65,10 +65,10 @@
 		whole := n + int(max(r.ContentLength(), 0))
 		for n == 0 && err == nil || n > 0 && buf.Len() < whole {
 			var m int
-			if m, err = c.Read(buf.Room(2048)); err != nil {
+			if m, err = c.Read(buf.Reserve(2048)); err != nil {
 				return
 			}
-			buf.Wrote(m)
+			buf.Commit(m)
 			if n == 0 {
 				n, err = r.Parse(buf.Bytes())
 				whole = n + int(max(r.ContentLength(), 0))
@@ -81,12 +81,12 @@
 		path := r.Path()
 		out = q.answer
 		if string(path) == "/api/hold" {
-			time.Sleep(QuickHold)
+			time.Sleep(BenchHoldTime)
 		} else if string(path) == "/load" {
 			text := fmt.Sprintf("TEXT inflight=%d, queue=0, util=0.00", q.inFlight.Load()-1)
-			out = append(quickHead(len(text)), text...)
+			out = append(benchHead(len(text)), text...)
 		}
-		buf.Skip(whole)
+		buf.Consume(whole)
 		_, err = c.Write(out)
 		q.inFlight.Add(-1)
 		if err != nil {
@@ -95,27 +95,27 @@
 	}
 }
 
-// QuickCaller asks on one connection, one request after another, and allocates nothing for
+// BenchCaller asks on one connection, one request after another, and allocates nothing for
 // that: what is measured beside it is not its own work.
-type QuickCaller struct {
+type BenchCaller struct {
 	c      net.Conn
 	text   []byte
 	id     []byte // the digits of the request's id and key in text
 	key    []byte
 	next   uint64
-	answer *http1.Answer
+	answer *http1.Response
 	buf    http1.Buffer
 }
 
-// NewQuickCaller connects to an address. Its requests are of a class, go to a path under /api/,
+// NewBenchCaller connects to an address. Its requests are of a class, go to a path under /api/,
 // carry so many bytes and wait for up to timeout. first is the first of its ids; each caller
 // needs its own range.
-func NewQuickCaller(addr, class, path string, body int, timeout time.Duration, first uint64) (*QuickCaller, error) {
+func NewBenchCaller(addr, class, path string, body int, timeout time.Duration, first uint64) (*BenchCaller, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in caller: %w", err)
 	}
-	q := &QuickCaller{c: c, next: first, answer: http1.NewAnswer(http1.DefaultLimits)}
+	q := &BenchCaller{c: c, next: first, answer: http1.NewResponse(http1.DefaultLimits)}
 	const digits = "0000000000000000"
 	b := http1.AppendRequestLine(nil, []byte("POST"), []byte("/api/"+path))
 	b = http1.AppendField(b, "Host", "origin.svc")
@@ -125,13 +125,13 @@
 	id := len(b) - 2 - len(digits)
 	b = http1.AppendField(b, "Idempotency-Key", digits)
 	key := len(b) - 2 - len(digits)
-	b = append(http1.AppendEnd(http1.AppendLength(b, int64(body))), bytes.Repeat([]byte("x"), body)...)
+	b = append(http1.AppendHeadEnd(http1.AppendContentLength(b, int64(body))), bytes.Repeat([]byte("x"), body)...)
 	q.text, q.id, q.key = b, b[id:id+len(digits)], b[key:key+len(digits)]
 	return q, nil
 }
 
 // Do asks once and returns the answer's status.
-func (q *QuickCaller) Do() (status int, err error) {
+func (q *BenchCaller) Do() (status int, err error) {
 	q.next++
 	for i, n := len(q.id)-1, q.next; i >= 0; i, n = i-1, n>>4 {
 		q.id[i] = "0123456789abcdef"[n&15]
@@ -143,11 +143,11 @@
 	q.answer.Reset()
 	q.buf.Reset()
 	for head := 0; ; {
-		n, err := q.c.Read(q.buf.Room(2048))
+		n, err := q.c.Read(q.buf.Reserve(2048))
 		if err != nil {
 			return 0, err
 		}
-		q.buf.Wrote(n)
+		q.buf.Commit(n)
 		if head == 0 {
 			if head, err = q.answer.Parse(q.buf.Bytes()); err != nil {
 				return 0, err
@@ -169,4 +169,4 @@
 }
 
 // Close ends the connection.
-func (q *QuickCaller) Close() error { return q.c.Close() }
+func (q *BenchCaller) Close() error { return q.c.Close() }
--- a/internal/fake/standin.go
+++ b/internal/fake/standin.go
@@ -17,23 +17,23 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-// T is the part of testing.TB that the helpers for tests use.
-type T interface {
+// TestingT is the part of testing.TB that the helpers for tests use.
+type TestingT interface {
 	Helper()
 	Cleanup(func())
 	Fatal(args ...any)
 }
 
-// HTTP serves an address by a handler until the test ends.
-func HTTP(t T, h http.HandlerFunc) (addr string) {
+// StartHTTPServer serves an address by a handler until the test ends.
+func StartHTTPServer(t TestingT, h http.HandlerFunc) (addr string) {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// TCP serves each connection to an address by f until the test ends.
-func TCP(t T, f func(c net.Conn)) (addr string) {
+// StartTCPServer serves each connection to an address by f until the test ends.
+func StartTCPServer(t TestingT, f func(c net.Conn)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,8 +52,8 @@
 	return l.Addr().String()
 }
 
-// ReadRequest reads a request whole and drops it.
-func ReadRequest(in *bufio.Reader) error {
+// DiscardRequest reads a request whole and drops it.
+func DiscardRequest(in *bufio.Reader) error {
 	r, err := http.ReadRequest(in)
 	if err != nil {
 		return err
@@ -62,9 +62,9 @@
 	return err
 }
 
-// Settings are a platform's settings for tests, with a class of each kind. Reports come in answers only, so that no
+// PlatformSettingsJSON are a platform's settings for tests, with a class of each kind. Reports come in answers only, so that no
 // probe is needed before a request goes out.
-const Settings = `{"balancers": 1, "me": 0, "tier": 0, "zone": 0, "zones": ["a", "b"],
+const PlatformSettingsJSON = `{"balancers": 1, "me": 0, "tier": 0, "zone": 0, "zones": ["a", "b"],
 "classes": [
  {"name": "read", "goalTimeNs": 20000000000, "hardLimitNs": 30000000000, "importance": 1, "semantics": "safe"},
  {"name": "book", "goalTimeNs": 20000000000, "hardLimitNs": 30000000000, "importance": 1, "semantics": "keyed",
@@ -75,21 +75,21 @@
 "loadInfo": {"fields": ["busy_reqs"], "how": "piggyback"},
 "rules": {"drainGraceNs": 500000000}, "discovery": "push", "stepNs": 1000000}`
 
-// Up lists endpoints at these addresses, in service.
-func Up(addrs ...string) discovery.List {
-	l := discovery.List{Generation: 1, Reset: true}
+// EndpointList lists endpoints at these addresses, in service.
+func EndpointList(addrs ...string) discovery.List {
+	l := discovery.List{Generation: 1, Full: true}
 	for i, addr := range addrs {
 		l.Instances = append(l.Instances, discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: addr, Zone: "a", Lifecycle: "up"})
 	}
 	return l
 }
 
-// Config is a platform's configuration for tests that knows of endpoints, with Settings.
-func Config(t T, known discovery.List) *config.Config {
+// NewConfig is a platform's configuration for tests that knows of endpoints, with Settings.
+func NewConfig(t TestingT, known discovery.List) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
-		"known": known, "settings": json.RawMessage(Settings),
+		"known": known, "settings": json.RawMessage(PlatformSettingsJSON),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -98,5 +98,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return config.Merge(p, config.Default())
+	return config.Merge(p, config.DefaultSettings())
 }
--- a/internal/fake/standin_test.go
+++ b/internal/fake/standin_test.go
@@ -29,19 +29,19 @@
 }
 
 // ask sends a request straight to a node and returns the status, 0 for none, and the answer.
-func ask(t *testing.T, ctx context.Context, n *Node, id, key string) (int, Answer) {
+func ask(t *testing.T, ctx context.Context, n *Node, id, key string) (int, Response) {
 	t.Helper()
-	req, err := NewRequest(ctx, n.Entry("").HostPort, Order{ID: id, Class: "c", Key: key, Body: "x", Timeout: patience})
+	req, err := NewHTTPRequest(ctx, n.DiscoveryEntry("").HostPort, CallerRequest{ID: id, Class: "c", IdempotencyKey: key, Body: "x", Timeout: patience})
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Close = true // on a connection used before, the library would send a keyed request again by itself
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return 0, Answer{}
+		return 0, Response{}
 	}
 	defer resp.Body.Close()
-	var a Answer
+	var a Response
 	json.NewDecoder(resp.Body).Decode(&a)
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("X-Not-Processed") != "1" {
 		t.Error("a 503 without X-Not-Processed")
@@ -51,27 +51,27 @@
 
 // Each fault is what PROTOCOL says of it, and the ledger knows what has run.
 func TestFaults(t *testing.T) {
-	l := &Ledger{Window: time.Hour}
-	n := newNode(t, NodeConfig{ID: "n", Ledger: l})
+	l := &ExecutionLog{RepeatWindow: time.Hour}
+	n := newNode(t, NodeConfig{ID: "n", ExecutionLog: l})
 	ctx := context.Background()
 	for i, c := range []struct {
 		fault       Fault
 		status, ran int
-	}{{Well, 200, 1}, {TurnAway, 503, 1}, {Fail, 500, 2}, {Drop, 0, 3}, {Garble, 0, 4}, {Well, 200, 5}} {
-		n.Set(c.fault)
+	}{{FaultNone, 200, 1}, {FaultRefuse, 503, 1}, {FaultInternalError, 500, 2}, {FaultDropConnection, 0, 3}, {FaultMalformedResponse, 0, 4}, {FaultNone, 200, 5}} {
+		n.SetFault(c.fault)
 		id := fmt.Sprint("id", i)
 		status, a := ask(t, ctx, n, id, id)
-		if ran, _, _ := l.Totals(); status != c.status || ran != c.ran || status == 200 && a != (Answer{id, id, "n"}) {
+		if ran, _, _ := l.Totals(); status != c.status || ran != c.ran || status == 200 && a != (Response{id, id, "n"}) {
 			t.Errorf("fault %d: status %d, %d have run, answer %+v; want %d, %d", c.fault, status, ran, a, c.status, c.ran)
 		}
 	}
-	n.Set(Stall)
+	n.SetFault(FaultStall)
 	came := make(chan int, 1)
 	go func() {
 		status, _ := ask(t, ctx, n, "stalled", "stalled")
 		came <- status
 	}()
-	for end := time.Now().Add(patience); len(n.Arrivals()) < 7 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); len(n.ArrivalTimes()) < 7 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	select {
@@ -79,7 +79,7 @@
 		t.Errorf("answered %d while it stalls", status)
 	default:
 	}
-	n.Set(Well)
+	n.SetFault(FaultNone)
 	if status := <-came; status != 200 {
 		t.Errorf("answered %d after the stall", status)
 	}
@@ -92,15 +92,15 @@
 	if err := n.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := ask(t, ctx, n, "y", "y"); status != 200 || n.Entry("up").StartedMS == 0 {
-		t.Errorf("after its start it answers %d, listed as %+v", status, n.Entry("up"))
+	if status, _ := ask(t, ctx, n, "y", "y"); status != 200 || n.DiscoveryEntry("up").StartedAtUnixMilli == 0 {
+		t.Errorf("after its start it answers %d, listed as %+v", status, n.DiscoveryEntry("up"))
 	}
 }
 
 // A node with its slots and its queue full turns away, and its report says what it holds.
 func TestQueue(t *testing.T) {
-	n := newNode(t, NodeConfig{ID: "n", Slots: 1, Queue: 1})
-	n.Set(Stall)
+	n := newNode(t, NodeConfig{ID: "n", Concurrency: 1, QueueCapacity: 1})
+	n.SetFault(FaultStall)
 	done := make(chan int, 2)
 	for i := range 2 {
 		go func() {
@@ -108,13 +108,13 @@
 			done <- status
 		}()
 	}
-	for end := time.Now().Add(patience); len(n.Arrivals()) < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); len(n.ArrivalTimes()) < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _ := ask(t, context.Background(), n, "3", "3"); status != 503 {
 		t.Errorf("a full node answers %d", status)
 	}
-	resp, err := http.Get("http://" + n.Entry("").HostPort + "/load")
+	resp, err := http.Get("http://" + n.DiscoveryEntry("").HostPort + "/load")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 	if string(text) != "TEXT inflight=2, queue=1, util=1.00" {
 		t.Errorf("reports %q", text)
 	}
-	n.Set(Well)
+	n.SetFault(FaultNone)
 	for range 2 {
 		if status := <-done; status != 200 {
 			t.Errorf("answered %d", status)
@@ -133,15 +133,15 @@
 
 // Repeats within the window are dropped and later ones run again.
 func TestLedger(t *testing.T) {
-	l := &Ledger{Window: time.Hour}
-	l.Run("1", "k")
-	l.Run("2", "k")
-	l.Run("3", "")
+	l := &ExecutionLog{RepeatWindow: time.Hour}
+	l.Record("1", "k")
+	l.Record("2", "k")
+	l.Record("3", "")
 	if attempts, repeats, twice := l.Totals(); attempts != 3 || repeats != 1 || twice != 0 {
 		t.Errorf("%d, %d, %d", attempts, repeats, twice)
 	}
-	l.Window = 0
-	l.Run("4", "k")
+	l.RepeatWindow = 0
+	l.Record("4", "k")
 	if _, _, twice := l.Totals(); twice != 1 {
 		t.Errorf("%d effects happened twice, want 1", twice)
 	}
@@ -179,18 +179,18 @@
 		}
 		t.Cleanup(func() { d.Close() })
 		a, b := discovery.Instance{ID: "a", HostPort: "127.0.0.1:1", Lifecycle: "up"}, discovery.Instance{ID: "b", HostPort: "127.0.0.1:2", Lifecycle: "up"}
-		d.Change(a)
-		d.Change(b)
-		if l, _ := call(t, d, ""); !l.Reset || len(l.Instances) != 2 || l.Generation != 2 || l.Check() != nil {
+		d.Update(a)
+		d.Update(b)
+		if l, _ := call(t, d, ""); !l.Full || len(l.Instances) != 2 || l.Generation != 2 || l.Check() != nil {
 			t.Errorf("whole: %+v", l)
 		}
-		if l, _ := call(t, d, "?index=1&wait=1"); l.Reset || len(l.Instances) != 1 || l.Instances[0].ID != "b" {
+		if l, _ := call(t, d, "?index=1&wait=1"); l.Full || len(l.Instances) != 1 || l.Instances[0].ID != "b" {
 			t.Errorf("changes: %+v", l)
 		}
-		if l, _ := call(t, d, "?index=2&wait=1"); l.Reset || len(l.Instances) != 0 || l.Generation != 2 {
+		if l, _ := call(t, d, "?index=2&wait=1"); l.Full || len(l.Instances) != 0 || l.Generation != 2 {
 			t.Errorf("no changes: %+v", l)
 		}
-		if l, _ := call(t, d, "?index=99&wait=1"); !l.Reset || len(l.Instances) != 2 {
+		if l, _ := call(t, d, "?index=99&wait=1"); !l.Full || len(l.Instances) != 2 {
 			t.Errorf("a version of the future: %+v", l)
 		}
 		got := make(chan discovery.List, 1)
@@ -198,11 +198,11 @@
 			l, _ := call(t, d, "?index=2&wait=20000")
 			got <- l
 		}()
-		for end := time.Now().Add(patience); d.Calls() < 5 && time.Now().Before(end); {
+		for end := time.Now().Add(patience); d.RequestCount() < 5 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		a.Lifecycle = "removed"
-		d.Change(a)
+		d.Update(a)
 		if l := <-got; len(l.Instances) != 1 || l.Instances[0].Lifecycle != "removed" {
 			t.Errorf("news: %+v", l)
 		}
@@ -224,7 +224,7 @@
 			_, status := call(t, d, "")
 			silent <- status
 		}()
-		for end := time.Now().Add(patience); d.Calls() < 6 && time.Now().Before(end); {
+		for end := time.Now().Add(patience); d.RequestCount() < 6 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		select {
@@ -242,9 +242,9 @@
 // The caller tells answers apart, and takes none that was made for another.
 func TestCaller(t *testing.T) {
 	reply := func(text string) string {
-		return TCP(t, func(c net.Conn) {
+		return StartTCPServer(t, func(c net.Conn) {
 			defer c.Close()
-			if ReadRequest(bufio.NewReader(c)) == nil {
+			if DiscardRequest(bufio.NewReader(c)) == nil {
 				io.WriteString(c, text)
 			}
 		})
@@ -256,21 +256,21 @@
 	defer c.Close()
 	for name, k := range map[string]struct {
 		addr string
-		want Verdict
+		want Outcome
 	}{
-		"served": {ok(`{"ID":"1"}`), Served}, "another's": {ok(`{"ID":"2"}`), Lost}, "noise": {ok("x"), Lost},
-		"refused": {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Refused}, "failed": {reply("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"), Failed},
-		"cut": {reply("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nx"), Lost}, "none": {reply(""), Lost},
+		"served": {ok(`{"ID":"1"}`), OutcomeServed}, "another's": {ok(`{"ID":"2"}`), OutcomeNoResponse}, "noise": {ok("x"), OutcomeNoResponse},
+		"refused": {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), OutcomeRefused}, "failed": {reply("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"), OutcomeFailed},
+		"cut": {reply("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nx"), OutcomeNoResponse}, "none": {reply(""), OutcomeNoResponse},
 	} {
-		if got := c.Do(context.Background(), k.addr, Order{ID: "1", Class: "c", Key: "k", Body: "x", Timeout: patience}, 0); got != k.want {
+		if got := c.Do(context.Background(), k.addr, CallerRequest{ID: "1", Class: "c", IdempotencyKey: "k", Body: "x", Timeout: patience}, 0); got != k.want {
 			t.Errorf("%s: %v, want %v", name, got, k.want)
 		}
 	}
-	counts, took, why := c.Counts()
-	if counts[Served] != 1 || counts[Lost] != 4 || len(took) != 1 || len(why) == 0 {
+	counts, took, why := c.Results()
+	if counts[OutcomeServed] != 1 || counts[OutcomeNoResponse] != 4 || len(took) != 1 || len(why) == 0 {
 		t.Errorf("%v %v %v", counts, took, why)
 	}
-	if req, err := NewRequest(context.Background(), "127.0.0.1:1", Order{ID: "1", Class: "c", Timeout: 1500 * time.Microsecond}); err != nil ||
+	if req, err := NewHTTPRequest(context.Background(), "127.0.0.1:1", CallerRequest{ID: "1", Class: "c", Timeout: 1500 * time.Microsecond}); err != nil ||
 		req.Method != "GET" || req.Header.Get("X-Timeout") != "1500u" || !strings.HasPrefix(req.URL.Path, "/api/") {
 		t.Errorf("%v %v", req, err)
 	}
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -20,61 +20,61 @@
 
 // Config describes a fleet and a stretch of its life.
 type Config struct {
-	Seed     uint64
-	Module   balance.Config // what all sidecars are told, but for Me, Balancers and Zone
-	Sidecars []Sidecar
-	Nodes    []Node
-	Classes  []Class // as many as Module.Classes, in their order
-	Load     float64 // the work asked for over what the cores of all nodes can do, first tries alone
-	Length   time.Duration
-	Net      time.Duration // one way between a sidecar and a node
-	Clients  Clients
+	Seed         uint64
+	Balancer     balance.Config // what all sidecars are told, but for Me, Balancers and Zone
+	Sidecars     []Sidecar
+	Nodes        []Node
+	Classes      []Class // as many as Module.Classes, in their order
+	OfferedLoad  float64 // the work asked for over what the cores of all nodes can do, first tries alone
+	Duration     time.Duration
+	NetworkDelay time.Duration // one way between a sidecar and a node
+	Clients      Clients
 }
 
 // Sidecar is one of those that send to the nodes.
 type Sidecar struct {
-	Zone int
-	Part float64 // of the requests, over the sum of all parts
+	Zone          int
+	TrafficWeight float64 // of the requests, over the sum of all parts
 }
 
 // Node is an endpoint.
 type Node struct {
-	Zone   int
-	Cores  int
-	Speed  float64 // of each core
-	Weight float64 // as the list says it
-	Most   int     // calls that it holds; the next is turned away
-	Errors float64 // the share of calls that are answered with an error once their work is done
+	Zone        int
+	Cores       int
+	CoreSpeed   float64 // of each core
+	Weight      float64 // as the list says it
+	MaxInFlight int     // calls that it holds; the next is turned away
+	ErrorRate   float64 // the share of calls that are answered with an error once their work is done
 }
 
 // Class is the traffic of a class.
 type Class struct {
-	Part float64       // of the requests, over the sum of all parts
-	Work time.Duration // that a call computes at a core of speed 1, on average
-	CV   float64       // its coefficient of variation; it is lognormal
-	Wait time.Duration // that it waits for the tiers behind, on average; exponential
+	TrafficWeight      float64       // of the requests, over the sum of all parts
+	MeanWork           time.Duration // that a call computes at a core of speed 1, on average
+	WorkCV             float64       // its coefficient of variation; it is lognormal
+	MeanDownstreamWait time.Duration // that it waits for the tiers behind, on average; exponential
 }
 
 // Clients tells how those who ask behave.
 type Clients struct {
-	Tries  int           // of each request at most, the first included; 0 is 1
-	Budget float64       // what a try waits, over its class's deadline; 0 is all of it
-	Pause  time.Duration // before a further try, where no time to come back is told
+	MaxTries        int           // of each request at most, the first included; 0 is 1
+	TryTimeoutShare float64       // what a try waits, over its class's deadline; 0 is all of it
+	RetryDelay      time.Duration // before a further try, where no time to come back is told
 }
 
 // Result is what became of the requests of a run. Counts are of requests, by class.
 type Result struct {
-	Asked, InTime, Late, Lost []int
-	Sends                     int // attempts of all requests
-	Tries                     int
-	Holds                     []int // the most calls that each node held
+	Requests, InTime, Late, Failed []int
+	Attempts                       int // attempts of all requests
+	ClientTries                    int
+	PeakInFlight                   []int // the most calls that each node held
 }
 
-// Served is the share of the requests that were answered within their class's goal.
-func (r *Result) Served() float64 {
+// InTimeShare is the share of the requests that were answered within their class's goal.
+func (r *Result) InTimeShare() float64 {
 	asked, served := 0, 0
-	for i := range r.Asked {
-		asked += r.Asked[i]
+	for i := range r.Requests {
+		asked += r.Requests[i]
 		served += r.InTime[i]
 	}
 	return float64(served) / math.Max(float64(asked), 1)
@@ -85,20 +85,20 @@
 	switch {
 	case len(c.Sidecars) == 0 || len(c.Nodes) == 0:
 		return errors.New("fleet: Sidecars, Nodes: none given")
-	case len(c.Classes) != len(c.Module.Classes) || len(c.Classes) == 0:
-		return fmt.Errorf("fleet: Classes: %d, want %d as in Module", len(c.Classes), len(c.Module.Classes))
-	case !(c.Load > 0) || math.IsInf(c.Load, 0):
-		return fmt.Errorf("fleet: Load: %g is not over 0", c.Load)
-	case c.Length <= 0 || c.Net < 0:
-		return fmt.Errorf("fleet: Length, Net: %v, %v are out of range", c.Length, c.Net)
+	case len(c.Classes) != len(c.Balancer.Classes) || len(c.Classes) == 0:
+		return fmt.Errorf("fleet: Classes: %d, want %d as in Module", len(c.Classes), len(c.Balancer.Classes))
+	case !(c.OfferedLoad > 0) || math.IsInf(c.OfferedLoad, 0):
+		return fmt.Errorf("fleet: Load: %g is not over 0", c.OfferedLoad)
+	case c.Duration <= 0 || c.NetworkDelay < 0:
+		return fmt.Errorf("fleet: Length, Net: %v, %v are out of range", c.Duration, c.NetworkDelay)
 	}
 	for i, n := range c.Nodes {
-		if n.Cores < 1 || !(n.Speed > 0) || n.Most < 1 || !(n.Errors >= 0 && n.Errors <= 1) {
+		if n.Cores < 1 || !(n.CoreSpeed > 0) || n.MaxInFlight < 1 || !(n.ErrorRate >= 0 && n.ErrorRate <= 1) {
 			return fmt.Errorf("fleet: Nodes[%d]: %+v: Cores, Speed and Most are over 0, Errors from 0 to 1", i, n)
 		}
 	}
 	for i, k := range c.Classes {
-		if !(k.Part >= 0) || k.Work <= 0 || !(k.CV >= 0) || k.Wait < 0 {
+		if !(k.TrafficWeight >= 0) || k.MeanWork <= 0 || !(k.WorkCV >= 0) || k.MeanDownstreamWait < 0 {
 			return fmt.Errorf("fleet: Classes[%d]: %+v: Work is over 0, the others not negative", i, k)
 		}
 	}
@@ -114,16 +114,16 @@
 		cfg: &c, now: time.Hour, // the module takes 0 for long ago
 		arrivals: stream(c.Seed, 1), works: stream(c.Seed, 2), errs: stream(c.Seed, 3),
 		res: Result{
-			Asked: make([]int, len(c.Classes)), InTime: make([]int, len(c.Classes)),
-			Late: make([]int, len(c.Classes)), Lost: make([]int, len(c.Classes)), Holds: make([]int, len(c.Nodes)),
+			Requests: make([]int, len(c.Classes)), InTime: make([]int, len(c.Classes)),
+			Late: make([]int, len(c.Classes)), Failed: make([]int, len(c.Classes)), PeakInFlight: make([]int, len(c.Nodes)),
 		},
 	}
 	for i := range c.Nodes {
 		w.nodes = append(w.nodes, &node{Node: &c.Nodes[i], at: i, w: w})
 	}
 	for i, s := range c.Sidecars {
-		m := c.Module
-		m.Me, m.Balancers, m.Zone = i, len(c.Sidecars), s.Zone
+		m := c.Balancer
+		m.SidecarIndex, m.SidecarCount, m.Zone = i, len(c.Sidecars), s.Zone
 		b, err := balance.New(m, c.Seed+uint64(i))
 		if err != nil {
 			return nil, fmt.Errorf("fleet: Module: %w", err)
@@ -135,10 +135,10 @@
 			list = append(list, balance.Endpoint{ID: balance.EndpointID(j + 1), Zone: n.Zone, Weight: n.Weight})
 		}
 		x.event(func(acts []balance.Action) []balance.Action {
-			return b.Endpoints(w.now, balance.ListRemember, list, acts)
+			return b.EndpointsUpdated(w.now, balance.ListLastKnown, list, acts)
 		})
 	}
-	w.arrive(w.now + c.Length)
+	w.arrive(w.now + c.Duration)
 	for w.step() {
 	}
 	return &w.res, nil
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -17,30 +17,30 @@
 func small(sidecars int) Config {
 	c := Config{
 		Seed: 7,
-		Module: balance.Config{
+		Balancer: balance.Config{
 			Classes: []balance.Class{
-				{Name: "find", Goal: 800 * ms, Deadline: 2 * time.Second, Worth: 1, Semantics: balance.Safe},
-				{Name: "book", Goal: 1200 * ms, Deadline: 3 * time.Second, Worth: 10, Semantics: balance.Keyed,
+				{Name: "find", TargetLatency: 800 * ms, Deadline: 2 * time.Second, Value: 1, Semantics: balance.Safe},
+				{Name: "book", TargetLatency: 1200 * ms, Deadline: 3 * time.Second, Value: 10, Semantics: balance.Keyed,
 					Scope: balance.ScopeZone, RepeatWindow: 5 * time.Second},
 			},
-			PassesBudget: true, Reporting: balance.ReportsInAnswer, Weights: balance.WeightsRough,
+			EndpointsPropagateDeadline: true, Reporting: balance.ReportsInResponse, WeightMeaning: balance.WeightCapacityEstimate,
 			Costs: balance.Costs{Probe: 0.01},
-			Limits: balance.Limits{MaxAttempts: 3, SecondCopies: true, Probes: true, Cancel: true,
+			Limits: balance.Limits{MaxAttempts: 3, Hedging: true, Probes: true, Cancel: true,
 				MaxRetryAfter: 2 * time.Second, ConnectTimeout: 75 * ms, KeepAlive: 10 * time.Second},
-			Goal: balance.GoalWeights{Whole: 0.8, WorstClass: 0.2}, ColdShare: 0.13, ColdFor: 24 * time.Second,
-			FallMultiple: 2.5, FallAfter: 2 * time.Second, Step: ms,
+			Objective: balance.ObjectiveWeights{Overall: 0.8, WorstClass: 0.2}, ColdCapacityShare: 0.13, WarmupTime: 24 * time.Second,
+			ColdOverloadMultiple: 2.5, ColdOverloadTime: 2 * time.Second, ClockResolution: ms,
 		},
 		Classes: []Class{
-			{Part: 3, Work: 50 * ms, CV: 0.5, Wait: 90 * ms}, {Part: 1, Work: 80 * ms, CV: 0.5, Wait: 130 * ms},
+			{TrafficWeight: 3, MeanWork: 50 * ms, WorkCV: 0.5, MeanDownstreamWait: 90 * ms}, {TrafficWeight: 1, MeanWork: 80 * ms, WorkCV: 0.5, MeanDownstreamWait: 130 * ms},
 		},
-		Load: 0.6, Length: 30 * time.Second, Net: 300 * time.Microsecond,
-		Clients: Clients{Tries: 3, Budget: 0.5, Pause: 150 * ms},
+		OfferedLoad: 0.6, Duration: 30 * time.Second, NetworkDelay: 300 * time.Microsecond,
+		Clients: Clients{MaxTries: 3, TryTimeoutShare: 0.5, RetryDelay: 150 * ms},
 	}
 	for i := range sidecars {
-		c.Sidecars = append(c.Sidecars, Sidecar{Zone: i % 3, Part: 1})
+		c.Sidecars = append(c.Sidecars, Sidecar{Zone: i % 3, TrafficWeight: 1})
 	}
 	for i, speed := range []float64{1.7, 0.8, 0.6, 1.9} {
-		c.Nodes = append(c.Nodes, Node{Zone: i % 3, Cores: 2, Speed: speed, Weight: 2, Most: 40})
+		c.Nodes = append(c.Nodes, Node{Zone: i % 3, Cores: 2, CoreSpeed: speed, Weight: 2, MaxInFlight: 40})
 	}
 	return c
 }
@@ -61,7 +61,7 @@
 		for seed := range uint64(10) {
 			c := small(n)
 			c.Seed = seed
-			worst = min(worst, run(t, c).Served())
+			worst = min(worst, run(t, c).InTimeShare())
 		}
 		if worst < 0.97 {
 			t.Errorf("%d sidecars: %.3f served in time on the worst of 10 days, want 0.97", n, worst)
@@ -84,26 +84,26 @@
 
 // Each request ends once, whatever happens to its attempts, and no node holds more than it can.
 func TestEachEndsOnce(t *testing.T) {
-	for _, reports := range []balance.Reporting{balance.ReportsNone, balance.ReportsProbe, balance.ReportsInAnswer} {
+	for _, reports := range []balance.Reporting{balance.ReportsNone, balance.ReportsInProbe, balance.ReportsInResponse} {
 		c := small(2)
-		c.Module.Reporting, c.Module.Costs.Probe = reports, 0.002
-		c.Load = 1.4
+		c.Balancer.Reporting, c.Balancer.Costs.Probe = reports, 0.002
+		c.OfferedLoad = 1.4
 		for i := range c.Nodes {
-			c.Nodes[i].Most, c.Nodes[i].Errors = 6, 0.1
+			c.Nodes[i].MaxInFlight, c.Nodes[i].ErrorRate = 6, 0.1
 		}
 		r := run(t, c)
-		for i := range r.Asked {
-			if got := r.InTime[i] + r.Late[i] + r.Lost[i]; got != r.Asked[i] || r.Asked[i] == 0 {
-				t.Errorf("reports %d, class %d: %d ended of %d", reports, i, got, r.Asked[i])
+		for i := range r.Requests {
+			if got := r.InTime[i] + r.Late[i] + r.Failed[i]; got != r.Requests[i] || r.Requests[i] == 0 {
+				t.Errorf("reports %d, class %d: %d ended of %d", reports, i, got, r.Requests[i])
 			}
 		}
-		for i, n := range r.Holds {
+		for i, n := range r.PeakInFlight {
 			if n > 6 {
 				t.Errorf("reports %d, node %d: held %d", reports, i, n)
 			}
 		}
-		if r.Served() > 0.95 || r.Lost[0] == 0 {
-			t.Errorf("reports %d: %.3f served at 1.4 of what the nodes can do", reports, r.Served())
+		if r.InTimeShare() > 0.95 || r.Failed[0] == 0 {
+			t.Errorf("reports %d: %.3f served at 1.4 of what the nodes can do", reports, r.InTimeShare())
 		}
 	}
 }
@@ -113,8 +113,8 @@
 func TestSharedCoreKeepsToTheory(t *testing.T) {
 	const calls, load = 60_000, 0.6
 	for _, cv := range []float64{0, 1.5} {
-		w := &world{cfg: &Config{}, works: stream(3, 2), errs: stream(3, 3), res: Result{Holds: make([]int, 1)}}
-		n := &node{Node: &Node{Cores: 1, Speed: 2, Most: math.MaxInt}, w: w}
+		w := &world{cfg: &Config{}, works: stream(3, 2), errs: stream(3, 3), res: Result{PeakInFlight: make([]int, 1)}}
+		n := &node{Node: &Node{Cores: 1, CoreSpeed: 2, MaxInFlight: math.MaxInt}, w: w}
 		arrivals, took := stream(3, 1), 0.0
 		at := time.Duration(0)
 		for range calls {
@@ -137,12 +137,12 @@
 func TestSettingsAtFault(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"Nodes[1]":   func(c *Config) { c.Nodes[1].Cores = 0 },
-		"Classes[0]": func(c *Config) { c.Classes[0].Work = 0 },
+		"Classes[0]": func(c *Config) { c.Classes[0].MeanWork = 0 },
 		"Classes: 1": func(c *Config) { c.Classes = c.Classes[:1] },
-		"Load":       func(c *Config) { c.Load = math.NaN() },
-		"Length":     func(c *Config) { c.Length = 0 },
+		"Load":       func(c *Config) { c.OfferedLoad = math.NaN() },
+		"Length":     func(c *Config) { c.Duration = 0 },
 		"Sidecars":   func(c *Config) { c.Sidecars = nil },
-		"Module":     func(c *Config) { c.Module.ColdShare = 2 },
+		"Module":     func(c *Config) { c.Balancer.ColdCapacityShare = 2 },
 	} {
 		c := small(1)
 		spoil(&c)
--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -28,18 +28,18 @@
 // load is the report of a node's load.
 func (n *node) load() *balance.Load {
 	return &balance.Load{
-		InFlight: float64(len(n.running) + n.waiting), Queue: -1, Util: -1, LatencyMS: -1, Served: -1, Failed: -1,
+		InFlight: float64(len(n.running) + n.waiting), Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1,
 	}
 }
 
 // take takes a call, or turns it away if the node holds as many as it can.
 func (n *node) take(j *job) {
 	held := len(n.running) + n.waiting
-	if held >= n.Most {
+	if held >= n.MaxInFlight {
 		j.done(balance.Rejected, n.load())
 		return
 	}
-	n.w.res.Holds[n.at] = max(n.w.res.Holds[n.at], held+1)
+	n.w.res.PeakInFlight[n.at] = max(n.w.res.PeakInFlight[n.at], held+1)
 	n.advance()
 	n.running = append(n.running, j)
 	n.next()
@@ -47,7 +47,7 @@
 
 // rate is what each running job computes in a second.
 func (n *node) rate() float64 {
-	return n.Speed * min(1, float64(n.Cores)/float64(max(len(n.running), 1)))
+	return n.CoreSpeed * min(1, float64(n.Cores)/float64(max(len(n.running), 1)))
 }
 
 // advance takes what has been computed since it was last called off the running jobs.
@@ -92,7 +92,7 @@
 		n.w.after(time.Duration(j.wait*float64(time.Second)), func() {
 			n.waiting--
 			res := balance.OK
-			if n.w.errs.Float64() < n.Errors {
+			if n.w.errs.Float64() < n.ErrorRate {
 				res = balance.Error
 			}
 			j.done(res, n.load())
--- a/internal/fleetsim/world.go
+++ b/internal/fleetsim/world.go
@@ -65,13 +65,13 @@
 func (w *world) arrive(end time.Duration) {
 	parts, work, cores := 0.0, 0.0, 0.0
 	for _, k := range w.cfg.Classes {
-		parts += k.Part
-		work += k.Part * k.Work.Seconds()
+		parts += k.TrafficWeight
+		work += k.TrafficWeight * k.MeanWork.Seconds()
 	}
 	for _, n := range w.cfg.Nodes {
-		cores += float64(n.Cores) * n.Speed
+		cores += float64(n.Cores) * n.CoreSpeed
 	}
-	gap := work / parts / (w.cfg.Load * cores)
+	gap := work / parts / (w.cfg.OfferedLoad * cores)
 	var next func()
 	next = func() {
 		w.after(time.Duration(w.arrivals.ExpFloat64()*gap*float64(time.Second)), func() {
@@ -86,13 +86,13 @@
 
 // ask has a client send a request.
 func (w *world) ask() {
-	class := draw(w.arrivals, len(w.cfg.Classes), func(i int) float64 { return w.cfg.Classes[i].Part })
-	by := draw(w.arrivals, len(w.cfg.Sidecars), func(i int) float64 { return w.cfg.Sidecars[i].Part })
-	w.res.Asked[class]++
+	class := draw(w.arrivals, len(w.cfg.Classes), func(i int) float64 { return w.cfg.Classes[i].TrafficWeight })
+	by := draw(w.arrivals, len(w.cfg.Sidecars), func(i int) float64 { return w.cfg.Sidecars[i].TrafficWeight })
+	w.res.Requests[class]++
 	k := &w.cfg.Classes[class]
 	q := &request{
 		class: class, asked: w.now, sidecar: w.sidecars[by],
-		work: lognormal(w.works, k.Work.Seconds(), k.CV), wait: w.works.ExpFloat64() * k.Wait.Seconds(),
+		work: lognormal(w.works, k.MeanWork.Seconds(), k.WorkCV), wait: w.works.ExpFloat64() * k.MeanDownstreamWait.Seconds(),
 	}
 	w.try(q)
 }
@@ -129,32 +129,32 @@
 // try sends a request to its sidecar, as the client does each time.
 func (w *world) try(q *request) {
 	q.tries++
-	w.res.Tries++
-	k := &w.cfg.Module.Classes[q.class]
+	w.res.ClientTries++
+	k := &w.cfg.Balancer.Classes[q.class]
 	budget := k.Deadline
-	if w.cfg.Clients.Budget > 0 {
-		budget = time.Duration(float64(budget) * w.cfg.Clients.Budget)
+	if w.cfg.Clients.TryTimeoutShare > 0 {
+		budget = time.Duration(float64(budget) * w.cfg.Clients.TryTimeoutShare)
 	}
 	q.sidecar.take(q, min(budget, q.asked+k.Deadline-w.now))
 }
 
 // answered takes a try's final answer. A client whose patience has not run out tries again.
 func (w *world) answered(q *request, ok bool, back time.Duration) {
-	k := &w.cfg.Module.Classes[q.class]
+	k := &w.cfg.Balancer.Classes[q.class]
 	switch {
-	case ok && w.now <= q.asked+k.Goal:
+	case ok && w.now <= q.asked+k.TargetLatency:
 		w.res.InTime[q.class]++
 	case ok:
 		w.res.Late[q.class]++
 	default:
 		if back == 0 {
-			back = w.cfg.Clients.Pause
+			back = w.cfg.Clients.RetryDelay
 		}
-		if q.tries < max(w.cfg.Clients.Tries, 1) && w.now+back < q.asked+k.Deadline {
+		if q.tries < max(w.cfg.Clients.MaxTries, 1) && w.now+back < q.asked+k.Deadline {
 			w.after(back, func() { w.try(q) })
 			return
 		}
-		w.res.Lost[q.class]++
+		w.res.Failed[q.class]++
 	}
 }
 
@@ -180,7 +180,7 @@
 	id := s.last
 	s.calls[id] = &call{q: q, out: make(map[int]*job)}
 	s.event(func(acts []balance.Action) []balance.Action {
-		return s.b.Request(s.w.now, balance.Request{ID: id, Class: q.class, Budget: budget}, acts)
+		return s.b.RequestArrived(s.w.now, balance.Request{ID: id, Class: q.class, Timeout: budget}, acts)
 	})
 }
 
@@ -209,15 +209,15 @@
 		}
 	case balance.SetTimer:
 		w.after(a.Delay, func() {
-			s.event(func(acts []balance.Action) []balance.Action { return s.b.Fired(w.now, a.Timer, acts) })
+			s.event(func(acts []balance.Action) []balance.Action { return s.b.TimerFired(w.now, a.Timer, acts) })
 		})
 	case balance.Probe:
 		n := w.nodes[a.Endpoint-1]
-		w.after(w.cfg.Net, func() {
+		w.after(w.cfg.NetworkDelay, func() {
 			l := n.load()
-			w.after(w.cfg.Net, func() {
+			w.after(w.cfg.NetworkDelay, func() {
 				s.event(func(acts []balance.Action) []balance.Action {
-					return s.b.Probed(w.now, a.Endpoint, balance.OK, l, acts)
+					return s.b.ProbeEnded(w.now, a.Endpoint, balance.OK, l, acts)
 				})
 			})
 		})
@@ -230,16 +230,16 @@
 	if c == nil {
 		return
 	}
-	w.res.Sends++
+	w.res.Attempts++
 	j := &job{began: w.now, work: c.q.work, wait: c.q.wait, to: a.Endpoint}
 	n := c.sent
 	c.out[n] = j
 	c.sent++
 	j.done = func(res balance.Result, load *balance.Load) {
-		w.after(w.cfg.Net, func() { s.ended(a.Request, n, res, load) })
+		w.after(w.cfg.NetworkDelay, func() { s.ended(a.Request, n, res, load) })
 	}
-	w.after(w.cfg.Net, func() { w.nodes[a.Endpoint-1].take(j) })
-	w.after(a.Until-w.now, func() { s.ended(a.Request, n, balance.Timeout, nil) })
+	w.after(w.cfg.NetworkDelay, func() { w.nodes[a.Endpoint-1].take(j) })
+	w.after(a.Deadline-w.now, func() { s.ended(a.Request, n, balance.Timeout, nil) })
 }
 
 // ended takes the end of an attempt, unless it has ended before.
@@ -255,12 +255,12 @@
 		s.w.answered(c.q, true, 0)
 	}
 	o := balance.Outcome{
-		Request: id, Attempt: n, Endpoint: j.to, Result: res, Closed: c.answered, Elapsed: s.w.now - j.began,
+		Request: id, Attempt: n, Endpoint: j.to, Result: res, RequestFinished: c.answered, Elapsed: s.w.now - j.began,
 	}
-	if s.w.cfg.Module.Reporting == balance.ReportsInAnswer {
+	if s.w.cfg.Balancer.Reporting == balance.ReportsInResponse {
 		o.Load = load
 	}
-	s.event(func(acts []balance.Action) []balance.Action { return s.b.Ended(s.w.now, o, acts) })
+	s.event(func(acts []balance.Action) []balance.Action { return s.b.AttemptEnded(s.w.now, o, acts) })
 	s.forget(id)
 }
 
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -1,24 +1,24 @@
 package http1
 
-// Answer is an answer's head.
-type Answer struct {
+// Response is an answer's head.
+type Response struct {
 	head
 	status int
 	older  bool // HTTP/1.0
 }
 
-// NewAnswer returns an Answer that keeps these limits.
-func NewAnswer(l Limits) *Answer {
-	a := &Answer{head: head{Limits: l}}
+// NewResponse returns an Answer that keeps these limits.
+func NewResponse(l Limits) *Response {
+	a := &Response{head: head{Limits: l}}
 	a.Reset()
 	return a
 }
 
 // Reset forgets the head that has been read.
-func (a *Answer) Reset() {
+func (a *Response) Reset() {
 	h := a.head
 	h.reset()
-	*a = Answer{head: h}
+	*a = Response{head: h}
 }
 
 // protocol is what an answer begins with.
@@ -27,25 +27,25 @@
 // Parse takes the bytes that have come since the last Reset, each time all of them. It returns
 // the length of the head once it is whole, 0 while it is not, and an *Error for what can't be
 // used, as soon as that shows.
-func (a *Answer) Parse(b []byte) (int, error) {
+func (a *Response) Parse(b []byte) (int, error) {
 	return a.lines(b, a)
 }
 
-func (a *Answer) begins(b []byte) error {
+func (a *Response) begins(b []byte) error {
 	if n := min(len(b), len(protocol)); string(b[:n]) != protocol[:n] {
-		return ErrStatus
+		return ErrStatusLine
 	}
 	return nil
 }
 
-func (a *Answer) empty() error { return ErrStatus }
+func (a *Response) empty() error { return ErrStatusLine }
 
 // line takes it with or without the blank after the status, which is needed and
 // often left out where the reason is empty, RFC 9112, 4.
-func (a *Answer) line(line []byte) error {
+func (a *Response) line(line []byte) error {
 	const at = len(protocol) + 2
 	if len(line) < at+3 || line[at-1] != ' ' || len(line) > at+3 && line[at+3] != ' ' {
-		return ErrStatus
+		return ErrStatusLine
 	}
 	switch line[len(protocol)] {
 	case '1':
@@ -56,26 +56,26 @@
 	}
 	for _, c := range line[at+3:] {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return ErrStatus
+			return ErrStatusLine
 		}
 	}
 	status, ok := decimal(line[at : at+3])
 	if !ok || status < 100 || status > 599 {
-		return ErrStatus
+		return ErrStatusLine
 	}
 	a.status = int(status)
 	return nil
 }
 
-func (a *Answer) ended() error {
+func (a *Response) ended() error {
 	if err := a.framed(); err != nil {
 		return err
 	}
 	switch {
 	case a.older && a.codings > 0:
-		return errChunksInOlder
+		return errTransferEncodingInHTTP10
 	case (a.status < 200 || a.status == 204) && (a.codings > 0 || a.length > 0):
-		return ErrNoContent
+		return ErrFramingWithoutBody
 	}
 	if a.older && !a.keep {
 		a.close = true
@@ -84,26 +84,26 @@
 }
 
 // Status is the answer's status, from 100 to 599.
-func (a *Answer) Status() int { return a.status }
+func (a *Response) Status() int { return a.status }
 
-// Interim tells whether another answer follows.
-func (a *Answer) Interim() bool { return a.status < 200 && a.status != 101 }
+// IsInterim tells whether another answer follows.
+func (a *Response) IsInterim() bool { return a.status < 200 && a.status != 101 }
 
 // Framing is how the body ends, RFC 9112, 6.3. A body that ends with the connection is taken
 // only where the head says that the connection ends: it could not be told from one that broke
 // off. toHead tells that the request was HEAD: its answer has no body whatever it says.
-func (a *Answer) Framing(toHead bool) (Framing, error) {
+func (a *Response) Framing(toHead bool) (Framing, error) {
 	switch {
 	case a.status < 200 || a.status == 204 || a.status == 304 || toHead:
-		return None, nil
+		return NoBody, nil
 	case a.codings > 0:
 		return Chunked, nil
 	case a.length == 0:
-		return None, nil
+		return NoBody, nil
 	case a.length > 0:
-		return Length, nil
+		return FixedLength, nil
 	case !a.close:
-		return None, ErrNoEnd
+		return NoBody, ErrUndelimitedBody
 	}
 	return UntilClose, nil
 }
--- a/internal/http1/buffer.go
+++ b/internal/http1/buffer.go
@@ -18,16 +18,16 @@
 // Len is how many bytes have not been used.
 func (b *Buffer) Len() int { return len(b.b) - b.r }
 
-// Skip marks bytes as used.
-func (b *Buffer) Skip(n int) {
+// Consume marks bytes as used.
+func (b *Buffer) Consume(n int) {
 	if b.r += n; b.r == len(b.b) {
 		b.b, b.r = b.b[:0], 0
 	}
 }
 
-// Room returns space to read into behind the bytes that are there, of least bytes at the
+// Reserve returns space to read into behind the bytes that are there, of least bytes at the
 // least. It moves or copies those if it must.
-func (b *Buffer) Room(least int) []byte {
+func (b *Buffer) Reserve(least int) []byte {
 	if cap(b.b)-len(b.b) < least && b.r > 0 {
 		n := copy(b.b, b.b[b.r:])
 		b.b, b.r = b.b[:n], 0
@@ -40,11 +40,11 @@
 	return b.b[len(b.b):cap(b.b)]
 }
 
-// Wrote takes bytes that were read into Room.
-func (b *Buffer) Wrote(n int) { b.b = b.b[:len(b.b)+n] }
+// Commit takes bytes that were read into Room.
+func (b *Buffer) Commit(n int) { b.b = b.b[:len(b.b)+n] }
 
-// Compose has f append to an empty buffer.
-func (b *Buffer) Compose(f func(b []byte) []byte) {
+// ResetWith has f append to an empty buffer.
+func (b *Buffer) ResetWith(f func(b []byte) []byte) {
 	b.Reset()
 	b.b = f(b.b)
 }
@@ -64,23 +64,23 @@
 	mostKept   = 64 << 10
 )
 
-// Buffers is a pool of buffers. The zero value is ready.
-type Buffers struct {
-	Size int // of a new one, 0 for what holds a short message
+// BufferPool is a pool of buffers. The zero value is ready.
+type BufferPool struct {
+	InitialSize int // of a new one, 0 for what holds a short message
 
 	pool sync.Pool
 }
 
 // Get returns an empty buffer.
-func (p *Buffers) Get() *Buffer {
+func (p *BufferPool) Get() *Buffer {
 	if b, ok := p.pool.Get().(*Buffer); ok {
 		return b
 	}
-	return &Buffer{b: make([]byte, 0, cmp.Or(p.Size, bufferSize))}
+	return &Buffer{b: make([]byte, 0, cmp.Or(p.InitialSize, bufferSize))}
 }
 
 // Put takes a buffer back that nobody points into any more.
-func (p *Buffers) Put(b *Buffer) {
+func (p *BufferPool) Put(b *Buffer) {
 	if cap(b.b) <= mostKept {
 		b.Reset()
 		p.pool.Put(b)
--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -2,15 +2,15 @@
 
 import "bytes"
 
-// Chunks reads a body of chunks, RFC 9112, 7.1. The zero value, with its limits, is ready.
-type Chunks struct {
-	Limits   Limits
-	Keep     bool   // the trailers are wanted
-	Trailers []byte // those that came, whole lines, once Done
+// ChunkedDecoder reads a body of chunks, RFC 9112, 7.1. The zero value, with its limits, is ready.
+type ChunkedDecoder struct {
+	Limits       Limits
+	KeepTrailers bool   // the trailers are wanted
+	Trailers     []byte // those that came, whole lines, once Done
 
-	state chunkState
-	left  uint64 // of the chunk
-	tail  int    // bytes of trailers so far
+	state        chunkState
+	left         uint64 // of the chunk
+	trailerBytes int    // bytes of trailers so far
 }
 
 type chunkState uint8
@@ -41,13 +41,13 @@
 }()
 
 // Done tells whether the body's end has been read.
-func (c *Chunks) Done() bool { return c.state == chunkDone }
+func (c *ChunkedDecoder) Done() bool { return c.state == chunkDone }
 
-// Next takes bytes of the body. It returns how many it has used and the data among them, which
+// Decode takes bytes of the body. It returns how many it has used and the data among them, which
 // points into b; what it has not used is to come again, with more behind it. It uses nothing
 // and returns no data where a line is not whole yet. Extensions and trailers are checked;
 // extensions are dropped, as are trailers that nobody wants.
-func (c *Chunks) Next(b []byte) (data []byte, n int, err error) {
+func (c *ChunkedDecoder) Decode(b []byte) (data []byte, n int, err error) {
 	for {
 		rest := b[n:]
 		switch c.state {
@@ -66,7 +66,7 @@
 			return rest, n + len(rest), nil
 		case chunkEnd:
 			if len(rest) > 0 && rest[0] != '\r' || len(rest) > 1 && rest[1] != '\n' {
-				return nil, n, ErrChunk
+				return nil, n, ErrMalformedChunk
 			}
 			if len(rest) < 2 {
 				return nil, n, nil
@@ -90,13 +90,13 @@
 }
 
 // size reads a chunk's size line.
-func (c *Chunks) size(b []byte) (int, error) {
+func (c *ChunkedDecoder) size(b []byte) (int, error) {
 	i := bytes.IndexByte(b, '\n')
-	if i < 0 && len(b) >= c.Limits.Chunk || i >= c.Limits.Chunk {
-		return 0, ErrChunkLine
+	if i < 0 && len(b) >= c.Limits.ChunkLineBytes || i >= c.Limits.ChunkLineBytes {
+		return 0, ErrChunkLineTooLong
 	}
 	if len(b) > 0 && unhex[b[0]] < 0 {
-		return 0, ErrChunk
+		return 0, ErrMalformedChunk
 	}
 	if i < 0 {
 		return 0, nil
@@ -112,10 +112,10 @@
 		digits++
 	}
 	if digits == 0 || digits > 15 {
-		return 0, ErrChunk
+		return 0, ErrMalformedChunk
 	}
 	if !extensions(line[digits:]) {
-		return 0, ErrChunk
+		return 0, ErrMalformedChunk
 	}
 	if c.left = size; size == 0 {
 		c.state = chunkTrailers
@@ -187,10 +187,10 @@
 }
 
 // trailer reads a line of the trailers.
-func (c *Chunks) trailer(b []byte) (int, error) {
+func (c *ChunkedDecoder) trailer(b []byte) (int, error) {
 	i := bytes.IndexByte(b, '\n')
-	if i < 0 && c.tail+len(b) >= c.Limits.Tail || c.tail+i >= c.Limits.Tail {
-		return 0, ErrTrailers
+	if i < 0 && c.trailerBytes+len(b) >= c.Limits.TrailerBytes || c.trailerBytes+i >= c.Limits.TrailerBytes {
+		return 0, ErrTrailersTooLong
 	}
 	if i < 0 {
 		return 0, nil
@@ -198,7 +198,7 @@
 	if i == 0 || b[i-1] != '\r' {
 		return 0, ErrBareLF
 	}
-	c.tail += i + 1
+	c.trailerBytes += i + 1
 	line := b[:i-1]
 	if len(line) == 0 {
 		c.state = chunkDone
@@ -208,14 +208,14 @@
 	var one [1]span
 	h.fields = one[:0]
 	if err := h.field(0, line); err != nil {
-		return 0, ErrTrailer
+		return 0, ErrInvalidTrailer
 	}
 	for _, name := range notTrailers {
 		if equalFold(line[:h.fields[0].colon], name) {
-			return 0, ErrTrailer
+			return 0, ErrInvalidTrailer
 		}
 	}
-	if c.Keep {
+	if c.KeepTrailers {
 		c.Trailers = append(c.Trailers, b[:i+1]...)
 	}
 	return i + 1, nil
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -18,55 +18,55 @@
 
 // Limits bound what a peer may send ahead of a body and inside a chunked one.
 type Limits struct {
-	Head   int // bytes of a head, with its start line and its last line
-	Fields int // fields of a head
-	Chunk  int // bytes of a chunk's size line, with its extensions
-	Tail   int // bytes of all trailers of a body
+	HeadBytes      int // bytes of a head, with its start line and its last line
+	Fields         int // fields of a head
+	ChunkLineBytes int // bytes of a chunk's size line, with its extensions
+	TrailerBytes   int // bytes of all trailers of a body
 }
 
 // DefaultLimits hold where nothing else is said.
-var DefaultLimits = Limits{Head: 16 << 10, Fields: 100, Chunk: 256, Tail: 4 << 10}
+var DefaultLimits = Limits{HeadBytes: 16 << 10, Fields: 100, ChunkLineBytes: 256, TrailerBytes: 4 << 10}
 
 // Error says why a message can't be used. All are predeclared: to refuse costs nothing.
 type Error struct {
 	Status  int    // the answer that a server owes, see RFC 9110, 15.5 and 15.6
 	Section string // what it goes against
-	Why     string
+	Reason  string
 }
 
-func (e *Error) Error() string { return e.Why + " (" + e.Section + ")" }
+func (e *Error) Error() string { return e.Reason + " (" + e.Section + ")" }
 
 // Why a message is refused.
 var (
-	ErrBareLF        = &Error{400, "RFC 9112, 2.2", "a line ends without CR"}
-	ErrControl       = &Error{400, "RFC 9110, 5.5", "a control byte in a field"}
-	ErrStartLine     = &Error{400, "RFC 9112, 3", "the start line can't be read"}
-	ErrMethod        = &Error{400, "RFC 9110, 9.1", "the method is no token"}
-	ErrTarget        = &Error{400, "RFC 9112, 3.2", "the target can't be read"}
-	ErrAuthority     = &Error{400, "RFC 9112, 3.2.2", "the target and Host name different hosts"}
-	ErrVersion       = &Error{505, "RFC 9112, 2.3", "the version is not HTTP/1.1"}
-	ErrStatus        = &Error{502, "RFC 9112, 4", "the status can't be read"}
-	ErrFold          = &Error{400, "RFC 9112, 5.2", "a field goes on in a second line"}
-	ErrName          = &Error{400, "RFC 9112, 5.1", "a field's name is no token, or a blank comes before its colon"}
-	ErrHead          = &Error{431, "RFC 6585, 5", "the head is too long"}
-	ErrFields        = &Error{431, "RFC 6585, 5", "the head has too many fields"}
-	ErrHost          = &Error{400, "RFC 9112, 3.2", "Host is missing, given twice, or no host"}
-	ErrLength        = &Error{400, "RFC 9112, 6.3", "Content-Length is no number, or too large"}
-	ErrLengths       = &Error{400, "RFC 9112, 6.3", "more than one Content-Length"}
-	ErrCodingLength  = &Error{400, "RFC 9112, 6.1", "Content-Length beside Transfer-Encoding"}
-	ErrCoding        = &Error{501, "RFC 9112, 6.1", "a Transfer-Encoding other than chunked"}
-	ErrCodings       = &Error{400, "RFC 9112, 6.1", "more than one Transfer-Encoding"}
-	ErrConnection    = &Error{400, "RFC 9110, 7.6.1", "Connection names a field that frames or routes the message"}
-	ErrExpect        = &Error{417, "RFC 9110, 10.1.1", "an expectation other than 100-continue"}
-	ErrChunk         = &Error{400, "RFC 9112, 7.1", "a chunk can't be read"}
-	ErrChunkLine     = &Error{400, "RFC 9112, 7.1.1", "a chunk's size line is too long"}
-	ErrTrailer       = &Error{400, "RFC 9110, 6.5.1", "a trailer that can't be read, or that frames or routes the message"}
-	ErrTrailers      = &Error{431, "RFC 6585, 5", "the trailers are too long"}
-	ErrNoContent     = &Error{502, "RFC 9110, 8.6", "a length or coding in an answer that has no body"}
-	ErrUnasked       = &Error{502, "RFC 9110, 7.8", "the protocol is switched without being asked"}
-	ErrNoEnd         = &Error{502, "RFC 9112, 6.3", "a body without a length on a connection that stays open"}
-	ErrInterim       = &Error{502, "RFC 9110, 15.2", "too many interim answers"}
-	errChunksInOlder = &Error{502, "RFC 9112, 6.1", "Transfer-Encoding in HTTP/1.0"}
+	ErrBareLF                      = &Error{400, "RFC 9112, 2.2", "a line ends without CR"}
+	ErrControlByte                 = &Error{400, "RFC 9110, 5.5", "a control byte in a field"}
+	ErrStartLine                   = &Error{400, "RFC 9112, 3", "the start line can't be read"}
+	ErrMethod                      = &Error{400, "RFC 9110, 9.1", "the method is no token"}
+	ErrTarget                      = &Error{400, "RFC 9112, 3.2", "the target can't be read"}
+	ErrAuthorityMismatch           = &Error{400, "RFC 9112, 3.2.2", "the target and Host name different hosts"}
+	ErrVersion                     = &Error{505, "RFC 9112, 2.3", "the version is not HTTP/1.1"}
+	ErrStatusLine                  = &Error{502, "RFC 9112, 4", "the status can't be read"}
+	ErrLineFolding                 = &Error{400, "RFC 9112, 5.2", "a field goes on in a second line"}
+	ErrFieldName                   = &Error{400, "RFC 9112, 5.1", "a field's name is no token, or a blank comes before its colon"}
+	ErrHeadTooLong                 = &Error{431, "RFC 6585, 5", "the head is too long"}
+	ErrTooManyFields               = &Error{431, "RFC 6585, 5", "the head has too many fields"}
+	ErrHost                        = &Error{400, "RFC 9112, 3.2", "Host is missing, given twice, or no host"}
+	ErrContentLength               = &Error{400, "RFC 9112, 6.3", "Content-Length is no number, or too large"}
+	ErrDuplicateContentLength      = &Error{400, "RFC 9112, 6.3", "more than one Content-Length"}
+	ErrLengthWithTransferEncoding  = &Error{400, "RFC 9112, 6.1", "Content-Length beside Transfer-Encoding"}
+	ErrUnsupportedTransferEncoding = &Error{501, "RFC 9112, 6.1", "a Transfer-Encoding other than chunked"}
+	ErrDuplicateTransferEncoding   = &Error{400, "RFC 9112, 6.1", "more than one Transfer-Encoding"}
+	ErrConnectionOption            = &Error{400, "RFC 9110, 7.6.1", "Connection names a field that frames or routes the message"}
+	ErrUnsupportedExpectation      = &Error{417, "RFC 9110, 10.1.1", "an expectation other than 100-continue"}
+	ErrMalformedChunk              = &Error{400, "RFC 9112, 7.1", "a chunk can't be read"}
+	ErrChunkLineTooLong            = &Error{400, "RFC 9112, 7.1.1", "a chunk's size line is too long"}
+	ErrInvalidTrailer              = &Error{400, "RFC 9110, 6.5.1", "a trailer that can't be read, or that frames or routes the message"}
+	ErrTrailersTooLong             = &Error{431, "RFC 6585, 5", "the trailers are too long"}
+	ErrFramingWithoutBody          = &Error{502, "RFC 9110, 8.6", "a length or coding in an answer that has no body"}
+	ErrUnexpectedUpgrade           = &Error{502, "RFC 9110, 7.8", "the protocol is switched without being asked"}
+	ErrUndelimitedBody             = &Error{502, "RFC 9112, 6.3", "a body without a length on a connection that stays open"}
+	ErrTooManyInterimResponses     = &Error{502, "RFC 9110, 15.2", "too many interim answers"}
+	errTransferEncodingInHTTP10    = &Error{502, "RFC 9112, 6.1", "Transfer-Encoding in HTTP/1.0"}
 )
 
 // ErrTruncated says that a message ended before it was whole.
@@ -77,10 +77,10 @@
 
 // The framings of a body.
 const (
-	None       Framing = iota // there is none
-	Length                    // after so many bytes
-	Chunked                   // after its last chunk
-	UntilClose                // with the connection: answers only
+	NoBody      Framing = iota // there is none
+	FixedLength                // after so many bytes
+	Chunked                    // after its last chunk
+	UntilClose                 // with the connection: answers only
 )
 
 // Field is a field of a head. Both point into the message.
@@ -113,11 +113,11 @@
 	*h = head{Limits: h.Limits, fields: h.fields[:0], length: -1}
 }
 
-// Moved says where the bytes of a head that is whole are now, of which the first may be more.
-func (h *head) Moved(b []byte) { h.text = b[:len(h.text):len(h.text)] }
+// Rebase says where the bytes of a head that is whole are now, of which the first may be more.
+func (h *head) Rebase(b []byte) { h.text = b[:len(h.text):len(h.text)] }
 
-// Len is how many fields there are.
-func (h *head) Len() int { return len(h.fields) }
+// NumFields is how many fields there are.
+func (h *head) NumFields() int { return len(h.fields) }
 
 // Field returns the field at an index.
 func (h *head) Field(i int) Field {
@@ -148,8 +148,8 @@
 // ContentLength is the length of the body by its field, -1 for none.
 func (h *head) ContentLength() int64 { return h.length }
 
-// Closes tells whether the message says that its connection ends after it.
-func (h *head) Closes() bool { return h.close }
+// ClosesConnection tells whether the message says that its connection ends after it.
+func (h *head) ClosesConnection() bool { return h.close }
 
 // Upgrades tells whether the message asks for another protocol, or switches to one.
 func (h *head) Upgrades() bool {
@@ -157,8 +157,8 @@
 	return h.upgrade && n > 0
 }
 
-// Named tells whether Connection names a field: it concerns this connection only.
-func (h *head) Named(name []byte) bool {
+// IsConnectionOption tells whether Connection names a field: it concerns this connection only.
+func (h *head) IsConnectionOption(name []byte) bool {
 	if h.connections == 0 {
 		return false
 	}
@@ -197,15 +197,15 @@
 	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// EndToEnd tells whether a field is to be passed on as it is: neither does it concern this
+// IsEndToEnd tells whether a field is to be passed on as it is: neither does it concern this
 // connection only, nor does it frame the body, which is framed anew.
-func (h *head) EndToEnd(name []byte) bool {
+func (h *head) IsEndToEnd(name []byte) bool {
 	for _, n := range hop {
 		if len(n) == len(name) && equalFold(name, n) {
 			return false
 		}
 	}
-	return !h.Named(name)
+	return !h.IsConnectionOption(name)
 }
 
 // startLine is how a message judges its start line.
@@ -229,14 +229,14 @@
 		i := bytes.IndexByte(b[h.seen:], '\n')
 		if i < 0 {
 			h.seen = len(b)
-			if len(b) >= h.Limits.Head {
-				return 0, ErrHead
+			if len(b) >= h.Limits.HeadBytes {
+				return 0, ErrHeadTooLong
 			}
 			return 0, nil
 		}
 		i += h.seen
-		if i >= h.Limits.Head {
-			return 0, ErrHead
+		if i >= h.Limits.HeadBytes {
+			return 0, ErrHeadTooLong
 		}
 		if i == h.start || b[i-1] != '\r' {
 			return 0, ErrBareLF
@@ -270,17 +270,17 @@
 // field takes a field's line, which begins at an offset.
 func (h *head) field(at uint32, line []byte) error {
 	if line[0] == ' ' || line[0] == '\t' {
-		return ErrFold
+		return ErrLineFolding
 	}
 	if len(h.fields) >= h.Limits.Fields {
-		return ErrFields
+		return ErrTooManyFields
 	}
 	colon := 0
 	for colon < len(line) && token[line[colon]] {
 		colon++
 	}
 	if colon == 0 || colon == len(line) || line[colon] != ':' {
-		return ErrName
+		return ErrFieldName
 	}
 	from, to := colon+1, len(line)
 	for from < to && blank(line[from]) {
@@ -291,7 +291,7 @@
 	}
 	for _, c := range line[from:to] {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return ErrControl
+			return ErrControlByte
 		}
 	}
 	f := span{at, at + uint32(colon), at + uint32(from), at + uint32(to)}
@@ -309,18 +309,18 @@
 	case len("Content-Length"):
 		if equalFold(name, "content-length") {
 			if h.lengths++; h.lengths > 1 {
-				return ErrLengths
+				return ErrDuplicateContentLength
 			}
 			n, ok := decimal(value)
 			if !ok {
-				return ErrLength
+				return ErrContentLength
 			}
 			h.length = n
 		}
 	case len("Transfer-Encoding"):
 		if equalFold(name, "transfer-encoding") {
 			if h.codings++; h.codings > 1 {
-				return ErrCodings
+				return ErrDuplicateTransferEncoding
 			}
 			h.coding = f
 		}
@@ -331,10 +331,10 @@
 // framed checks what the fields say together.
 func (h *head) framed() error {
 	if h.codings > 0 && h.lengths > 0 {
-		return ErrCodingLength
+		return ErrLengthWithTransferEncoding
 	}
 	if h.codings > 0 && !equalFold(h.text[h.coding.value:h.coding.end], "chunked") {
-		return ErrCoding
+		return ErrUnsupportedTransferEncoding
 	}
 	if h.connections == 0 {
 		return nil
@@ -349,9 +349,9 @@
 		case equalFold(o, "upgrade"):
 			h.upgrade = true
 		case equalFold(o, "host"), equalFold(o, "content-length"), equalFold(o, "transfer-encoding"):
-			err = ErrConnection
+			err = ErrConnectionOption
 		case !isToken(o):
-			err = ErrConnection
+			err = ErrConnectionOption
 		}
 		return err == nil
 	})
@@ -403,8 +403,8 @@
 	return b
 }
 
-// Is tells whether a name is a field's, in whatever case.
-func Is(name []byte, field string) bool { return equalFold(name, field) }
+// EqualFieldName tells whether a name is a field's, in whatever case.
+func EqualFieldName(name []byte, field string) bool { return equalFold(name, field) }
 
 // equalFold tells whether a text is a name of ASCII, in whatever case.
 func equalFold(b []byte, name string) bool {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -15,7 +15,7 @@
 )
 
 // limits are small, so that tests reach them.
-var limits = Limits{Head: 4 << 10, Fields: 20, Chunk: 64, Tail: 256}
+var limits = Limits{HeadBytes: 4 << 10, Fields: 20, ChunkLineBytes: 64, TrailerBytes: 256}
 
 // requestCases is the table of framing: what is refused, with its status, and what is taken,
 // in the one form in which it is passed on. docs/design/0003-http1.md shows it by section.
@@ -33,8 +33,8 @@
 	{"absolute form", "GET HTTP://a/x HTTP/1.1\r\nHost: A\r\n\r\n", nil, "GET /x A none -1"},
 	{"absolute form, no path", "GET http://a HTTP/1.1\r\nHost: a\r\n\r\n", nil, "GET / a none -1"},
 	{"absolute form, query alone", "GET http://a?x HTTP/1.1\r\nHost: a\r\n\r\n", ErrTarget, ""},
-	{"absolute form against Host", "GET http://b/x HTTP/1.1\r\nHost: a\r\n\r\n", ErrAuthority, ""},
-	{"user in the authority", "GET http://u@a/x HTTP/1.1\r\nHost: a\r\n\r\n", ErrAuthority, ""},
+	{"absolute form against Host", "GET http://b/x HTTP/1.1\r\nHost: a\r\n\r\n", ErrAuthorityMismatch, ""},
+	{"user in the authority", "GET http://u@a/x HTTP/1.1\r\nHost: a\r\n\r\n", ErrAuthorityMismatch, ""},
 	{"another scheme", "GET ftp://a/x HTTP/1.1\r\nHost: a\r\n\r\n", ErrTarget, ""},
 	{"authority form", "CONNECT a:443 HTTP/1.1\r\nHost: a:443\r\n\r\n", ErrTarget, ""},
 	{"asterisk", "OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n", nil, "OPTIONS * a none -1"},
@@ -59,20 +59,20 @@
 	{"LF alone in a field", "GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n", ErrBareLF, ""},
 	{"LF alone at the end", "GET / HTTP/1.1\r\nHost: a\r\n\n", ErrBareLF, ""},
 	{"CR alone in the start line", "GET /\rx HTTP/1.1\r\nHost: a\r\n\r\n", ErrTarget, ""},
-	{"CR alone in a field", "GET / HTTP/1.1\r\nHost: a\r\nX: a\rContent-Length: 3\r\n\r\n", ErrControl, ""},
-	{"CR alone ahead of the end", "GET / HTTP/1.1\r\nHost: a\r\nX: a\r\r\n\r\n", ErrControl, ""},
-	{"NUL in a field", "GET / HTTP/1.1\r\nHost: a\r\nX: a\x00b\r\n\r\n", ErrControl, ""},
-	{"DEL in a field", "GET / HTTP/1.1\r\nHost: a\r\nX: a\x7fb\r\n\r\n", ErrControl, ""},
+	{"CR alone in a field", "GET / HTTP/1.1\r\nHost: a\r\nX: a\rContent-Length: 3\r\n\r\n", ErrControlByte, ""},
+	{"CR alone ahead of the end", "GET / HTTP/1.1\r\nHost: a\r\nX: a\r\r\n\r\n", ErrControlByte, ""},
+	{"NUL in a field", "GET / HTTP/1.1\r\nHost: a\r\nX: a\x00b\r\n\r\n", ErrControlByte, ""},
+	{"DEL in a field", "GET / HTTP/1.1\r\nHost: a\r\nX: a\x7fb\r\n\r\n", ErrControlByte, ""},
 	{"bytes over ASCII in a value", "GET / HTTP/1.1\r\nHost: a\r\nX: \xc3\xa9\r\n\r\n", nil, "GET / a none -1"},
-	{"bytes over ASCII in a name", "GET / HTTP/1.1\r\nHost: a\r\nX\xc3\xa9: b\r\n\r\n", ErrName, ""},
-	{"a control byte in a name", "GET / HTTP/1.1\r\nHost: a\r\nX\x01: b\r\n\r\n", ErrName, ""},
-	{"a blank before the colon", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\nabc", ErrName, ""},
-	{"a tab before the colon", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding\t: chunked\r\n\r\n", ErrName, ""},
-	{"no name", "GET / HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", ErrName, ""},
-	{"no colon", "GET / HTTP/1.1\r\nHost: a\r\nX\r\n\r\n", ErrName, ""},
-	{"a folded line", "GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", ErrFold, ""},
-	{"a folded first line", "GET / HTTP/1.1\r\n Host: a\r\n\r\n", ErrFold, ""},
-	{"a folded coding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding:\r\n\tchunked\r\n\r\n", ErrFold, ""},
+	{"bytes over ASCII in a name", "GET / HTTP/1.1\r\nHost: a\r\nX\xc3\xa9: b\r\n\r\n", ErrFieldName, ""},
+	{"a control byte in a name", "GET / HTTP/1.1\r\nHost: a\r\nX\x01: b\r\n\r\n", ErrFieldName, ""},
+	{"a blank before the colon", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\nabc", ErrFieldName, ""},
+	{"a tab before the colon", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding\t: chunked\r\n\r\n", ErrFieldName, ""},
+	{"no name", "GET / HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", ErrFieldName, ""},
+	{"no colon", "GET / HTTP/1.1\r\nHost: a\r\nX\r\n\r\n", ErrFieldName, ""},
+	{"a folded line", "GET / HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", ErrLineFolding, ""},
+	{"a folded first line", "GET / HTTP/1.1\r\n Host: a\r\n\r\n", ErrLineFolding, ""},
+	{"a folded coding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding:\r\n\tchunked\r\n\r\n", ErrLineFolding, ""},
 	{"no Host", "GET / HTTP/1.1\r\n\r\n", ErrHost, ""},
 	{"two Hosts", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", ErrHost, ""},
 	{"two Hosts alike", "GET / HTTP/1.1\r\nHost: a\r\nhost: a\r\n\r\n", ErrHost, ""},
@@ -80,37 +80,37 @@
 	{"a path in Host", "GET / HTTP/1.1\r\nHost: a/b\r\n\r\n", ErrHost, ""},
 	{"a user in Host", "GET / HTTP/1.1\r\nHost: u@a\r\n\r\n", ErrHost, ""},
 	{"two names in Host", "GET / HTTP/1.1\r\nHost: a b\r\n\r\n", ErrHost, ""},
-	{"length and coding", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrCodingLength, ""},
-	{"coding and length", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", ErrCodingLength, ""},
-	{"two lengths alike", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", ErrLengths, ""},
-	{"two lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", ErrLengths, ""},
-	{"a list of lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", ErrLength, ""},
-	{"a signed length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", ErrLength, ""},
-	{"a negative length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -3\r\n\r\nabc", ErrLength, ""},
-	{"a blank in a length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1 3\r\n\r\nabc", ErrLength, ""},
-	{"an empty length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n\r\nabc", ErrLength, ""},
-	{"a length in hex", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0x3\r\n\r\nabc", ErrLength, ""},
-	{"a length with an underline", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1_0\r\n\r\nabc", ErrLength, ""},
-	{"a length of 2^64", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 18446744073709551616\r\n\r\nabc", ErrLength, ""},
-	{"a length of other digits", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: \xd9\xa3\r\n\r\nabc", ErrLength, ""},
-	{"a coding nobody knows", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", ErrCoding, ""},
-	{"chunked and more", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", ErrCoding, ""},
-	{"chunked, identity", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked, identity\r\n\r\n", ErrCoding, ""},
-	{"identity", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: identity\r\n\r\n", ErrCoding, ""},
-	{"chunked twice", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked, chunked\r\n\r\n", ErrCoding, ""},
-	{"chunked quoted", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: \"chunked\"\r\n\r\n", ErrCoding, ""},
-	{"chunked with a parameter", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked;q=1\r\n\r\n", ErrCoding, ""},
-	{"chunked behind a control byte", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: \x0bchunked\r\n\r\n", ErrControl, ""},
-	{"an empty coding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding:\r\n\r\n", ErrCoding, ""},
-	{"two codings", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n", ErrCodings, ""},
+	{"length and coding", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", ErrLengthWithTransferEncoding, ""},
+	{"coding and length", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", ErrLengthWithTransferEncoding, ""},
+	{"two lengths alike", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\nabc", ErrDuplicateContentLength, ""},
+	{"two lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", ErrDuplicateContentLength, ""},
+	{"a list of lengths", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", ErrContentLength, ""},
+	{"a signed length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", ErrContentLength, ""},
+	{"a negative length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -3\r\n\r\nabc", ErrContentLength, ""},
+	{"a blank in a length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1 3\r\n\r\nabc", ErrContentLength, ""},
+	{"an empty length", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length:\r\n\r\nabc", ErrContentLength, ""},
+	{"a length in hex", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0x3\r\n\r\nabc", ErrContentLength, ""},
+	{"a length with an underline", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1_0\r\n\r\nabc", ErrContentLength, ""},
+	{"a length of 2^64", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 18446744073709551616\r\n\r\nabc", ErrContentLength, ""},
+	{"a length of other digits", "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: \xd9\xa3\r\n\r\nabc", ErrContentLength, ""},
+	{"a coding nobody knows", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"chunked and more", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"chunked, identity", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked, identity\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"identity", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: identity\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"chunked twice", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked, chunked\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"chunked quoted", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: \"chunked\"\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"chunked with a parameter", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked;q=1\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"chunked behind a control byte", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: \x0bchunked\r\n\r\n", ErrControlByte, ""},
+	{"an empty coding", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding:\r\n\r\n", ErrUnsupportedTransferEncoding, ""},
+	{"two codings", "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n", ErrDuplicateTransferEncoding, ""},
 	{"coding in HTTP/1.0", "POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", ErrVersion, ""},
-	{"Connection names a length", "POST / HTTP/1.1\r\nHost: a\r\nConnection: close, content-length\r\nContent-Length: 3\r\n\r\nabc", ErrConnection, ""},
-	{"Connection names Host", "GET / HTTP/1.1\r\nHost: a\r\nConnection: Host\r\n\r\n", ErrConnection, ""},
-	{"Connection is no list of tokens", "GET / HTTP/1.1\r\nHost: a\r\nConnection: a b\r\n\r\n", ErrConnection, ""},
-	{"another expectation", "POST / HTTP/1.1\r\nHost: a\r\nExpect: 200-ok\r\nContent-Length: 3\r\n\r\nabc", ErrExpect, ""},
-	{"a long head", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 5000), ErrHead, ""},
-	{"a long line", "GET /" + strings.Repeat("x", 5000), ErrHead, ""},
-	{"many fields", "GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: b\r\n", 30) + "\r\n", ErrFields, ""},
+	{"Connection names a length", "POST / HTTP/1.1\r\nHost: a\r\nConnection: close, content-length\r\nContent-Length: 3\r\n\r\nabc", ErrConnectionOption, ""},
+	{"Connection names Host", "GET / HTTP/1.1\r\nHost: a\r\nConnection: Host\r\n\r\n", ErrConnectionOption, ""},
+	{"Connection is no list of tokens", "GET / HTTP/1.1\r\nHost: a\r\nConnection: a b\r\n\r\n", ErrConnectionOption, ""},
+	{"another expectation", "POST / HTTP/1.1\r\nHost: a\r\nExpect: 200-ok\r\nContent-Length: 3\r\n\r\nabc", ErrUnsupportedExpectation, ""},
+	{"a long head", "GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 5000), ErrHeadTooLong, ""},
+	{"a long line", "GET /" + strings.Repeat("x", 5000), ErrHeadTooLong, ""},
+	{"many fields", "GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: b\r\n", 30) + "\r\n", ErrTooManyFields, ""},
 }
 
 // describe is the form in which a request is passed on.
@@ -171,46 +171,46 @@
 	err        error
 	framing    Framing
 }{
-	{"plain", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", false, nil, Length},
-	{"no reason", "HTTP/1.1 200\r\nContent-Length: 2\r\n\r\n", false, nil, Length},
+	{"plain", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", false, nil, FixedLength},
+	{"no reason", "HTTP/1.1 200\r\nContent-Length: 2\r\n\r\n", false, nil, FixedLength},
 	{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, nil, Chunked},
 	{"until the close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", false, nil, UntilClose},
 	{"until the close, 1.0", "HTTP/1.0 200 OK\r\n\r\n", false, nil, UntilClose},
-	{"1.0 kept open", "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\n", false, ErrNoEnd, 0},
-	{"no end", "HTTP/1.1 200 OK\r\n\r\n", false, ErrNoEnd, 0},
-	{"204", "HTTP/1.1 204 No\r\n\r\n", false, nil, None},
-	{"204 with a length", "HTTP/1.1 204 No\r\nContent-Length: 2\r\n\r\n", false, ErrNoContent, 0},
-	{"204 with chunks", "HTTP/1.1 204 No\r\nTransfer-Encoding: chunked\r\n\r\n", false, ErrNoContent, 0},
-	{"304 with the length of what is not sent", "HTTP/1.1 304 No\r\nContent-Length: 2\r\n\r\n", false, nil, None},
-	{"to HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", true, nil, None},
-	{"to HEAD, chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", true, nil, None},
-	{"interim with a length", "HTTP/1.1 100 Go\r\nContent-Length: 2\r\n\r\n", false, ErrNoContent, 0},
-	{"interim", "HTTP/1.1 103 Hints\r\nLink: a\r\n\r\n", false, nil, None},
-	{"status of two digits", "HTTP/1.1 20 OK\r\n\r\n", false, ErrStatus, 0},
-	{"status of four", "HTTP/1.1 2000 OK\r\n\r\n", false, ErrStatus, 0},
-	{"status 600", "HTTP/1.1 600 Oh\r\n\r\n", false, ErrStatus, 0},
-	{"status 99", "HTTP/1.1 099 Oh\r\n\r\n", false, ErrStatus, 0},
-	{"signed status", "HTTP/1.1 +20 OK\r\n\r\n", false, ErrStatus, 0},
-	{"two blanks", "HTTP/1.1  200 OK\r\n\r\n", false, ErrStatus, 0},
+	{"1.0 kept open", "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\n", false, ErrUndelimitedBody, 0},
+	{"no end", "HTTP/1.1 200 OK\r\n\r\n", false, ErrUndelimitedBody, 0},
+	{"204", "HTTP/1.1 204 No\r\n\r\n", false, nil, NoBody},
+	{"204 with a length", "HTTP/1.1 204 No\r\nContent-Length: 2\r\n\r\n", false, ErrFramingWithoutBody, 0},
+	{"204 with chunks", "HTTP/1.1 204 No\r\nTransfer-Encoding: chunked\r\n\r\n", false, ErrFramingWithoutBody, 0},
+	{"304 with the length of what is not sent", "HTTP/1.1 304 No\r\nContent-Length: 2\r\n\r\n", false, nil, NoBody},
+	{"to HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n", true, nil, NoBody},
+	{"to HEAD, chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", true, nil, NoBody},
+	{"interim with a length", "HTTP/1.1 100 Go\r\nContent-Length: 2\r\n\r\n", false, ErrFramingWithoutBody, 0},
+	{"interim", "HTTP/1.1 103 Hints\r\nLink: a\r\n\r\n", false, nil, NoBody},
+	{"status of two digits", "HTTP/1.1 20 OK\r\n\r\n", false, ErrStatusLine, 0},
+	{"status of four", "HTTP/1.1 2000 OK\r\n\r\n", false, ErrStatusLine, 0},
+	{"status 600", "HTTP/1.1 600 Oh\r\n\r\n", false, ErrStatusLine, 0},
+	{"status 99", "HTTP/1.1 099 Oh\r\n\r\n", false, ErrStatusLine, 0},
+	{"signed status", "HTTP/1.1 +20 OK\r\n\r\n", false, ErrStatusLine, 0},
+	{"two blanks", "HTTP/1.1  200 OK\r\n\r\n", false, ErrStatusLine, 0},
 	{"HTTP/1.2", "HTTP/1.2 200 OK\r\n\r\n", false, ErrVersion, 0},
-	{"noise", "\x00\xff", false, ErrStatus, 0},
-	{"an empty line ahead", "\r\nHTTP/1.1 200 OK\r\n\r\n", false, ErrStatus, 0},
+	{"noise", "\x00\xff", false, ErrStatusLine, 0},
+	{"an empty line ahead", "\r\nHTTP/1.1 200 OK\r\n\r\n", false, ErrStatusLine, 0},
 	{"LF alone", "HTTP/1.1 200 OK\nContent-Length: 2\n\n", false, ErrBareLF, 0},
-	{"CR alone", "HTTP/1.1 200 OK\r\nX: a\rb\r\n\r\n", false, ErrControl, 0},
-	{"CR in the reason", "HTTP/1.1 200 O\rK\r\n\r\n", false, ErrStatus, 0},
-	{"two lengths alike", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n", false, ErrLengths, 0},
-	{"both", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", false, ErrCodingLength, 0},
-	{"negative", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n", false, ErrLength, 0},
-	{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", false, nil, Length},
-	{"gzip, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", false, ErrCoding, 0},
-	{"chunks in 1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, errChunksInOlder, 0},
-	{"a folded line", "HTTP/1.1 200 OK\r\nX: a\r\n b\r\n\r\n", false, ErrFold, 0},
+	{"CR alone", "HTTP/1.1 200 OK\r\nX: a\rb\r\n\r\n", false, ErrControlByte, 0},
+	{"CR in the reason", "HTTP/1.1 200 O\rK\r\n\r\n", false, ErrStatusLine, 0},
+	{"two lengths alike", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n", false, ErrDuplicateContentLength, 0},
+	{"both", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", false, ErrLengthWithTransferEncoding, 0},
+	{"negative", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n", false, ErrContentLength, 0},
+	{"3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", false, nil, FixedLength},
+	{"gzip, chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", false, ErrUnsupportedTransferEncoding, 0},
+	{"chunks in 1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", false, errTransferEncodingInHTTP10, 0},
+	{"a folded line", "HTTP/1.1 200 OK\r\nX: a\r\n b\r\n\r\n", false, ErrLineFolding, 0},
 }
 
 func TestAnswers(t *testing.T) {
 	for _, c := range answerCases {
 		for _, whole := range []bool{true, false} {
-			a := NewAnswer(limits)
+			a := NewResponse(limits)
 			var n int
 			var err error
 			for i := 1; i <= len(c.text) && n == 0 && err == nil; i++ {
@@ -237,42 +237,42 @@
 }{
 	{"plain", "3\r\nabc\r\n0\r\n\r\n", nil, "abc"},
 	{"two", "3\r\nabc\r\nA\r\n0123456789\r\n000\r\n\r\n", nil, "abc0123456789"},
-	{"extensions", "1;a;b=c ; d=\"e;\\\"\r\"\r\nx\r\n0\r\n\r\n", ErrChunk, ""},
+	{"extensions", "1;a;b=c ; d=\"e;\\\"\r\"\r\nx\r\n0\r\n\r\n", ErrMalformedChunk, ""},
 	{"good extensions", "1;a;b=c ; d=\"e;\\\"\"\r\nx\r\n0;z\r\n\r\n", nil, "x"},
 	{"trailers", "1\r\nx\r\n0\r\nX: y\r\nZ:\r\n\r\n", nil, "x"},
-	{"an empty size", "\r\nx\r\n0\r\n\r\n", ErrChunk, ""},
-	{"an extension alone", ";a\r\nx\r\n0\r\n\r\n", ErrChunk, ""},
-	{"a negative size", "-1\r\nx\r\n", ErrChunk, ""},
-	{"a size of 0x", "0x1\r\nx\r\n", ErrChunk, ""},
-	{"a blank ahead", " 1\r\nx\r\n", ErrChunk, ""},
-	{"a blank behind", "1 \r\nx\r\n", ErrChunk, ""},
-	{"a size that overflows", "10000000000000001\r\nx\r\n", ErrChunk, ""},
+	{"an empty size", "\r\nx\r\n0\r\n\r\n", ErrMalformedChunk, ""},
+	{"an extension alone", ";a\r\nx\r\n0\r\n\r\n", ErrMalformedChunk, ""},
+	{"a negative size", "-1\r\nx\r\n", ErrMalformedChunk, ""},
+	{"a size of 0x", "0x1\r\nx\r\n", ErrMalformedChunk, ""},
+	{"a blank ahead", " 1\r\nx\r\n", ErrMalformedChunk, ""},
+	{"a blank behind", "1 \r\nx\r\n", ErrMalformedChunk, ""},
+	{"a size that overflows", "10000000000000001\r\nx\r\n", ErrMalformedChunk, ""},
 	{"LF alone behind a size", "1\nx\r\n0\r\n\r\n", ErrBareLF, ""},
-	{"LF alone behind data", "1\r\nx\n0\r\n\r\n", ErrChunk, ""},
-	{"longer than its size", "1\r\nxy\r\n0\r\n\r\n", ErrChunk, ""},
-	{"a control byte in an extension", "1;a=\x01\r\nx\r\n", ErrChunk, ""},
-	{"an extension of 64 KiB", "1;" + strings.Repeat("a", 64<<10), ErrChunkLine, ""},
-	{"a trailer of length", "0\r\nContent-Length: 3\r\n\r\n", ErrTrailer, ""},
-	{"a trailer of coding", "0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrTrailer, ""},
-	{"a trailer of Host", "0\r\nhost: b\r\n\r\n", ErrTrailer, ""},
-	{"a trailer of the id", "0\r\nx-request-id: b\r\n\r\n", ErrTrailer, ""},
-	{"no trailer", "0\r\nX y\r\n\r\n", ErrTrailer, ""},
-	{"a folded trailer", "0\r\nX: y\r\n z\r\n\r\n", ErrTrailer, ""},
+	{"LF alone behind data", "1\r\nx\n0\r\n\r\n", ErrMalformedChunk, ""},
+	{"longer than its size", "1\r\nxy\r\n0\r\n\r\n", ErrMalformedChunk, ""},
+	{"a control byte in an extension", "1;a=\x01\r\nx\r\n", ErrMalformedChunk, ""},
+	{"an extension of 64 KiB", "1;" + strings.Repeat("a", 64<<10), ErrChunkLineTooLong, ""},
+	{"a trailer of length", "0\r\nContent-Length: 3\r\n\r\n", ErrInvalidTrailer, ""},
+	{"a trailer of coding", "0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrInvalidTrailer, ""},
+	{"a trailer of Host", "0\r\nhost: b\r\n\r\n", ErrInvalidTrailer, ""},
+	{"a trailer of the id", "0\r\nx-request-id: b\r\n\r\n", ErrInvalidTrailer, ""},
+	{"no trailer", "0\r\nX y\r\n\r\n", ErrInvalidTrailer, ""},
+	{"a folded trailer", "0\r\nX: y\r\n z\r\n\r\n", ErrInvalidTrailer, ""},
 	{"LF alone behind the trailers", "0\r\nX: y\r\n\n", ErrBareLF, ""},
-	{"endless trailers", "0\r\n" + strings.Repeat("X: y\r\n", 100), ErrTrailers, ""},
-	{"an endless trailer", "0\r\nX: " + strings.Repeat("y", 1000), ErrTrailers, ""},
+	{"endless trailers", "0\r\n" + strings.Repeat("X: y\r\n", 100), ErrTrailersTooLong, ""},
+	{"an endless trailer", "0\r\nX: " + strings.Repeat("y", 1000), ErrTrailersTooLong, ""},
 	{"half", "3\r\nab", nil, ""},
 }
 
 // dechunk reads a body that comes in pieces of at most so many bytes, and returns its data
 // once it is whole. It also returns how many bytes it has used.
 func dechunk(text string, piece int, l Limits) (data string, used int, done bool, err error) {
-	c := Chunks{Limits: l}
+	c := ChunkedDecoder{Limits: l}
 	var out []byte
 	var buf []byte
 	for {
 		for {
-			d, n, err := c.Next(buf)
+			d, n, err := c.Decode(buf)
 			out = append(out, d...)
 			used += n
 			buf = buf[n:]
@@ -333,11 +333,11 @@
 	const tail = "Checksum: abc\r\nX-Last:  two \r\n"
 	text := "3;a=\"b\"\r\nabc\r\n0\r\n" + tail + "\r\nrest"
 	for _, keep := range []bool{false, true} {
-		c := Chunks{Limits: limits, Keep: keep}
+		c := ChunkedDecoder{Limits: limits, KeepTrailers: keep}
 		var data []byte
 		left := []byte(text)
 		for !c.Done() {
-			p, n, err := c.Next(left)
+			p, n, err := c.Decode(left)
 			if err != nil || n == 0 {
 				t.Fatal(n, err)
 			}
@@ -371,13 +371,13 @@
 		t.Fatal(n, err)
 	}
 	var passed []string
-	for i := range r.Len() {
-		if f := r.Field(i); r.EndToEnd(f.Name) {
+	for i := range r.NumFields() {
+		if f := r.Field(i); r.IsEndToEnd(f.Name) {
 			passed = append(passed, f.String())
 		}
 	}
-	if got := fmt.Sprint(passed); got != `[Host: "a" X-Other: "2"]` || !r.Closes() {
-		t.Errorf("%s, closes %v", got, r.Closes())
+	if got := fmt.Sprint(passed); got != `[Host: "a" X-Other: "2"]` || !r.ClosesConnection() {
+		t.Errorf("%s, closes %v", got, r.ClosesConnection())
 	}
 	if v, n := r.Get("X-OTHER"); string(v) != "2" || n != 1 {
 		t.Errorf("%q, %d", v, n)
@@ -394,7 +394,7 @@
 	}
 	body, used, whole := "", 0, true
 	switch r.Framing() {
-	case Length:
+	case FixedLength:
 		whole = r.ContentLength() <= int64(len(text)-n)
 		if whole {
 			used = int(r.ContentLength())
@@ -464,8 +464,8 @@
 		if err != nil && !errors.As(err, &refused) {
 			t.Fatalf("%q: %v", text, err)
 		}
-		if n > len(text) || n > limits.Head || whole.Len() > limits.Fields {
-			t.Fatalf("%q: a head of %d bytes, %d fields", text, n, whole.Len())
+		if n > len(text) || n > limits.HeadBytes || whole.NumFields() > limits.Fields {
+			t.Fatalf("%q: a head of %d bytes, %d fields", text, n, whole.NumFields())
 		}
 		if err := compare(text); err != nil {
 			t.Fatalf("%q: %v", text, err)
@@ -478,7 +478,7 @@
 		f.Add([]byte(c.text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		a := NewAnswer(limits)
+		a := NewResponse(limits)
 		n, err := a.Parse(text)
 		if err != nil || n == 0 {
 			return
@@ -491,7 +491,7 @@
 		if err != nil {
 			return
 		}
-		if them.StatusCode != a.Status() || framing == Length && them.ContentLength != a.ContentLength() ||
+		if them.StatusCode != a.Status() || framing == FixedLength && them.ContentLength != a.ContentLength() ||
 			(framing == Chunked) != (len(them.TransferEncoding) > 0) && a.Status() != 304 {
 			t.Fatalf("%q: net/http reads %d, %d, %q; we %d, %v, %d", text, them.StatusCode, them.ContentLength,
 				them.TransferEncoding, a.Status(), framing, a.ContentLength())
@@ -507,7 +507,7 @@
 
 // A short message is read and written without an allocation.
 func BenchmarkShort(b *testing.B) {
-	r, a := NewRequest(DefaultLimits), NewAnswer(DefaultLimits)
+	r, a := NewRequest(DefaultLimits), NewResponse(DefaultLimits)
 	request, answer := []byte(shortRequest), []byte(shortAnswer)
 	out := make([]byte, 0, 4096)
 	b.ReportAllocs()
@@ -518,21 +518,21 @@
 			b.Fatal(err)
 		}
 		out = AppendRequestLine(out[:0], r.Method(), r.Target())
-		for i := range r.Len() {
-			if f := r.Field(i); r.EndToEnd(f.Name) {
-				out = AppendParsed(out, f)
+		for i := range r.NumFields() {
+			if f := r.Field(i); r.IsEndToEnd(f.Name) {
+				out = AppendParsedField(out, f)
 			}
 		}
-		out = append(AppendEnd(AppendLength(out, r.ContentLength())), "0123456789"...)
+		out = append(AppendHeadEnd(AppendContentLength(out, r.ContentLength())), "0123456789"...)
 		if n, err := a.Parse(answer); n == 0 || err != nil {
 			b.Fatal(err)
 		}
-		out = append(AppendEnd(AppendLength(AppendStatusLine(out[:0], a.Status()), 2)), "ok"...)
+		out = append(AppendHeadEnd(AppendContentLength(AppendStatusLine(out[:0], a.Status()), 2)), "ok"...)
 	}
 }
 
 func TestShortAllocatesNothing(t *testing.T) {
-	r, a := NewRequest(DefaultLimits), NewAnswer(DefaultLimits)
+	r, a := NewRequest(DefaultLimits), NewResponse(DefaultLimits)
 	request, answer := []byte(shortRequest), []byte(shortAnswer)
 	out := make([]byte, 0, 4096)
 	if n := testing.AllocsPerRun(100, func() {
@@ -540,7 +540,7 @@
 		a.Reset()
 		r.Parse(request)
 		a.Parse(answer)
-		out = AppendLength(AppendRequestLine(out[:0], r.Method(), r.Target()), 10)
+		out = AppendContentLength(AppendRequestLine(out[:0], r.Method(), r.Target()), 10)
 		r.Get("X-Timeout")
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -112,7 +112,7 @@
 			r.host = f
 		case equalFold(name, "expect"):
 			if !equalFold(r.text[f.value:f.end], "100-continue") {
-				return ErrExpect
+				return ErrUnsupportedExpectation
 			}
 			r.expects = true
 		}
@@ -130,7 +130,7 @@
 			authority = authority[:i]
 		}
 		if len(authority) == 0 || !bytes.EqualFold(authority, host) {
-			return ErrAuthority
+			return ErrAuthorityMismatch
 		}
 		r.target.value += uint32(len(scheme) + len(authority))
 		if t := r.text[r.target.value:r.target.end]; len(t) > 0 && t[0] == '?' {
@@ -183,7 +183,7 @@
 	case r.codings > 0:
 		return Chunked
 	case r.length > 0:
-		return Length
+		return FixedLength
 	}
-	return None
+	return NoBody
 }
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -29,16 +29,16 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendParsed appends a field that was parsed.
-func AppendParsed(b []byte, f Field) []byte {
+// AppendParsedField appends a field that was parsed.
+func AppendParsedField(b []byte, f Field) []byte {
 	b = append(b, f.Name...)
 	b = append(b, ": "...)
 	b = append(b, f.Value...)
 	return append(b, "\r\n"...)
 }
 
-// AppendLength appends a Content-Length.
-func AppendLength(b []byte, n int64) []byte {
+// AppendContentLength appends a Content-Length.
+func AppendContentLength(b []byte, n int64) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, n, 10)
 	return append(b, "\r\n"...)
@@ -51,8 +51,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendEnd ends a head.
-func AppendEnd(b []byte) []byte { return append(b, "\r\n"...) }
+// AppendHeadEnd ends a head.
+func AppendHeadEnd(b []byte) []byte { return append(b, "\r\n"...) }
 
 // AppendChunk appends a chunk; data must not be empty.
 func AppendChunk(b, data []byte) []byte {
@@ -73,8 +73,8 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendCoding appends the field that says that a body comes in chunks.
-func AppendCoding(b []byte) []byte { return AppendField(b, "Transfer-Encoding", "chunked") }
+// AppendChunkedEncoding appends the field that says that a body comes in chunks.
+func AppendChunkedEncoding(b []byte) []byte { return AppendField(b, "Transfer-Encoding", "chunked") }
 
-// Continue is the interim answer that a client waits for which expects it.
-const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
+// ContinueResponse is the interim answer that a client waits for which expects it.
+const ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
--- a/internal/httpserver/closing_test.go
+++ b/internal/httpserver/closing_test.go
@@ -17,23 +17,23 @@
 	read, proceed chan struct{}
 }
 
-func (c *crossing) Head(x *Exchange) *Refusal {
-	if string(x.Head().Path()) == "/cross" {
+func (c *crossing) CheckHead(x *Exchange) *ErrorResponse {
+	if string(x.RequestHead().Path()) == "/cross" {
 		c.read <- struct{}{}
 		<-c.proceed
 	}
-	return c.echo.Head(x)
+	return c.echo.CheckHead(x)
 }
 
 // openCrossing opens a door whose handler is a crossing.
-func openCrossing(t *testing.T, places int, times Times) (*house, *crossing) {
+func openCrossing(t *testing.T, places int, times Timeouts) (*house, *crossing) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	handler := &crossing{echo: newEcho(), read: make(chan struct{}, 1), proceed: make(chan struct{})}
-	d, err := New(Config{Handler: handler, Places: places, MaxHead: 16 << 10, MaxBody: func() int { return 64 << 10 }, Times: func() Times { return times }})
+	d, err := New(Config{Handler: handler, MaxConnections: places, MaxHeadBytes: 16 << 10, MaxBodyBytes: func() int { return 64 << 10 }, Timeouts: func() Timeouts { return times }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -32,7 +32,7 @@
 )
 
 // serve serves a connection until it ends.
-func (d *Door) serve(c *conn) {
+func (d *Server) serve(c *conn) {
 	defer func() {
 		if fault := recover(); fault != nil { // one request's, which the others outlive
 			slog.Error("door: panic", "fault", fault, "stack", string(debug.Stack()))
@@ -54,13 +54,13 @@
 }
 
 // answerPanic answers a request whose handler has panicked, unless part of an answer has gone out.
-func (d *Door) answerPanic(c *conn) {
+func (d *Server) answerPanic(c *conn) {
 	x := &c.x
 	if !c.owed || c.hijacked || x.owned == nil || x.flow.begun {
 		return
 	}
 	x.Close = true
-	x.Answer(500, "text/plain; charset=utf-8", nil, []byte("failed\n"))
+	x.Respond(500, "text/plain; charset=utf-8", nil, []byte("failed\n"))
 	if d.write(c) == nil {
 		d.linger(c)
 	}
@@ -68,7 +68,7 @@
 
 // logClose logs why a connection ends. A request that it leaves without a whole answer is a
 // warning unless its caller has gone.
-func (d *Door) logClose(c *conn, reason error) {
+func (d *Server) logClose(c *conn, reason error) {
 	level, message := slog.LevelDebug, "connection closed"
 	gone := d.gone(c)
 	var id []byte
@@ -86,7 +86,7 @@
 }
 
 // next serves one request. An error ends the connection.
-func (d *Door) next(c *conn) error {
+func (d *Server) next(c *conn) error {
 	if c.buf == nil {
 		if err := d.rest(c); err != nil {
 			return err
@@ -98,11 +98,11 @@
 	if err != nil {
 		return err
 	}
-	c.x.State, c.x.Flows = nil, false
-	if r := d.cfg.Handler.Head(&c.x); r != nil {
+	c.x.HandlerState, c.x.Streaming = nil, false
+	if r := d.cfg.Handler.CheckHead(&c.x); r != nil {
 		return d.refuse(c, r)
 	}
-	if c.x.Flows {
+	if c.x.Streaming {
 		return d.flows(c, n)
 	}
 	if c.head.Framing() == http1.Chunked {
@@ -115,7 +115,7 @@
 		}
 	}
 	text := c.buf.Bytes()
-	c.head.Moved(text)
+	c.head.Rebase(text)
 	d.reached(c, taken, c.read)
 	return d.answer(c, text[n:whole], whole)
 }
@@ -123,8 +123,8 @@
 // rest waits for the first bytes of a request: on a connection at rest for as long as one may be idle,
 // on a new one for as long as a head may take. What has come by the end of that time, or as the
 // connection is asked to end, is read: only a connection with nothing unread ends at rest.
-func (d *Door) rest(c *conn) error {
-	times := d.cfg.Times()
+func (d *Server) rest(c *conn) error {
+	times := d.cfg.Timeouts()
 	wait := times.Idle
 	if c.arrived.IsZero() {
 		wait = times.Head
@@ -134,7 +134,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	if c.Quiet() {
+	if c.ReadWouldBlock() {
 		return cmp.Or(d.asked(c), err)
 	}
 	c.SetReadDeadline(time.Time{}) // there is something to read, so that nothing is waited for
@@ -142,13 +142,13 @@
 }
 
 // head reads a request's head and returns how long it is.
-func (d *Door) head(c *conn) (n int, err error) {
+func (d *Server) head(c *conn) (n int, err error) {
 	c.head.Reset()
 	n, err = c.head.Parse(c.buf.Bytes())
 	for began := false; n == 0 && err == nil; began = true {
 		if !began {
 			d.reached(c, partial, time.Now())
-			times := d.cfg.Times()
+			times := d.cfg.Timeouts()
 			d.allow(c, later(c.began().Add(times.Head), c.read.Add(times.Body)))
 		}
 		if err := d.fill(c); err != nil {
@@ -158,13 +158,13 @@
 		n, err = c.head.Parse(c.buf.Bytes())
 	}
 	if err != nil {
-		return 0, d.refuse(c, refusal(err))
+		return 0, d.refuse(c, errorResponse(err))
 	}
 	return n, nil
 }
 
 // body waits for the rest of a request.
-func (d *Door) body(c *conn, whole int) error {
+func (d *Server) body(c *conn, whole int) error {
 	if err := d.expectBody(c); err != nil {
 		return err
 	}
@@ -178,14 +178,14 @@
 }
 
 // errBodyLate answers a request whose body is not whole when its time is up.
-var errBodyLate = &Refusal{Status: 400, Why: "body: it did not come whole in time"}
+var errBodyLate = &ErrorResponse{Status: 400, Message: "body: it did not come whole in time"}
 
 // expectBody has a body waited for, for which the caller may be waiting to be told.
-func (d *Door) expectBody(c *conn) error {
+func (d *Server) expectBody(c *conn) error {
 	d.reached(c, partial, time.Now())
-	times := d.cfg.Times()
+	times := d.cfg.Timeouts()
 	if c.head.ExpectsContinue() {
-		if err := c.WriteBy([]byte(http1.Continue), time.Now().Add(times.Write)); err != nil {
+		if err := c.WriteWithDeadline([]byte(http1.ContinueResponse), time.Now().Add(times.Write)); err != nil {
 			return err
 		}
 	}
@@ -210,20 +210,20 @@
 }
 
 // chunked has a request answered whose body comes in chunks and is held whole.
-func (d *Door) chunked(c *conn, headLen int) error {
+func (d *Server) chunked(c *conn, headLen int) error {
 	d.detachHead(c, headLen)
-	parts := http1.Chunks{Limits: http1.DefaultLimits}
+	parts := http1.ChunkedDecoder{Limits: http1.DefaultLimits}
 	var body []byte
 	for waited := false; ; {
-		data, n, err := parts.Next(c.buf.Bytes())
+		data, n, err := parts.Decode(c.buf.Bytes())
 		if err != nil {
-			return d.refuse(c, refusal(err))
+			return d.refuse(c, errorResponse(err))
 		}
-		if len(body)+len(data) > d.cfg.MaxBody() {
-			return d.refuse(c, &Refusal{Status: 413, Why: "body: it is too long"})
+		if len(body)+len(data) > d.cfg.MaxBodyBytes() {
+			return d.refuse(c, &ErrorResponse{Status: 413, Message: "body: it is too long"})
 		}
 		body = append(body, data...)
-		c.buf.Skip(n)
+		c.buf.Consume(n)
 		switch {
 		case parts.Done():
 			d.reached(c, taken, c.read)
@@ -244,17 +244,17 @@
 }
 
 // detachHead keeps the head of a request apart, so that its buffer can be read on into.
-func (d *Door) detachHead(c *conn, headLen int) {
-	c.head.Moved(append([]byte(nil), c.buf.Bytes()[:headLen]...))
-	c.buf.Skip(headLen)
+func (d *Server) detachHead(c *conn, headLen int) {
+	c.head.Rebase(append([]byte(nil), c.buf.Bytes()[:headLen]...))
+	c.buf.Consume(headLen)
 }
 
 // cutOff ends a connection on which part of a request has come. One that gives way to another ends at
 // once, and one that the shutdown cuts off is told to come back; else the answer is r, nil for none.
-func (d *Door) cutOff(c *conn, err error, r *Refusal) error {
+func (d *Server) cutOff(c *conn, err error, r *ErrorResponse) error {
 	switch asked := d.asked(c); {
 	case asked == errDraining:
-		return d.refuse(c, &Refusal{Status: 503, Why: "shutting down"})
+		return d.refuse(c, &ErrorResponse{Status: 503, Message: "shutting down"})
 	case asked != nil:
 		return asked
 	case r != nil:
@@ -264,8 +264,8 @@
 }
 
 // fill reads what has come.
-func (d *Door) fill(c *conn) error {
-	b, err := c.Fill(c.buf)
+func (d *Server) fill(c *conn) error {
+	b, err := c.ReadInto(c.buf)
 	c.buf = b
 	if err != nil {
 		return err
@@ -278,22 +278,22 @@
 	return nil
 }
 
-// refusal is the answer to a head that can't be read.
-func refusal(err error) *Refusal {
+// errorResponse is the answer to a head that can't be read.
+func errorResponse(err error) *ErrorResponse {
 	if e := (*http1.Error)(nil); errors.As(err, &e) {
-		return &Refusal{Status: e.Status, Why: e.Error()}
+		return &ErrorResponse{Status: e.Status, Message: e.Error()}
 	}
-	return &Refusal{Status: 400, Why: err.Error()}
+	return &ErrorResponse{Status: 400, Message: err.Error()}
 }
 
 // refuse answers a request that can't be used, and ends the connection.
-func (d *Door) refuse(c *conn, r *Refusal) error {
+func (d *Server) refuse(c *conn, r *ErrorResponse) error {
 	d.reached(c, partial, time.Now())
-	slog.Debug("request can't be used", "connection", c.number, "status", r.Status, "why", r.Why)
+	slog.Debug("request can't be used", "connection", c.number, "status", r.Status, "why", r.Message)
 	x := &c.x
 	x.begin(nil)
 	x.Close = true
-	x.Answer(r.Status, "text/plain; charset=utf-8", r.fields, []byte(r.Why+"\n"))
+	x.Respond(r.Status, "text/plain; charset=utf-8", r.fields, []byte(r.Message+"\n"))
 	err := d.write(c)
 	x.end()
 	if err != nil {
@@ -304,7 +304,7 @@
 }
 
 // linger reads on for a while after the last answer.
-func (d *Door) linger(c *conn) {
+func (d *Server) linger(c *conn) {
 	if c.CloseWrite() != nil {
 		return
 	}
@@ -320,18 +320,18 @@
 		left -= c.buf.Len()
 		c.buf.Reset()
 	}
-	for c.Unread() && time.Now().Before(end) {
+	for c.HasUnackedData() && time.Now().Before(end) {
 		time.Sleep(lingerLook)
 	}
 }
 
 // answer has a request answered and makes the connection ready for the next.
-func (d *Door) answer(c *conn, body []byte, whole int) error {
+func (d *Server) answer(c *conn, body []byte, whole int) error {
 	x := &c.x
 	x.begin(body)
-	x.Close = c.head.Closes()
+	x.Close = c.head.ClosesConnection()
 	c.whole, c.owed = whole, true
-	d.cfg.Handler.Serve(x)
+	d.cfg.Handler.ServeExchange(x)
 	if c.hijacked {
 		c.owed = false
 		x.end()
@@ -342,18 +342,18 @@
 
 // reply sends the answer, unless it has flowed, and makes the connection ready for the next request,
 // which begins behind so many bytes of what has been read.
-func (d *Door) reply(c *conn, whole int) error {
+func (d *Server) reply(c *conn, whole int) error {
 	x := &c.x
 	if x.flow.begun {
 		return d.flowed(c, whole)
 	}
 	if x.out == nil {
-		x.Answer(502, "text/plain; charset=utf-8", nil, []byte("failed\n"))
+		x.Respond(502, "text/plain; charset=utf-8", nil, []byte("failed\n"))
 	}
 	// What has come by now was sent before its caller saw this answer, at what time is not
 	// known: the earliest is taken, so that its answer is not late.
 	c.since = x.at
-	ahead := !x.Flows && c.since.Sub(c.read) > aheadTime && !c.Quiet()
+	ahead := !x.Streaming && c.since.Sub(c.read) > aheadTime && !c.ReadWouldBlock()
 	err := d.write(c)
 	closes := x.Close
 	x.end()
@@ -363,17 +363,17 @@
 	c.owed = false
 	c.answered++
 	if closes {
-		if x.Flows || ahead || c.buf.Len() > whole {
+		if x.Streaming || ahead || c.buf.Len() > whole {
 			d.linger(c)
 		}
 		return errAnswered
 	}
-	c.buf.Skip(whole)
+	c.buf.Consume(whole)
 	return d.ready(c, ahead)
 }
 
 // ready makes a connection ready for the next request, part of which may have come ahead.
-func (d *Door) ready(c *conn, ahead bool) error {
+func (d *Server) ready(c *conn, ahead bool) error {
 	c.ahead = ahead || c.buf.Len() > 0
 	if c.buf.Len() > 0 { // the next request came with this one
 		c.arrived = c.came
@@ -382,7 +382,7 @@
 	d.bufs.Put(c.buf)
 	c.buf = nil
 	if ahead {
-		c.SetReadDeadline(time.Now().Add(d.cfg.Times().Head))
+		c.SetReadDeadline(time.Now().Add(d.cfg.Timeouts().Head))
 		if err := d.fill(c); err != nil {
 			return err
 		}
@@ -397,6 +397,6 @@
 const aheadTime = 5 * time.Millisecond
 
 // write writes the answer.
-func (d *Door) write(c *conn) error {
-	return c.WriteBy(c.x.out, time.Now().Add(d.cfg.Times().Write))
+func (d *Server) write(c *conn) error {
+	return c.WriteWithDeadline(c.x.out, time.Now().Add(d.cfg.Timeouts().Write))
 }
--- a/internal/httpserver/door.go
+++ b/internal/httpserver/door.go
@@ -24,63 +24,63 @@
 
 // Handler answers requests.
 type Handler interface {
-	// Head judges a request by its head, before its body is waited for. It returns nil to have
+	// CheckHead judges a request by its head, before its body is waited for. It returns nil to have
 	// the body read, or the answer to it; the connection ends after that, since what follows on
 	// it can't be trusted. It sets x.Flows to have the body as it arrives.
-	Head(x *Exchange) *Refusal
+	CheckHead(x *Exchange) *ErrorResponse
 
-	// Serve answers a request, which has come whole unless it flows, by x.Answer, or by x.Begin
+	// ServeExchange answers a request, which has come whole unless it flows, by x.Answer, or by x.Begin
 	// and what follows on it. What x holds is valid until it returns.
-	Serve(x *Exchange)
+	ServeExchange(x *Exchange)
 }
 
-// Refusal is the answer to a request that can't be used.
-type Refusal struct {
+// ErrorResponse is the answer to a request that can't be used.
+type ErrorResponse struct {
 	Status     int
-	Why        string
+	Message    string
 	RetryAfter time.Duration // when to come back, 0 for no advice
 }
 
-func (r *Refusal) fields(b []byte) []byte {
+func (r *ErrorResponse) fields(b []byte) []byte {
 	if r.RetryAfter > 0 {
 		b = http1.AppendRetryAfter(b, r.RetryAfter)
 	}
 	return b
 }
 
-// Leaver is told, once, that the caller of a request that is being answered has gone. It must
+// Canceler is told, once, that the caller of a request that is being answered has gone. It must
 // not call the door.
-type Leaver interface{ Leave() }
-
-// Times are what a caller may take. They may change while the door is open.
-type Times struct {
-	Head  time.Duration // from a request's first byte, or a connection's begin, to its head's end
-	Body  time.Duration // for the body, beyond what is left of Head
-	Idle  time.Duration // between two requests
-	Write time.Duration // to take an answer
-	Grace time.Duration // for which part of a request is safe from giving way
+type Canceler interface{ Cancel() }
+
+// Timeouts are what a caller may take. They may change while the door is open.
+type Timeouts struct {
+	Head          time.Duration // from a request's first byte, or a connection's begin, to its head's end
+	Body          time.Duration // for the body, beyond what is left of Head
+	Idle          time.Duration // between two requests
+	Write         time.Duration // to take an answer
+	EvictionGrace time.Duration // for which part of a request is safe from giving way
 }
 
 // Config says how a door is kept.
 type Config struct {
-	Handler Handler
-	Places  int        // connections that may be open
-	MaxHead int        // bytes of a request's head
-	MaxBody func() int // bytes of a body that comes in chunks and is held whole
-	Times   func() Times
+	Handler        Handler
+	MaxConnections int        // connections that may be open
+	MaxHeadBytes   int        // bytes of a request's head
+	MaxBodyBytes   func() int // bytes of a body that comes in chunks and is held whole
+	Timeouts       func() Timeouts
 }
 
-// Door is a server of callers.
-type Door struct {
+// Server is a server of callers.
+type Server struct {
 	cfg      Config
 	limits   http1.Limits
-	bufs     http1.Buffers
-	pieces   http1.Buffers // for bodies that flow in chunks
-	outs     sync.Pool     // of *[]byte, for answers
-	slots    chan struct{} // one for each connection that is open
+	bufs     http1.BufferPool
+	pieces   http1.BufferPool // for bodies that flow in chunks
+	outs     sync.Pool        // of *[]byte, for answers
+	slots    chan struct{}    // one for each connection that is open
 	shut     chan struct{}
 	draining atomic.Bool
-	watch    *tcpconn.Watch
+	watch    *tcpconn.DisconnectWatcher
 	date     atomic.Pointer[date]
 
 	mu        sync.Mutex
@@ -96,11 +96,11 @@
 // conn is a caller's connection. Its goroutine owns it; what is under mu is the door's.
 type conn struct {
 	*tcpconn.Conn
-	guest  guest // under Door.mu
-	number uint64
-	gone   bool   // the caller has gone; under Door.mu
-	leaver Leaver // of the request that is being answered; under Door.mu
-	asked  error  // to end, and why; under Door.mu
+	guest    guest // under Door.mu
+	number   uint64
+	gone     bool     // the caller has gone; under Door.mu
+	canceler Canceler // of the request that is being answered; under Door.mu
+	asked    error    // to end, and why; under Door.mu
 
 	head    *http1.Request
 	buf     *http1.Buffer // nil while there is nothing in it
@@ -121,18 +121,18 @@
 }
 
 // New returns a Door.
-func New(cfg Config) (*Door, error) {
-	w, err := tcpconn.NewWatch()
+func New(cfg Config) (*Server, error) {
+	w, err := tcpconn.NewDisconnectWatcher()
 	if err != nil {
 		return nil, fmt.Errorf("door: %w", err)
 	}
-	d := &Door{
+	d := &Server{
 		cfg: cfg, limits: http1.DefaultLimits, watch: w,
-		pieces: http1.Buffers{Size: body.Block},
-		slots:  make(chan struct{}, cfg.Places), shut: make(chan struct{}),
-		places: places{most: cfg.Places}, conns: make(map[uint64]*conn),
+		pieces: http1.BufferPool{InitialSize: body.BlockSize},
+		slots:  make(chan struct{}, cfg.MaxConnections), shut: make(chan struct{}),
+		places: places{most: cfg.MaxConnections}, conns: make(map[uint64]*conn),
 	}
-	d.limits.Head = cfg.MaxHead
+	d.limits.HeadBytes = cfg.MaxHeadBytes
 	go func() {
 		if err := w.Run(d.left); err != nil {
 			slog.Error("door: callers that go away are noticed no more", "err", err)
@@ -142,7 +142,7 @@
 }
 
 // Serve accepts connections until Shutdown or Close. Several listeners may be served together.
-func (d *Door) Serve(l net.Listener) error {
+func (d *Server) Serve(l net.Listener) error {
 	d.mu.Lock()
 	d.listeners = append(d.listeners, l)
 	d.mu.Unlock()
@@ -170,10 +170,10 @@
 		}
 		// A connection that breaks as it is accepted says nothing of the next. Without a
 		// descriptor the next fails too, until one is free: the least loss gives way.
-		if tcpconn.ListenerBroken(err) {
+		if tcpconn.IsFatalAcceptError(err) {
 			return fmt.Errorf("door: %w", err)
 		}
-		if tcpconn.NoDescriptor(err) {
+		if tcpconn.IsOutOfDescriptors(err) {
 			d.mu.Lock()
 			d.evict(nil)
 			d.mu.Unlock()
@@ -188,7 +188,7 @@
 }
 
 // enter lets a connection in, whose place has been taken.
-func (d *Door) enter(nc net.Conn) error {
+func (d *Server) enter(nc net.Conn) error {
 	s, err := tcpconn.New(nc, &d.bufs)
 	if err != nil {
 		return errors.Join(err, nc.Close())
@@ -212,13 +212,13 @@
 }
 
 // forget forgets a connection and gives its place back.
-func (d *Door) forget(c *conn) {
+func (d *Server) forget(c *conn) {
 	d.leave(c)
 	<-d.slots
 }
 
 // leave forgets a connection.
-func (d *Door) leave(c *conn) {
+func (d *Server) leave(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.places.leave(&c.guest)
@@ -231,7 +231,7 @@
 
 // reached notes the stage of a connection. One that was asked to end and has read something since
 // is in again: whatever has been read gets its answer.
-func (d *Door) reached(c *conn, at stage, now time.Time) {
+func (d *Server) reached(c *conn, at stage, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.asked = nil
@@ -248,20 +248,20 @@
 
 // ask asks a connection to end that has no request which is being answered. Its own goroutine ends it,
 // unless that has read something by then. The caller holds the lock.
-func (d *Door) ask(c *conn, reason error) {
+func (d *Server) ask(c *conn, reason error) {
 	c.asked = reason
 	c.SetReadDeadline(past)
 }
 
 // asked is why a connection has been asked to end, nil if it has not been.
-func (d *Door) asked(c *conn) error {
+func (d *Server) asked(c *conn) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return c.asked
 }
 
 // allow sets the time by which something must be read, unless the connection is to end.
-func (d *Door) allow(c *conn, until time.Time) {
+func (d *Server) allow(c *conn, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.asked == nil && (d.closing || c.guest.at == idle && d.draining.Load()) {
@@ -275,14 +275,14 @@
 
 // makeRoom closes connections until a place is free. If none may be closed yet, it looks
 // again later.
-func (d *Door) makeRoom(newest *guest) {
+func (d *Server) makeRoom(newest *guest) {
 	for d.places.full() {
 		if d.evict(newest) {
 			continue
 		}
 		if !d.looking {
 			d.looking = true
-			time.AfterFunc(d.cfg.Times().Grace, func() {
+			time.AfterFunc(d.cfg.Timeouts().EvictionGrace, func() {
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				d.looking = false
@@ -294,8 +294,8 @@
 }
 
 // evict closes the connection that is the least loss, and tells whether there was one.
-func (d *Door) evict(newest *guest) bool {
-	out := d.places.victim(newest, time.Now(), d.cfg.Times().Grace, func(g *guest) bool { return g.conn.Quiet() })
+func (d *Server) evict(newest *guest) bool {
+	out := d.places.victim(newest, time.Now(), d.cfg.Timeouts().EvictionGrace, func(g *guest) bool { return g.conn.ReadWouldBlock() })
 	if out == nil {
 		return false
 	}
@@ -305,14 +305,14 @@
 }
 
 // gone tells whether a connection's caller has gone.
-func (d *Door) gone(c *conn) bool {
+func (d *Server) gone(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return c.gone
 }
 
 // left tells whoever answers a caller's request that the caller has gone.
-func (d *Door) left(number uint64) {
+func (d *Server) left(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.conns[number]
@@ -320,15 +320,15 @@
 		return
 	}
 	c.gone = true
-	if c.leaver != nil {
-		c.leaver.Leave()
+	if c.canceler != nil {
+		c.canceler.Cancel()
 	}
 }
 
 // Shutdown steers callers off: idle connections end, answers say that theirs ends, and after linger no
 // more connections are accepted, and those end on which no whole request has come. It returns when all
 // have gone, or when ctx ends, with how many are left.
-func (d *Door) Shutdown(ctx context.Context, linger time.Duration) (left int) {
+func (d *Server) Shutdown(ctx context.Context, linger time.Duration) (left int) {
 	d.draining.Store(true)
 	d.askAll(idle)
 	select {
@@ -352,7 +352,7 @@
 }
 
 // askAll asks all connections at some stages to end, for the shutdown.
-func (d *Door) askAll(stages ...stage) {
+func (d *Server) askAll(stages ...stage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, at := range stages {
@@ -363,7 +363,7 @@
 }
 
 // emptied is closed once no connection is left.
-func (d *Door) emptied() <-chan struct{} {
+func (d *Server) emptied() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	empty := make(chan struct{})
@@ -375,7 +375,7 @@
 	return empty
 }
 
-func (d *Door) closeListeners() {
+func (d *Server) closeListeners() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
@@ -390,7 +390,7 @@
 }
 
 // Close ends all listeners and connections at once.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.closeListeners()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -401,4 +401,4 @@
 }
 
 // Draining tells whether Shutdown has begun.
-func (d *Door) Draining() bool { return d.draining.Load() }
+func (d *Server) Draining() bool { return d.draining.Load() }
