--- a/internal/httpserver/door_test.go
+++ b/internal/httpserver/door_test.go
@@ -34,35 +34,35 @@
 type echo struct {
 	held, left chan struct{}
 	free       chan struct{}
-	raw        chan *Raw
+	raw        chan *HijackedConn
 	served     atomic.Int32
 }
 
 func newEcho() *echo {
-	return &echo{held: make(chan struct{}, 2000), left: make(chan struct{}, 2000), free: make(chan struct{}), raw: make(chan *Raw, 1)}
+	return &echo{held: make(chan struct{}, 2000), left: make(chan struct{}, 2000), free: make(chan struct{}), raw: make(chan *HijackedConn, 1)}
 }
 
-func (*echo) Head(x *Exchange) *Refusal {
-	if string(x.Head().Path()) == "/no" {
-		return &Refusal{Status: http.StatusForbidden, Why: "no"}
+func (*echo) CheckHead(x *Exchange) *ErrorResponse {
+	if string(x.RequestHead().Path()) == "/no" {
+		return &ErrorResponse{Status: http.StatusForbidden, Message: "no"}
 	}
-	x.State = "seen"
+	x.HandlerState = "seen"
 	return nil
 }
 
-// leaver tells a channel.
-type leaver chan struct{}
+// cancelChan tells a channel.
+type cancelChan chan struct{}
 
-func (l leaver) Leave() { l <- struct{}{} }
+func (l cancelChan) Cancel() { l <- struct{}{} }
 
-func (e *echo) Serve(x *Exchange) {
+func (e *echo) ServeExchange(x *Exchange) {
 	e.served.Add(1)
-	if x.State != "seen" {
+	if x.HandlerState != "seen" {
 		panic("not seen by Head")
 	}
-	switch path := string(x.Head().Path()); path {
+	switch path := string(x.RequestHead().Path()); path {
 	case "/after": // the end begins once the answer has been worded
-		x.Answer(200, "", nil, nil)
+		x.Respond(200, "", nil, nil)
 		e.held <- struct{}{}
 		<-e.free
 		return
@@ -72,22 +72,22 @@
 	case "/panic":
 		panic("a fault")
 	case "/long":
-		x.Answer(200, "", nil, make([]byte, 4<<20))
+		x.Respond(200, "", nil, make([]byte, 4<<20))
 		return
 	case "/huge":
-		x.Answer(200, "", nil, make([]byte, hugeAnswer))
+		x.Respond(200, "", nil, make([]byte, hugeAnswer))
 		return
 	case "/flow":
 		text := []byte("flows")
-		how := Flow{Pace: transferrate.Meter{Rate: 1, Window: flowTime}, Until: time.Now().Add(flowTime)}
-		if err := x.Begin(200, nil, int64(len(text)), how); err == nil {
-			x.Write(text)
-			x.End(nil)
+		how := StreamLimits{RateMeter: transferrate.Meter{MinBytesPerSecond: 1, Window: flowTime}, Deadline: time.Now().Add(flowTime)}
+		if err := x.StartResponse(200, nil, int64(len(text)), how); err == nil {
+			x.WriteBody(text)
+			x.FinishResponse(nil)
 		}
 		return
 	case "/hold":
-		left := make(leaver, 1)
-		here := x.Watch(left)
+		left := make(cancelChan, 1)
+		here := x.NotifyDisconnect(left)
 		e.held <- struct{}{}
 		if here {
 			select {
@@ -96,27 +96,27 @@
 			case <-e.free:
 			}
 		}
-		x.Unwatch()
+		x.StopNotifyDisconnect()
 		if !here {
 			e.left <- struct{}{}
 		}
 	}
-	x.Answer(200, "text/plain", nil, fmt.Appendf(nil, "%s %s %s", x.Head().Method(), x.Head().Target(), x.Body))
+	x.Respond(200, "text/plain", nil, fmt.Appendf(nil, "%s %s %s", x.RequestHead().Method(), x.RequestHead().Target(), x.Body))
 }
 
 type house struct {
 	t      testing.TB
-	door   *Door
+	door   *Server
 	echo   *echo
 	addr   string
 	served chan error
 }
 
-func usualTimes() Times {
-	return Times{Head: patience, Body: patience, Idle: patience, Write: patience, Grace: patience}
+func usualTimes() Timeouts {
+	return Timeouts{Head: patience, Body: patience, Idle: patience, Write: patience, EvictionGrace: patience}
 }
 
-func open(t testing.TB, places int, times Times) *house {
+func open(t testing.TB, places int, times Timeouts) *house {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,10 +125,10 @@
 	return openAt(t, l, places, times)
 }
 
-func openAt(t testing.TB, l net.Listener, places int, times Times) *house {
+func openAt(t testing.TB, l net.Listener, places int, times Timeouts) *house {
 	t.Helper()
 	e := newEcho()
-	d, err := New(Config{Handler: e, Places: places, MaxHead: 16 << 10, MaxBody: func() int { return 64 << 10 }, Times: func() Times { return times }})
+	d, err := New(Config{Handler: e, MaxConnections: places, MaxHeadBytes: 16 << 10, MaxBodyBytes: func() int { return 64 << 10 }, Timeouts: func() Timeouts { return times }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,7 +343,7 @@
 // one that asks.
 func TestSlowHeads(t *testing.T) {
 	times := usualTimes()
-	times.Head, times.Grace = 2*time.Second, 10*time.Millisecond
+	times.Head, times.EvictionGrace = 2*time.Second, 10*time.Millisecond
 	const slow = 1000
 	h := open(t, 64, times)
 	stop := make(chan struct{})
@@ -520,7 +520,7 @@
 // A connection that falls idle just as the end begins, with an answer that does not say so, is
 // ended, not waited for.
 func TestIdleAsTheEndBegins(t *testing.T) {
-	h := open(t, 10, Times{Head: patience, Body: patience, Idle: 10 * patience, Write: patience, Grace: patience})
+	h := open(t, 10, Timeouts{Head: patience, Body: patience, Idle: 10 * patience, Write: patience, EvictionGrace: patience})
 	c := h.dial(post("/after", ""))
 	h.wait(h.echo.held, "request")
 	stopped := make(chan int, 1)
@@ -657,7 +657,7 @@
 // given way, and is waited for at the end until it is closed.
 func TestHijack(t *testing.T) {
 	times := usualTimes()
-	times.Grace = 300 * time.Millisecond // more than a caller takes over its request
+	times.EvictionGrace = 300 * time.Millisecond // more than a caller takes over its request
 	h := open(t, 2, times)
 	c := h.dial("GET /raw HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nbehind")
 	raw := <-h.echo.raw
@@ -665,7 +665,7 @@
 		if _, got := h.answer(bufio.NewReader(h.dial(post("/", "x")))); got != "POST / x" {
 			t.Errorf("%q", got)
 		}
-		time.Sleep(times.Grace)
+		time.Sleep(times.EvictionGrace)
 	}
 	io.WriteString(c, ", later")
 	c.(*net.TCPConn).CloseWrite()
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -11,12 +11,12 @@
 
 // Exchange is a request that has come whole, or flows, and its answer.
 type Exchange struct {
-	Body  []byte
-	Flows bool // set by Handler.Head: Serve has the body by Upload, as it arrives
-	Close bool // the connection ends with the answer
-	State any  // the handler's, from Head to Serve
+	Body         []byte
+	Streaming    bool // set by Handler.Head: Serve has the body by Upload, as it arrives
+	Close        bool // the connection ends with the answer
+	HandlerState any  // the handler's, from Head to Serve
 
-	d     *Door
+	d     *Server
 	c     *conn
 	at    time.Time // of the answer
 	out   []byte
@@ -26,12 +26,12 @@
 	flow   flow
 }
 
-// Head is the request's head.
-func (x *Exchange) Head() *http1.Request { return x.c.head }
+// RequestHead is the request's head.
+func (x *Exchange) RequestHead() *http1.Request { return x.c.head }
 
-// Came is when the request's last byte came, from which its caller counts, or the first of one that flows. One
+// ReceivedAt is when the request's last byte came, from which its caller counts, or the first of one that flows. One
 // that was sent ahead of the answer to the one before has waited for that, all of which its caller counts.
-func (x *Exchange) Came() time.Time { return x.c.arrived }
+func (x *Exchange) ReceivedAt() time.Time { return x.c.arrived }
 
 func (x *Exchange) begin(body []byte) {
 	x.Body, x.Close = body, false
@@ -53,35 +53,35 @@
 	x.out, x.owned, x.Body = nil, nil, nil
 }
 
-// Watch has l told if the caller goes away before Unwatch, which is owed. It returns false if
+// NotifyDisconnect has l told if the caller goes away before Unwatch, which is owed. It returns false if
 // the caller has gone by now.
-func (x *Exchange) Watch(l Leaver) bool {
+func (x *Exchange) NotifyDisconnect(l Canceler) bool {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
-	x.c.leaver = l
+	x.c.canceler = l
 	return !x.c.gone
 }
 
-// Gone tells whether the caller has gone, which it looks for itself: Watch tells it a moment later. It may be
+// CallerDisconnected tells whether the caller has gone, which it looks for itself: Watch tells it a moment later. It may be
 // called by any goroutine, also after Serve has returned.
-func (x *Exchange) Gone() bool { return x.c.PeerGone() }
+func (x *Exchange) CallerDisconnected() bool { return x.c.PeerDisconnected() }
 
-// Unwatch ends Watch: l is told nothing from then on.
-func (x *Exchange) Unwatch() {
+// StopNotifyDisconnect ends Watch: l is told nothing from then on.
+func (x *Exchange) StopNotifyDisconnect() {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
-	x.c.leaver = nil
+	x.c.canceler = nil
 }
 
-// Answer sets the answer: fields appends further ones, whole lines, or is nil. Framing, Date
+// Respond sets the answer: fields appends further ones, whole lines, or is nil. Framing, Date
 // and Connection are the door's, see RFC 9110, 6.6.1 and 7.6.1.
-func (x *Exchange) Answer(status int, contentType string, fields func(b []byte) []byte, body []byte) {
+func (x *Exchange) Respond(status int, contentType string, fields func(b []byte) []byte, body []byte) {
 	b := http1.AppendStatusLine((*x.owned)[:0], status)
 	if contentType != "" {
 		b = http1.AppendField(b, "Content-Type", contentType)
 	}
 	b = x.common(b, fields)
-	b = http1.AppendEnd(http1.AppendLength(b, int64(len(body))))
+	b = http1.AppendHeadEnd(http1.AppendContentLength(b, int64(len(body))))
 	x.out = append(b, body...)
 }
 
@@ -101,11 +101,11 @@
 }
 
 // more tells whether something has come behind the request, which is answered too.
-func (x *Exchange) more() bool { return x.c.buf.Len() > x.c.whole || !x.c.Quiet() }
+func (x *Exchange) more() bool { return x.c.buf.Len() > x.c.whole || !x.c.ReadWouldBlock() }
 
-// Raw is a connection that its door has handed over. Its reader gets first what had been read
+// HijackedConn is a connection that its door has handed over. Its reader gets first what had been read
 // behind the request. It keeps its place, and Shutdown waits for it, until Close.
-type Raw struct {
+type HijackedConn struct {
 	net.Conn
 	rest  []byte
 	leave func()
@@ -113,16 +113,16 @@
 
 // Hijack hands the connection over, as it is once Serve returns: the door neither answers on it
 // nor reads or closes it any more. It must be closed.
-func (x *Exchange) Hijack() *Raw {
+func (x *Exchange) Hijack() *HijackedConn {
 	c := x.c
 	c.hijacked = true
-	x.Unwatch()
+	x.StopNotifyDisconnect()
 	c.SetDeadline(time.Time{})
 	rest := c.buf.Bytes()[c.whole:]
-	return &Raw{Conn: c.Conn, rest: append([]byte(nil), rest...), leave: sync.OnceFunc(func() { x.d.forget(c) })}
+	return &HijackedConn{Conn: c.Conn, rest: append([]byte(nil), rest...), leave: sync.OnceFunc(func() { x.d.forget(c) })}
 }
 
-func (r *Raw) Read(p []byte) (int, error) {
+func (r *HijackedConn) Read(p []byte) (int, error) {
 	if len(r.rest) > 0 {
 		n := copy(p, r.rest)
 		r.rest = r.rest[n:]
@@ -132,7 +132,7 @@
 }
 
 // Close closes the connection and gives its place back.
-func (r *Raw) Close() error {
+func (r *HijackedConn) Close() error {
 	defer r.leave()
 	return r.Conn.Close()
 }
@@ -143,7 +143,7 @@
 	field  []byte
 }
 
-func (d *Door) appendDate(b []byte, now time.Time) []byte {
+func (d *Server) appendDate(b []byte, now time.Time) []byte {
 	at := d.date.Load()
 	if at == nil || at.second != now.Unix() {
 		at = &date{now.Unix(), http1.AppendField(nil, "Date", now.UTC().Format(http.TimeFormat))}
--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -20,30 +20,30 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// Compared says how programs are compared.
-type Compared struct {
-	Callers, Nodes int
-	Body, Answer   int           // bytes of a request's body and of an answer's
-	Think          time.Duration // of a caller between an answer and its next request
-	Rounds         int
-	Open           int // connections at which memory is measured; 0 leaves that out
+// CompareOptions says how programs are compared.
+type CompareOptions struct {
+	Callers, Nodes                      int
+	RequestBodyBytes, ResponseBodyBytes int           // bytes of a request's body and of an answer's
+	ThinkTime                           time.Duration // of a caller between an answer and its next request
+	Rounds                              int
+	OpenConnections                     int // connections at which memory is measured; 0 leaves that out
 }
 
-// Check returns an error that names the first value that can't be used.
-func (c Compared) Check() error {
+// Validate returns an error that names the first value that can't be used.
+func (c CompareOptions) Validate() error {
 	for _, v := range []struct {
 		name      string
 		n, lo, hi int
 	}{
-		{"callers", c.Callers, 1, 2000}, {"nodes", c.Nodes, 1, 500}, {"body", c.Body, 0, 60 << 10}, {"answer", c.Answer, 0, 60 << 10},
-		{"rounds", c.Rounds, 1, 100}, {"open", c.Open, 0, 4000},
+		{"callers", c.Callers, 1, 2000}, {"nodes", c.Nodes, 1, 500}, {"body", c.RequestBodyBytes, 0, 60 << 10}, {"answer", c.ResponseBodyBytes, 0, 60 << 10},
+		{"rounds", c.Rounds, 1, 100}, {"open", c.OpenConnections, 0, 4000},
 	} {
 		if v.n < v.lo || v.n > v.hi {
 			return fmt.Errorf("-%s: %d is not from %d to %d", v.name, v.n, v.lo, v.hi)
 		}
 	}
-	if c.Think < 0 || c.Think > time.Minute {
-		return fmt.Errorf("-think: %v is not from 0s to 1m", c.Think)
+	if c.ThinkTime < 0 || c.ThinkTime > time.Minute {
+		return fmt.Errorf("-think: %v is not from 0s to 1m", c.ThinkTime)
 	}
 	return nil
 }
@@ -72,8 +72,8 @@
 // comparison is one run of Compare.
 type comparison struct {
 	lab
-	how   Compared
-	quick []*fake.Quick
+	how   CompareOptions
+	quick []*fake.BenchNode
 	addrs []string
 	ids   uint64
 }
@@ -83,8 +83,8 @@
 // ask again once they are answered and have thought, the sides take turns, and each round is a
 // process of its own. The nodes and the callers share the machine with them, so only the
 // relation of the figures says anything.
-func Compare(ctx context.Context, cfg Config, how Compared) error {
-	if err := how.Check(); err != nil {
+func Compare(ctx context.Context, cfg Config, how CompareOptions) error {
+	if err := how.Validate(); err != nil {
 		return err
 	}
 	l := &comparison{lab: lab{cfg: cfg, calls: fake.NewCaller(1)}, how: how}
@@ -93,14 +93,14 @@
 		return err
 	}
 	for i := range how.Nodes {
-		q, err := fake.NewQuick(how.Answer)
+		q, err := fake.NewBenchNode(how.ResponseBodyBytes)
 		if err != nil {
 			return err
 		}
 		defer q.Close()
 		l.quick = append(l.quick, q)
 		l.addrs = append(l.addrs, q.Addr())
-		l.discovery[0].Change(discovery.Instance{ID: fmt.Sprintf("n-%d", i), HostPort: q.Addr(), Zone: zones[0], Lifecycle: "up"})
+		l.discovery[0].Update(discovery.Instance{ID: fmt.Sprintf("n-%d", i), HostPort: q.Addr(), Zone: zones[0], Lifecycle: "up"})
 	}
 	sides := []*side{
 		{name: "no proxy"},
@@ -109,9 +109,9 @@
 		{name: "httputil.ReverseProxy", begin: func(round int) (*process, error) { return l.rival(reverseProxyCommand, round) }},
 		{name: "fasthttp proxy", begin: func(round int) (*process, error) { return l.rival(fastProxyCommand, round) }},
 	}
-	length := cfg.Length / time.Duration(how.Rounds*len(sides))
+	length := cfg.Duration / time.Duration(how.Rounds*len(sides))
 	l.say("%d rounds of %v a side, %d callers, %d nodes that answer at once, %d and %d bytes of body, %v to think, %d cores ...",
-		how.Rounds, length.Round(time.Millisecond), how.Callers, how.Nodes, how.Body, how.Answer, how.Think, runtime.NumCPU())
+		how.Rounds, length.Round(time.Millisecond), how.Callers, how.Nodes, how.RequestBodyBytes, how.ResponseBodyBytes, how.ThinkTime, runtime.NumCPU())
 	for _, s := range sides {
 		s.took = newHistogram()
 	}
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, s := range sides {
-		if how.Open > 0 && s.begin != nil {
+		if how.OpenConnections > 0 && s.begin != nil {
 			if err := l.memory(ctx, s); err != nil {
 				return err
 			}
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sockets := max(3*(max(l.how.Callers, l.how.Open)+16)+64, sidecarSockets)
+	sockets := max(3*(max(l.how.Callers, l.how.OpenConnections)+16)+64, sidecarSockets)
 	text, err := platform(name, at[0], 0, 0, 0, 1, sockets, l.discovery[0].Addr(), l.discovery[0].List(), reports)
 	if err != nil {
 		return nil, err
@@ -196,9 +196,9 @@
 }
 
 // caller connects a caller of its own ids.
-func (l *comparison) caller(addr, path string) (*fake.QuickCaller, error) {
+func (l *comparison) caller(addr, path string) (*fake.BenchCaller, error) {
 	l.ids++
-	return fake.NewQuickCaller(addr, class, path, l.how.Body, deadlineMS*time.Millisecond, l.ids<<32)
+	return fake.NewBenchCaller(addr, class, path, l.how.RequestBodyBytes, deadlineMS*time.Millisecond, l.ids<<32)
 }
 
 // round runs a side once.
@@ -210,7 +210,7 @@
 			return err
 		}
 	}
-	callers := make([]*fake.QuickCaller, l.how.Callers)
+	callers := make([]*fake.BenchCaller, l.how.Callers)
 	for i := range callers {
 		addr := l.addrs[i%len(l.addrs)]
 		if p != nil {
@@ -245,8 +245,8 @@
 					errs[i] = err
 					return
 				}
-				if at = now; l.how.Think > 0 {
-					time.Sleep(l.how.Think)
+				if at = now; l.how.ThinkTime > 0 {
+					time.Sleep(l.how.ThinkTime)
 					at = time.Now()
 				}
 			}
@@ -290,7 +290,7 @@
 	var mu sync.Mutex
 	answered := 0
 	ask := func(path string, open bool) error {
-		for range l.how.Open {
+		for range l.how.OpenConnections {
 			c, err := l.caller(p.addr, path)
 			if err != nil {
 				return err
@@ -313,9 +313,9 @@
 			s.idleKB, err = p.resident()
 			return err
 		}
-		time.Sleep(fake.QuickHold / 2)
+		time.Sleep(fake.BenchHoldTime / 2)
 		mu.Lock()
-		s.open = l.how.Open - answered
+		s.open = l.how.OpenConnections - answered
 		mu.Unlock()
 		s.openKB, err = p.resident()
 		return err
@@ -346,8 +346,8 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if l.how.Open > 0 {
-		fmt.Fprintf(w, "\nresident memory\tat the start\twith %d idle callers\twith as many calls\tof them open\n", l.how.Open)
+	if l.how.OpenConnections > 0 {
+		fmt.Fprintf(w, "\nresident memory\tat the start\twith %d idle callers\twith as many calls\tof them open\n", l.how.OpenConnections)
 		for _, s := range sides {
 			if s.begin != nil {
 				fmt.Fprintf(w, "%s\t%.1f MB\t%.1f MB\t%.1f MB\t%d\n", s.name, float64(s.baseKB)/1024, float64(s.idleKB)/1024, float64(s.openKB)/1024, s.open)
--- a/internal/lab/files.go
+++ b/internal/lab/files.go
@@ -86,7 +86,7 @@
 // operators is the operators' file of the sidecars that send to a tier.
 func operators(t tier) ([]byte, error) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "schema = %d\n[application]\nname = %q\ntier = %q\n", config.Schema, t.name, t.name)
+	fmt.Fprintf(&b, "schema = %d\n[application]\nname = %q\ntier = %q\n", config.SchemaVersion, t.name, t.name)
 	if t.next != "" {
 		fmt.Fprintf(&b, "calls = [%q]\n", t.next)
 	}
@@ -95,7 +95,7 @@
 	if len(bad) > 0 {
 		return nil, errors.New(bad[0].String())
 	}
-	return config.Write(s), nil
+	return config.FormatSettings(s), nil
 }
 
 // freeAddresses returns addresses of loopback with ports that were free a moment ago.
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, f := range check.Deployment(all) {
-		if f.Level == config.Refused {
+		if f.Level == config.LevelRefused {
 			err = errors.Join(err, errors.New(f.String()))
 		}
 	}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -26,12 +26,12 @@
 
 // Config says what a run of the lab is.
 type Config struct {
-	Dir     string        // for its files; it is made
-	Program string        // the sidecar; empty builds it
-	Rate    float64       // orders a second
-	Length  time.Duration // of the stream
-	Slack   time.Duration // that a busy machine may add to the grace of a drain
-	Out     io.Writer
+	Dir               string        // for its files; it is made
+	Program           string        // the sidecar; empty builds it
+	RequestsPerSecond float64       // orders a second
+	Duration          time.Duration // of the stream
+	DrainSlack        time.Duration // that a busy machine may add to the grace of a drain
+	Out               io.Writer
 }
 
 const (
@@ -49,7 +49,7 @@
 	cfg       Config
 	program   string
 	discovery [3]*fake.Discovery
-	ledgers   [3]*fake.Ledger
+	ledgers   [3]*fake.ExecutionLog
 	nodes     [3][]*fake.Node
 	fronts    []*process
 	notice    *time.Timer // tells discovery of the node that died; nil before
@@ -95,7 +95,7 @@
 		if l.discovery[i], err = fake.NewDiscovery("127.0.0.1:0", false); err != nil {
 			return err
 		}
-		l.ledgers[i] = &fake.Ledger{Window: windowMS * time.Millisecond}
+		l.ledgers[i] = &fake.ExecutionLog{RepeatWindow: windowMS * time.Millisecond}
 		for n := range t.nodes {
 			if err := l.node(i, n); err != nil {
 				return err
@@ -148,18 +148,18 @@
 	t := tiers[tier]
 	var node *fake.Node
 	cfg := fake.NodeConfig{
-		ID: fmt.Sprintf("%s-%d", t.name, n), Zone: zones[n%2], Addr: "127.0.0.1:0", Slots: slots, Queue: queue,
-		Work: time.Duration(t.workMS) * time.Millisecond, Ledger: l.ledgers[tier],
+		ID: fmt.Sprintf("%s-%d", t.name, n), Zone: zones[n%2], Addr: "127.0.0.1:0", Concurrency: slots, QueueCapacity: queue,
+		ServiceTime: time.Duration(t.workMS) * time.Millisecond, ExecutionLog: l.ledgers[tier],
 	}
 	if t.next != "" {
-		cfg.Next = func(ctx context.Context, r *http.Request) error { return l.callOn(ctx, node, t.calls, r) }
+		cfg.Forward = func(ctx context.Context, r *http.Request) error { return l.callOn(ctx, node, t.calls, r) }
 	}
 	var err error
 	if node, err = fake.NewNode(cfg); err != nil {
 		return err
 	}
 	l.nodes[tier] = append(l.nodes[tier], node)
-	l.discovery[tier].Change(node.Entry("up"))
+	l.discovery[tier].Update(node.DiscoveryEntry("up"))
 	return nil
 }
 
@@ -204,11 +204,11 @@
 			return context.DeadlineExceeded
 		}
 		// A repeat of the request makes the same calls: their keys say so.
-		o := fake.Order{
-			ID: newID(), Class: class, Key: fmt.Sprintf("%s-%d", r.Header.Get("Idempotency-Key"), n), Timeout: left,
+		o := fake.CallerRequest{
+			ID: newID(), Class: class, IdempotencyKey: fmt.Sprintf("%s-%d", r.Header.Get("Idempotency-Key"), n), Timeout: left,
 		}
 		o.Body = "call"
-		if v := l.calls.Do(ctx, p.addr, o, 0); v != fake.Served {
+		if v := l.calls.Do(ctx, p.addr, o, 0); v != fake.OutcomeServed {
 			return fmt.Errorf("call of the next tier: %s", v)
 		}
 	}
@@ -242,24 +242,24 @@
 		{0.5, func() { l.drain(&e) }},
 		{0.7, func() { l.restart(ctx, &e) }},
 	}
-	l.say("sending %.0f orders a second for %v ...", l.cfg.Rate, l.cfg.Length)
+	l.say("sending %.0f orders a second for %v ...", l.cfg.RequestsPerSecond, l.cfg.Duration)
 	var wg sync.WaitGroup
 	began, said := time.Now(), time.Now()
-	gap := time.Duration(float64(time.Second) / l.cfg.Rate)
-	for next := began; time.Since(began) < l.cfg.Length && ctx.Err() == nil; next = next.Add(gap) {
+	gap := time.Duration(float64(time.Second) / l.cfg.RequestsPerSecond)
+	for next := began; time.Since(began) < l.cfg.Duration && ctx.Err() == nil; next = next.Add(gap) {
 		time.Sleep(time.Until(next))
-		for len(plan) > 0 && time.Since(began) >= time.Duration(plan[0].at*float64(l.cfg.Length)) {
+		for len(plan) > 0 && time.Since(began) >= time.Duration(plan[0].at*float64(l.cfg.Duration)) {
 			plan[0].do()
 			plan = plan[1:]
 		}
 		if time.Since(said) > 2*time.Second {
 			said = time.Now()
-			c, _, _ := caller.Counts()
+			c, _, _ := caller.Results()
 			l.say("  %4.1f s: %d asked, %d served, %d refused, %d failed", time.Since(began).Seconds(), e.asked,
-				c[fake.Served], c[fake.Refused], c[fake.Failed])
+				c[fake.OutcomeServed], c[fake.OutcomeRefused], c[fake.OutcomeFailed])
 		}
-		o := fake.Order{
-			ID: newID(), Class: class, Key: newID() + newID(), Path: fmt.Sprintf("tank-%d", e.asked),
+		o := fake.CallerRequest{
+			ID: newID(), Class: class, IdempotencyKey: newID() + newID(), Path: fmt.Sprintf("tank-%d", e.asked),
 			Body: "500 litres", Timeout: deadlineMS * time.Millisecond,
 		}
 		front := l.fronts[e.asked%len(l.fronts)]
@@ -277,19 +277,19 @@
 // fail ends a node of the first tier and its sidecar. Discovery learns of it later.
 func (l *lab) fail(e *events) {
 	node := l.nodes[0][0]
-	e.failedNode = node.Entry("").ID
+	e.failedNode = node.DiscoveryEntry("").ID
 	l.say("  node %s dies; discovery learns of it %v later", e.failedNode, noticed)
 	node.Stop()
 	l.behind[node].kill()
-	l.notice = time.AfterFunc(noticed, func() { l.discovery[0].Change(node.Entry("removed")) })
+	l.notice = time.AfterFunc(noticed, func() { l.discovery[0].Update(node.DiscoveryEntry("removed")) })
 }
 
 // drain has a node of the last tier leave.
 func (l *lab) drain(e *events) {
 	e.drained = l.nodes[2][1]
-	e.drained2 = e.drained.Entry("").ID
+	e.drained2 = e.drained.DiscoveryEntry("").ID
 	l.say("  node %s drains", e.drained2)
-	l.discovery[2].Change(e.drained.Entry("draining"))
+	l.discovery[2].Update(e.drained.DiscoveryEntry("draining"))
 	e.drainTold = time.Now() // an agent that is waited on has told by then, or within its answer
 }
 
@@ -312,9 +312,9 @@
 	l.mu.Lock()
 	l.behind[node] = p
 	l.mu.Unlock()
-	e.restarted, e.restartedAt = node, node.Started()
+	e.restarted, e.restartedAt = node, node.StartedAt()
 	l.say("  node %s is back, cold", e.failedNode)
-	l.discovery[0].Change(node.Entry("up"))
+	l.discovery[0].Update(node.DiscoveryEntry("up"))
 }
 
 func (l *lab) close() {
@@ -359,17 +359,17 @@
 		}
 		cpu += p.used()
 	}
-	counts, took, lost := caller.Counts()
+	counts, took, lost := caller.Results()
 	w := tabwriter.NewWriter(l.cfg.Out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
-	share := func(v fake.Verdict) string {
+	share := func(v fake.Outcome) string {
 		return fmt.Sprintf("%d (%.1f%%)", counts[v], 100*float64(counts[v])/float64(max(e.asked, 1)))
 	}
 	fmt.Fprintln(w)
 	row("asked", "%d", e.asked)
-	row("served", "%s", share(fake.Served))
-	row("refused", "%s", share(fake.Refused))
-	row("failed", "%s", share(fake.Failed))
+	row("served", "%s", share(fake.OutcomeServed))
+	row("refused", "%s", share(fake.OutcomeRefused))
+	row("failed", "%s", share(fake.OutcomeFailed))
 	slices.Sort(took)
 	row("time of those served", "p50 %v  p99 %v  p99.9 %v", quantile(took, 0.5), quantile(took, 0.99), quantile(took, 0.999))
 	for i, t := range tiers {
@@ -388,7 +388,7 @@
 	}
 	rule("no request lost", checkLost(e.asked, counts, lost))
 	rule("no effect twice", l.checkTwice())
-	rule("drains kept", checkDrain(e, l.cfg.Slack))
+	rule("drains kept", checkDrain(e, l.cfg.DrainSlack))
 	rule("no cold endpoint pushed over", checkCold(e))
 	if err := w.Flush(); err != nil {
 		return err
@@ -406,12 +406,12 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)].Round(10 * time.Microsecond)
 }
 
-func checkLost(asked int, counts map[fake.Verdict]int, lost map[string]int) error {
+func checkLost(asked int, counts map[fake.Outcome]int, lost map[string]int) error {
 	sum := 0
 	for _, n := range counts {
 		sum += n
 	}
-	if n := counts[fake.Lost]; n > 0 || sum != asked {
+	if n := counts[fake.OutcomeNoResponse]; n > 0 || sum != asked {
 		return fmt.Errorf("%d of %d have no answer: %v", n+asked-sum, asked, lost)
 	}
 	return nil
@@ -435,7 +435,7 @@
 	}
 	const heard = 300 * time.Millisecond
 	late := 0
-	for _, at := range e.drained.Arrivals() {
+	for _, at := range e.drained.ArrivalTimes() {
 		if at.Sub(e.drainTold) > heard+slack+(drainGraceMS+50)*time.Millisecond {
 			late++
 		}
@@ -453,7 +453,7 @@
 		return nil
 	}
 	full := float64(slots) / (float64(tiers[0].workMS) / 1000) // requests a second, at the least: calls take time besides
-	arrivals := e.restarted.Arrivals()
+	arrivals := e.restarted.ArrivalTimes()
 	for i, from := range arrivals {
 		if from.Before(e.restartedAt) {
 			continue
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,7 +14,7 @@
 
 // TestMain lets the test binary stand in for the lab's own program as what it compares with.
 func TestMain(m *testing.M) {
-	if ran, err := Rival(os.Args[1:]); ran {
+	if ran, err := RunReferenceProxy(os.Args[1:]); ran {
 		if err != nil {
 			os.Stderr.WriteString(err.Error())
 			os.Exit(1)
@@ -41,7 +41,7 @@
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	err := Run(ctx, Config{Dir: dir, Program: program(t), Rate: 10, Length: 6 * time.Second, Slack: 2 * time.Second, Out: &out})
+	err := Run(ctx, Config{Dir: dir, Program: program(t), RequestsPerSecond: 10, Duration: 6 * time.Second, DrainSlack: 2 * time.Second, Out: &out})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
@@ -60,8 +60,8 @@
 	var out strings.Builder
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	err := Compare(ctx, Config{Dir: t.TempDir(), Program: program(t), Length: 900 * time.Millisecond, Out: &out},
-		Compared{Callers: 8, Nodes: 12, Body: 20, Answer: 20, Think: time.Millisecond, Rounds: 1, Open: 20})
+	err := Compare(ctx, Config{Dir: t.TempDir(), Program: program(t), Duration: 900 * time.Millisecond, Out: &out},
+		CompareOptions{Callers: 8, Nodes: 12, RequestBodyBytes: 20, ResponseBodyBytes: 20, ThinkTime: time.Millisecond, Rounds: 1, OpenConnections: 20})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
@@ -78,8 +78,8 @@
 	var out strings.Builder
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	how := Streamed{Streams: 6, Nodes: 2, Body: 300_000, Answer: 400_000, Slow: 3, Rate: 1 << 20}
-	if err := Streams(ctx, Config{Dir: t.TempDir(), Program: program(t), Out: &out}, how); err != nil {
+	how := StreamOptions{ConcurrentStreams: 6, Nodes: 2, RequestBodyBytes: 300_000, ResponseBodyBytes: 400_000, SlowEvery: 3, SlowBytesPerSecond: 1 << 20}
+	if err := CompareStreams(ctx, Config{Dir: t.TempDir(), Program: program(t), Out: &out}, how); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, name := range []string{"barleydrum", "httputil.ReverseProxy"} {
@@ -88,13 +88,13 @@
 			t.Errorf("%s: %s", name, out.String())
 		}
 	}
-	for name, spoil := range map[string]func(*Streamed){
-		"-callers": func(s *Streamed) { s.Streams = 0 }, "-nodes": func(s *Streamed) { s.Nodes = 501 }, "-body": func(s *Streamed) { s.Body = 200 },
-		"-answer": func(s *Streamed) { s.Answer = 0 }, "-slow": func(s *Streamed) { s.Slow = -1 }, "-rate-slow": func(s *Streamed) { s.Rate = 1 },
+	for name, spoil := range map[string]func(*StreamOptions){
+		"-callers": func(s *StreamOptions) { s.ConcurrentStreams = 0 }, "-nodes": func(s *StreamOptions) { s.Nodes = 501 }, "-body": func(s *StreamOptions) { s.RequestBodyBytes = 200 },
+		"-answer": func(s *StreamOptions) { s.ResponseBodyBytes = 0 }, "-slow": func(s *StreamOptions) { s.SlowEvery = -1 }, "-rate-slow": func(s *StreamOptions) { s.SlowBytesPerSecond = 1 },
 	} {
 		bad := how
 		spoil(&bad)
-		if err := bad.Check(); err == nil || !strings.Contains(err.Error(), name) {
+		if err := bad.Validate(); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -102,27 +102,27 @@
 
 // A comparison that can't be is refused by the name of what is wrong.
 func TestComparedIsChecked(t *testing.T) {
-	good := Compared{Callers: 1, Nodes: 1, Rounds: 1}
-	for name, spoil := range map[string]func(*Compared){
-		"-callers": func(c *Compared) { c.Callers = 0 }, "-nodes": func(c *Compared) { c.Nodes = 501 },
-		"-body": func(c *Compared) { c.Body = -1 }, "-answer": func(c *Compared) { c.Answer = 1 << 20 },
-		"-rounds": func(c *Compared) { c.Rounds = 0 }, "-think": func(c *Compared) { c.Think = -1 }, "-open": func(c *Compared) { c.Open = 5000 },
+	good := CompareOptions{Callers: 1, Nodes: 1, Rounds: 1}
+	for name, spoil := range map[string]func(*CompareOptions){
+		"-callers": func(c *CompareOptions) { c.Callers = 0 }, "-nodes": func(c *CompareOptions) { c.Nodes = 501 },
+		"-body": func(c *CompareOptions) { c.RequestBodyBytes = -1 }, "-answer": func(c *CompareOptions) { c.ResponseBodyBytes = 1 << 20 },
+		"-rounds": func(c *CompareOptions) { c.Rounds = 0 }, "-think": func(c *CompareOptions) { c.ThinkTime = -1 }, "-open": func(c *CompareOptions) { c.OpenConnections = 5000 },
 	} {
 		bad := good
 		spoil(&bad)
-		if err := bad.Check(); err == nil || !strings.Contains(err.Error(), name) {
+		if err := bad.Validate(); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := good.Check(); err != nil {
+	if err := good.Validate(); err != nil {
 		t.Error(err)
 	}
 }
 
 // The lab's own judgement sees what it is to see.
 func TestChecks(t *testing.T) {
-	n := func(served, lost int) map[fake.Verdict]int {
-		return map[fake.Verdict]int{fake.Served: served, fake.Lost: lost}
+	n := func(served, lost int) map[fake.Outcome]int {
+		return map[fake.Outcome]int{fake.OutcomeServed: served, fake.OutcomeNoResponse: lost}
 	}
 	if checkLost(5, n(5, 0), nil) != nil || checkLost(5, n(4, 1), nil) == nil || checkLost(5, n(4, 0), nil) == nil {
 		t.Error("lost requests are not told from answered ones")
@@ -135,8 +135,8 @@
 	caller := fake.NewCaller(1)
 	defer caller.Close()
 	ask := func() {
-		o := fake.Order{ID: newID(), Class: class, Key: "k", Body: "x", Timeout: 20 * time.Second}
-		if v := caller.Do(context.Background(), node.Entry("").HostPort, o, 0); v != fake.Served {
+		o := fake.CallerRequest{ID: newID(), Class: class, IdempotencyKey: "k", Body: "x", Timeout: 20 * time.Second}
+		if v := caller.Do(context.Background(), node.DiscoveryEntry("").HostPort, o, 0); v != fake.OutcomeServed {
 			t.Fatalf("the stand-in node: %v", v)
 		}
 	}
@@ -154,7 +154,7 @@
 	if err := checkCold(events{restarted: node, restartedAt: at}); err == nil {
 		t.Error("60 requests at once to a cold node are not seen")
 	}
-	ledger := &fake.Ledger{Window: time.Hour}
+	ledger := &fake.ExecutionLog{RepeatWindow: time.Hour}
 	l := &lab{}
 	for i := range l.ledgers {
 		l.ledgers[i] = ledger
@@ -162,9 +162,9 @@
 	if err := l.checkTwice(); err != nil {
 		t.Error(err)
 	}
-	ledger.Window = 0
+	ledger.RepeatWindow = 0
 	for range 2 {
-		ledger.Run("id", "key")
+		ledger.Record("id", "key")
 	}
 	if err := l.checkTwice(); err == nil {
 		t.Error("an effect that happened twice is not seen")
--- a/internal/lab/rivals.go
+++ b/internal/lab/rivals.go
@@ -25,9 +25,9 @@
 	fastProxyCommand    = "fasthttp-proxy"
 )
 
-// Rival runs one of the programs that the sidecar is compared with until SIGTERM, if the
+// RunReferenceProxy runs one of the programs that the sidecar is compared with until SIGTERM, if the
 // arguments name one.
-func Rival(args []string) (ran bool, err error) {
+func RunReferenceProxy(args []string) (ran bool, err error) {
 	if len(args) == 0 || args[0] != reverseProxyCommand && args[0] != fastProxyCommand {
 		return false, nil
 	}
--- a/internal/lab/streams.go
+++ b/internal/lab/streams.go
@@ -14,22 +14,22 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// Streamed says how programs are compared that pass on long bodies.
-type Streamed struct {
-	Streams, Nodes int
-	Body, Answer   int64 // bytes up and down
-	Slow           int   // every so manieth caller is slow, 0 for none
-	Rate           int64 // bytes a second of a slow one, either way
+// StreamOptions says how programs are compared that pass on long bodies.
+type StreamOptions struct {
+	ConcurrentStreams, Nodes            int
+	RequestBodyBytes, ResponseBodyBytes int64 // bytes up and down
+	SlowEvery                           int   // every so manieth caller is slow, 0 for none
+	SlowBytesPerSecond                  int64 // bytes a second of a slow one, either way
 }
 
-// Check returns an error that names the first value that can't be used.
-func (s Streamed) Check() error {
+// Validate returns an error that names the first value that can't be used.
+func (s StreamOptions) Validate() error {
 	for _, v := range []struct {
 		name      string
 		n, lo, hi int64
 	}{
-		{"callers", int64(s.Streams), 1, 2000}, {"nodes", int64(s.Nodes), 1, 500}, {"body", s.Body, 65 << 10, 1 << 30},
-		{"answer", s.Answer, 65 << 10, 1 << 30}, {"slow", int64(s.Slow), 0, 2000}, {"rate-slow", s.Rate, 1 << 10, 1 << 30},
+		{"callers", int64(s.ConcurrentStreams), 1, 2000}, {"nodes", int64(s.Nodes), 1, 500}, {"body", s.RequestBodyBytes, 65 << 10, 1 << 30},
+		{"answer", s.ResponseBodyBytes, 65 << 10, 1 << 30}, {"slow", int64(s.SlowEvery), 0, 2000}, {"rate-slow", s.SlowBytesPerSecond, 1 << 10, 1 << 30},
 	} {
 		if v.n < v.lo || v.n > v.hi {
 			return fmt.Errorf("-%s: %d is not from %d to %d", v.name, v.n, v.lo, v.hi)
@@ -44,10 +44,10 @@
 // streamWindow is the window that the settings have where they are left out.
 const streamWindow = 32 << 10
 
-// Streams measures the program beside the standard library's reverse proxy with long bodies, many at
+// CompareStreams measures the program beside the standard library's reverse proxy with long bodies, many at
 // once, one core each: how long the quick callers take, CPU, memory and descriptors.
-func Streams(ctx context.Context, cfg Config, how Streamed) error {
-	if err := how.Check(); err != nil {
+func CompareStreams(ctx context.Context, cfg Config, how StreamOptions) error {
+	if err := how.Validate(); err != nil {
 		return err
 	}
 	l := &comparison{lab: lab{cfg: cfg, calls: fake.NewCaller(1)}}
@@ -56,16 +56,16 @@
 		return err
 	}
 	for i := range how.Nodes {
-		s, addr, err := fake.NewBulk(how.Answer)
+		s, addr, err := fake.NewLargeBodyServer(how.ResponseBodyBytes)
 		if err != nil {
 			return err
 		}
 		defer s.Close()
 		l.addrs = append(l.addrs, addr)
-		l.discovery[0].Change(discovery.Instance{ID: fmt.Sprintf("n-%d", i), HostPort: addr, Zone: zones[0], Lifecycle: "up"})
+		l.discovery[0].Update(discovery.Instance{ID: fmt.Sprintf("n-%d", i), HostPort: addr, Zone: zones[0], Lifecycle: "up"})
 	}
-	held := body.Limits{Window: streamWindow}.Held()*int64(how.Streams) + body.Block*int64(how.Streams+16)
-	l.say("%d streams of %d and %d bytes at once; the buffers come to %d MB at the most ...", how.Streams, how.Body, how.Answer, held>>20)
+	held := body.Limits{WindowBytes: streamWindow}.MaxBufferBytes()*int64(how.ConcurrentStreams) + body.BlockSize*int64(how.ConcurrentStreams+16)
+	l.say("%d streams of %d and %d bytes at once; the buffers come to %d MB at the most ...", how.ConcurrentStreams, how.RequestBodyBytes, how.ResponseBodyBytes, held>>20)
 	w := tabwriter.NewWriter(cfg.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\n\tquick callers took\tall took\tMB/s of the quick\tCPU a GiB\tpeak memory\tmost descriptors\tnot served")
 	for _, s := range []*side{
@@ -80,12 +80,12 @@
 }
 
 // streaming starts the program by an operators' file alone.
-func (l *comparison) streaming(how Streamed) (*process, error) {
+func (l *comparison) streaming(how StreamOptions) (*process, error) {
 	at, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
 	}
-	callers := how.Streams + 16
+	callers := how.ConcurrentStreams + 16
 	text := fmt.Sprintf(`schema = 1
 [application]
 name = "bulk"
@@ -116,7 +116,7 @@
 repeat_window = "1h"
 attempts = 3
 retry_within = "8m"
-`, at[0], l.discovery[0].Addr(), callers, how.Streams, streamMemory>>20, 2*callers+64, class)
+`, at[0], l.discovery[0].Addr(), callers, how.ConcurrentStreams, streamMemory>>20, 2*callers+64, class)
 	if err := os.WriteFile(l.file("bulk.toml"), []byte(text), 0o644); err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 }
 
 // streams runs a side once.
-func (l *comparison) streams(ctx context.Context, s *side, how Streamed, w *tabwriter.Writer) error {
+func (l *comparison) streams(ctx context.Context, s *side, how StreamOptions, w *tabwriter.Writer) error {
 	p, err := l.up(ctx, s, 0)
 	if err != nil {
 		return err
@@ -133,13 +133,13 @@
 	var wrong atomic.Int64
 	var first atomic.Pointer[error]
 	began := time.Now()
-	for i := range how.Streams {
+	for i := range how.ConcurrentStreams {
 		l.ids++
-		b := fake.BulkCaller{
-			Addr: p.addr, Class: class, Path: "order", ID: fmt.Sprintf("%016x", l.ids), Body: how.Body, Answer: how.Answer, Timeout: 5 * time.Minute,
+		b := fake.LargeBodyCaller{
+			Addr: p.addr, Class: class, Path: "order", ID: fmt.Sprintf("%016x", l.ids), BodyBytes: how.RequestBodyBytes, ResponseBytes: how.ResponseBodyBytes, Timeout: 5 * time.Minute,
 		}
-		if how.Slow > 0 && i%how.Slow == 0 {
-			b.Rate = how.Rate
+		if how.SlowEvery > 0 && i%how.SlowEvery == 0 {
+			b.BytesPerSecond = how.SlowBytesPerSecond
 		} else {
 			quick.Add(1)
 		}
@@ -150,7 +150,7 @@
 				wrong.Add(1)
 				first.CompareAndSwap(nil, &err)
 			}
-			if b.Rate == 0 {
+			if b.BytesPerSecond == 0 {
 				quick.Done()
 			}
 		}()
@@ -185,13 +185,13 @@
 	if e := first.Load(); e != nil {
 		l.say("%s: one of those not served: %v", s.name, *e)
 	}
-	n := how.Streams
-	if how.Slow > 0 {
-		n -= (how.Streams + how.Slow - 1) / how.Slow
+	n := how.ConcurrentStreams
+	if how.SlowEvery > 0 {
+		n -= (how.ConcurrentStreams + how.SlowEvery - 1) / how.SlowEvery
 	}
-	bytes := float64(how.Body + how.Answer)
+	bytes := float64(how.RequestBodyBytes + how.ResponseBodyBytes)
 	fmt.Fprintf(w, "%s\t%v\t%v\t%.0f\t%v\t%.1f MB\t%d\t%d\n", s.name, took.Round(10*time.Millisecond), total.Round(10*time.Millisecond),
-		float64(n)*bytes/(1<<20)/took.Seconds(), (time.Duration(float64(p.used()) / (float64(how.Streams) * bytes / (1 << 30)))).Round(time.Millisecond),
+		float64(n)*bytes/(1<<20)/took.Seconds(), (time.Duration(float64(p.used()) / (float64(how.ConcurrentStreams) * bytes / (1 << 30)))).Round(time.Millisecond),
 		float64(peak)/1024, <-most, wrong.Load())
 	return ctx.Err()
 }
--- a/internal/retry/replay.go
+++ b/internal/retry/replay.go
@@ -13,102 +13,102 @@
 	"barleydrum.example/barleydrum/internal/body"
 )
 
-// Past says what the attempts of a request that have ended may have done.
-type Past uint8
+// AttemptHistory says what the attempts of a request that have ended may have done.
+type AttemptHistory uint8
 
 // The pasts.
 const (
-	Fresh      Past = iota // there was none
-	Unrun                  // none can have run
-	MayHaveRun             // one may have
+	NoAttempts      AttemptHistory = iota // there was none
+	NotExecuted                           // none can have run
+	MayHaveExecuted                       // one may have
 )
 
-// May says what may become of a request.
-type May struct {
-	Again  bool // another attempt, none being out
-	Copy   bool // another beside one that is out
+// Permissions says what may become of a request.
+type Permissions struct {
+	Retry  bool // another attempt, none being out
+	Hedge  bool // another beside one that is out
 	Refuse bool // an answer that trying again is harmless, no attempt being out
 }
 
 // Allowed tells what a request of a class may become. inScope tells, for a keyed one that may
 // have run, that an endpoint is at hand which drops its repeats, and still remembers it.
-func Allowed(s balance.Semantics, scope balance.Scope, state body.State, past Past, inScope bool) May {
+func Allowed(s balance.Semantics, scope balance.Scope, state body.State, past AttemptHistory, inScope bool) Permissions {
 	repeatable := s == balance.Safe || s == balance.Keyed && inScope
-	return May{
+	return Permissions{
 		// Nothing goes out without its body. Where none went out yet the body is there: a body is
 		// never let go of before an attempt has read it.
-		Again: past == Fresh || state != body.Gone && (past == Unrun || repeatable),
+		Retry: past == NoAttempts || state != body.Unavailable && (past == NotExecuted || repeatable),
 		// A copy beside an upload would have to be fed at two speeds, and helps nobody: the first
 		// waits for the caller, not for its endpoint.
-		Copy: state == body.Kept && repeatable,
+		Hedge: state == body.Retained && repeatable,
 		// A caller that still has the body may send it again, whether it is kept here or not.
-		Refuse: s == balance.Safe || s == balance.Keyed && scope == balance.ScopeAll || past != MayHaveRun,
+		Refuse: s == balance.Safe || s == balance.Keyed && scope == balance.ScopeAll || past != MayHaveExecuted,
 	}
 }
 
-// NeverRan tells whether an attempt that ended so can't have run.
-func NeverRan(r balance.Result) bool {
+// NeverExecuted tells whether an attempt that ended so can't have run.
+func NeverExecuted(r balance.Result) bool {
 	return r == balance.Rejected || r == balance.ConnectFailed || r == balance.NotSent
 }
 
-// Gate is asked before the last byte of each attempt's body goes out: an endpoint begins a request
+// CompletionGate is asked before the last byte of each attempt's body goes out: an endpoint begins a request
 // when it has come. The module decides at the first byte, and with a long body the two are far
 // apart: an attempt that was sent in time could be whole, and run, after the endpoints have
 // forgotten the key under which another ran. The zero value lets all pass. It is safe for
 // concurrent use.
-type Gate struct {
-	mu     sync.Mutex
-	window time.Duration // 0 for none
-	passed []pass
+type CompletionGate struct {
+	mu          sync.Mutex
+	window      time.Duration // 0 for none
+	completions []completion
 }
 
-type pass struct {
+type completion struct {
 	attempt int
 	at      time.Duration
 }
 
 // Reset makes the gate that of a new request.
-func (g *Gate) Reset(s balance.Semantics, window time.Duration) {
+func (g *CompletionGate) Reset(s balance.Semantics, window time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.window, g.passed = 0, nil
+	g.window, g.completions = 0, nil
 	if s == balance.Keyed {
 		g.window = window
 	}
 }
 
-// Last tells whether an attempt may become whole now: while a repeat of each other that may have
+// TryComplete tells whether an attempt may become whole now: while a repeat of each other that may have
 // run by then is still dropped.
-func (g *Gate) Last(attempt int, now time.Duration) bool {
+func (g *CompletionGate) TryComplete(attempt int, now time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, p := range g.passed {
+	for _, p := range g.completions {
 		if p.attempt != attempt && g.window > 0 && now-p.at >= g.window {
 			return false
 		}
 	}
-	g.passed = append(g.passed, pass{attempt, now})
+	g.completions = append(g.completions, completion{attempt, now})
 	return true
 }
 
-// Unrun takes back an attempt that turned out never to have run.
-func (g *Gate) Unrun(attempt int) {
+// MarkNotExecuted takes back an attempt that turned out never to have run.
+func (g *CompletionGate) MarkNotExecuted(attempt int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	keep := g.passed[:0]
-	for _, p := range g.passed {
+	keep := g.completions[:0]
+	for _, p := range g.completions {
 		if p.attempt != attempt {
 			keep = append(keep, p)
 		}
 	}
-	g.passed = keep
+	g.completions = keep
 }
 
-// Rows are those of the table, for docs/operators/bodies.md: the body's state, the past, and what
+// TableRows are those of the table, for docs/operators/bodies.md: the body's state, the past, and what
 // each kind of class may then become.
-func Rows() [][]string {
-	states := []string{body.Arriving: "arriving, kept so far", body.Kept: "whole and kept", body.Gone: "not kept"}
-	pasts := []string{Fresh: "no attempt yet", Unrun: "none can have run", MayHaveRun: "one may have run"}
+func TableRows() [][]string {
+	states := []string{body.Receiving: "arriving, kept so far", body.Retained: "whole and kept", body.Unavailable: "not kept"}
+	pasts := []string{NoAttempts: "no attempt yet", NotExecuted: "none can have run", MayHaveExecuted: "one may have run"}
 	kinds := []struct {
 		s       balance.Semantics
 		scope   balance.Scope
@@ -120,12 +120,12 @@
 	rows := [][]string{{"body", "attempts that have ended", "safe", "keyed, all", "keyed, all, too late", "keyed, zone or cell", "keyed, zone or cell, too late or none left there", "unsafe"}}
 	for state, name := range states {
 		for past, was := range pasts {
-			if past == int(Fresh) && state == int(body.Gone) {
+			if past == int(NoAttempts) && state == int(body.Unavailable) {
 				continue // it can't be
 			}
 			row := []string{name, was}
 			for _, k := range kinds {
-				row = append(row, Allowed(k.s, k.scope, body.State(state), Past(past), k.inScope).String())
+				row = append(row, Allowed(k.s, k.scope, body.State(state), AttemptHistory(past), k.inScope).String())
 			}
 			rows = append(rows, row)
 		}
@@ -133,12 +133,12 @@
 	return rows
 }
 
-func (m May) String() string {
+func (m Permissions) String() string {
 	var can []string
 	for _, c := range []struct {
 		may  bool
 		what string
-	}{{m.Again, "again"}, {m.Copy, "copy"}, {m.Refuse, "refuse"}} {
+	}{{m.Retry, "again"}, {m.Hedge, "copy"}, {m.Refuse, "refuse"}} {
 		if c.may {
 			can = append(can, c.what)
 		}
--- a/internal/retry/replay_test.go
+++ b/internal/retry/replay_test.go
@@ -35,7 +35,7 @@
 
 func newWorld(t *testing.T, s balance.Semantics, scope balance.Scope, inScope bool) *world {
 	w := &world{t: t, now: time.Hour, probes: true}
-	k := balance.Class{Name: "k", Goal: wanted, Deadline: wanted, Worth: 1, Semantics: s, Scope: scope}
+	k := balance.Class{Name: "k", TargetLatency: wanted, Deadline: wanted, Value: 1, Semantics: s, Scope: scope}
 	if s == balance.Keyed {
 		if k.RepeatWindow = window; !inScope {
 			k.RepeatWindow = time.Millisecond
@@ -43,29 +43,29 @@
 	}
 	var err error
 	w.b, err = balance.New(balance.Config{
-		Balancers: 1, Classes: []balance.Class{k}, Reporting: balance.ReportsProbe,
-		Limits: balance.Limits{MaxAttempts: 6, SecondCopies: true, Probes: true, Cancel: true, ConnectTimeout: time.Second, KeepAlive: time.Minute},
+		SidecarCount: 1, Classes: []balance.Class{k}, Reporting: balance.ReportsInProbe,
+		Limits: balance.Limits{MaxAttempts: 6, Hedging: true, Probes: true, Cancel: true, ConnectTimeout: time.Second, KeepAlive: time.Minute},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.list(balance.InService)
 	for id := range balance.RequestID(100) { // calls are quick, so that one is hedged in time
-		w.do(w.b.Request(w.now, balance.Request{ID: 10 + id, Budget: wanted}, nil))
+		w.do(w.b.RequestArrived(w.now, balance.Request{ID: 10 + id, Timeout: wanted}, nil))
 		to := w.sent[0]
 		w.now += 100 * time.Millisecond
-		w.do(w.b.Ended(w.now, balance.Outcome{Request: 10 + id, Endpoint: to, Result: balance.OK, Closed: true, Elapsed: 100 * time.Millisecond}, nil))
+		w.do(w.b.AttemptEnded(w.now, balance.Outcome{Request: 10 + id, Endpoint: to, Result: balance.OK, RequestFinished: true, Elapsed: 100 * time.Millisecond}, nil))
 		w.sent = nil
 	}
 	return w
 }
 
-func (w *world) list(s balance.State) {
+func (w *world) list(s balance.EndpointState) {
 	var list []balance.Endpoint
 	for id := range balance.EndpointID(4) {
 		list = append(list, balance.Endpoint{ID: id + 1, State: s, Weight: 1})
 	}
-	w.do(w.b.Endpoints(w.now, balance.ListFull, list, nil))
+	w.do(w.b.EndpointsUpdated(w.now, balance.ListFull, list, nil))
 }
 
 func (w *world) do(acts []balance.Action) {
@@ -84,7 +84,7 @@
 			}{w.now + a.Delay, a.Timer})
 		case balance.Probe:
 			if w.probes {
-				w.do(w.b.Probed(w.now, a.Endpoint, balance.OK, &balance.Load{Queue: -1, Util: -1, LatencyMS: -1, Served: -1, Failed: -1}, nil))
+				w.do(w.b.ProbeEnded(w.now, a.Endpoint, balance.OK, &balance.Load{Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}, nil))
 			}
 		}
 	}
@@ -106,30 +106,30 @@
 		t := w.timers[next]
 		w.timers = append(w.timers[:next], w.timers[next+1:]...)
 		w.now = max(w.now, t.at)
-		w.do(w.b.Fired(w.now, t.t, nil))
+		w.do(w.b.TimerFired(w.now, t.t, nil))
 	}
 }
 
 // begin has a request begin, and its first attempt go out. The body comes to its state.
 func (w *world) begin(state body.State) {
-	w.do(w.b.Request(w.now, balance.Request{ID: 1, Budget: wanted, Arriving: true}, nil))
+	w.do(w.b.RequestArrived(w.now, balance.Request{ID: 1, Timeout: wanted, BodyArriving: true}, nil))
 	if len(w.sent) != 1 {
 		w.t.Fatalf("%d attempts at first", len(w.sent))
 	}
 	switch state {
-	case body.Kept:
-		w.do(w.b.Body(w.now, 1, balance.BodyWhole, nil))
-	case body.Gone:
-		w.do(w.b.Body(w.now, 1, balance.BodyLost, nil))
+	case body.Retained:
+		w.do(w.b.BodyStateChanged(w.now, 1, balance.BodyComplete, nil))
+	case body.Unavailable:
+		w.do(w.b.BodyStateChanged(w.now, 1, balance.BodyUnavailable, nil))
 	}
 }
 
 func (w *world) end(r balance.Result) {
 	w.now += 10 * time.Millisecond
-	w.do(w.b.Ended(w.now, balance.Outcome{Request: 1, Endpoint: w.sent[0], Result: r, Elapsed: 10 * time.Millisecond}, nil))
+	w.do(w.b.AttemptEnded(w.now, balance.Outcome{Request: 1, Endpoint: w.sent[0], Result: r, Elapsed: 10 * time.Millisecond}, nil))
 }
 
-var results = map[Past]balance.Result{Unrun: balance.ConnectFailed, MayHaveRun: balance.Error}
+var results = map[AttemptHistory]balance.Result{NotExecuted: balance.ConnectFailed, MayHaveExecuted: balance.Error}
 
 // The table holds for the module, cell by cell: what it allows happens, and nothing else does.
 func TestModuleKeepsTheTable(t *testing.T) {
@@ -142,8 +142,8 @@
 		{balance.Keyed, balance.ScopeZone, true}, {balance.Keyed, balance.ScopeZone, false},
 		{balance.Keyed, balance.ScopeCell, true}, {balance.Keyed, balance.ScopeCell, false}, {balance.Unsafe, 0, true},
 	} {
-		for _, state := range []body.State{body.Arriving, body.Kept, body.Gone} {
-			for _, past := range []Past{Unrun, MayHaveRun} {
+		for _, state := range []body.State{body.Receiving, body.Retained, body.Unavailable} {
+			for _, past := range []AttemptHistory{NotExecuted, MayHaveExecuted} {
 				name := fmt.Sprintf("semantics %d, scope %d, in scope %v, body %d, past %d", k.s, k.scope, k.inScope, state, past)
 				want := Allowed(k.s, k.scope, state, past, k.inScope)
 
@@ -151,13 +151,13 @@
 				w.begin(state)
 				w.end(results[past])
 				w.run(wanted / 2)
-				if got := len(w.sent) > 1; got != want.Again {
-					t.Errorf("%s: again %v, want %v", name, got, want.Again)
+				if got := len(w.sent) > 1; got != want.Retry {
+					t.Errorf("%s: again %v, want %v", name, got, want.Retry)
 				}
 
 				w = newWorld(t, k.s, k.scope, k.inScope)
 				w.begin(state)
-				w.list(balance.Gone)
+				w.list(balance.Removed)
 				w.end(results[past])
 				w.run(2 * wanted)
 				if got := w.final == "refuse"; got != want.Refuse || w.final == "" || len(w.sent) > 1 {
@@ -167,8 +167,8 @@
 				w = newWorld(t, k.s, k.scope, k.inScope)
 				w.begin(state)
 				w.run(wanted * 9 / 10)
-				if got := len(w.sent) > 1; got != want.Copy {
-					t.Errorf("%s: copy %v, want %v", name, got, want.Copy)
+				if got := len(w.sent) > 1; got != want.Hedge {
+					t.Errorf("%s: copy %v, want %v", name, got, want.Hedge)
 				}
 			}
 		}
@@ -182,7 +182,7 @@
 		t.Fatal(err)
 	}
 	var want strings.Builder
-	for i, row := range Rows() {
+	for i, row := range TableRows() {
 		fmt.Fprintf(&want, "| %s |\n", strings.Join(row, " | "))
 		if i == 0 {
 			fmt.Fprintf(&want, "|%s\n", strings.Repeat(" --- |", len(row)))
@@ -197,7 +197,7 @@
 // have run; those that never ran bound nobody.
 func TestGateModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var g Gate
+		var g CompletionGate
 		keyed := rapid.Bool().Draw(t, "keyed")
 		s := balance.Safe
 		if keyed {
@@ -212,13 +212,13 @@
 			for _, at := range ran {
 				first = min(first, at)
 			}
-			if got, want := g.Last(n, now), !keyed || now-first < window; got != want {
+			if got, want := g.TryComplete(n, now), !keyed || now-first < window; got != want {
 				t.Fatalf("%v after the first: %v", now-first, got)
 			} else if got {
 				ran[n] = now
 			}
 			if rapid.Bool().Draw(t, "never ran") {
-				g.Unrun(n)
+				g.MarkNotExecuted(n)
 				delete(ran, n)
 			}
 		}
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -17,12 +17,12 @@
 // BenchmarkServe is one keyed request after another over loopback, on kept connections. The
 // other sides allocate nothing, so that what it counts is the sidecar's own.
 func BenchmarkServe(b *testing.B) {
-	node, err := fake.NewQuick(2)
+	node, err := fake.NewBenchNode(2)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer node.Close()
-	c := fake.Config(b, fake.Up(node.Addr()))
+	c := fake.NewConfig(b, fake.EndpointList(node.Addr()))
 	e, err := engine.New(c)
 	if err != nil {
 		b.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 	go s.Serve(front)
 	defer s.Close()
-	caller, err := fake.NewQuickCaller(front.Addr().String(), "book", "tank", 10, 20*time.Second, 0)
+	caller, err := fake.NewBenchCaller(front.Addr().String(), "book", "tank", 10, 20*time.Second, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -54,14 +54,14 @@
 // reverse proxy; callers and node are in the same process.
 func BenchmarkFlow(b *testing.B) {
 	const size = 8 << 20
-	node, addr, err := fake.NewBulk(size)
+	node, addr, err := fake.NewLargeBodyServer(size)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer node.Close()
 	sides := map[string]string{}
 	for name, text := range map[string]string{"in files": flows, "not kept": "[streams]\nmax_body = \"64MiB\"\nmax_answer = \"64MiB\"\n"} {
-		c := config.Merge(fake.Config(b, fake.Up(addr)).Platform, settings(b, text))
+		c := config.Merge(fake.NewConfig(b, fake.EndpointList(addr)).Platform, settings(b, text))
 		e, err := engine.New(c)
 		if err != nil {
 			b.Fatal(err)
@@ -87,7 +87,7 @@
 			b.SetBytes(2 * size)
 			for b.Loop() {
 				id++
-				one := fake.BulkCaller{Addr: to, Class: "book", Path: "a", ID: strconv.Itoa(id), Body: size, Answer: size, Timeout: patience}
+				one := fake.LargeBodyCaller{Addr: to, Class: "book", Path: "a", ID: strconv.Itoa(id), BodyBytes: size, ResponseBytes: size, Timeout: patience}
 				if err := one.Do(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -23,8 +23,8 @@
 	maxListHead = 16 << 10 // the most bytes of its header
 )
 
-// Discovery keeps the engine's list of endpoints up to date.
-type Discovery struct {
+// DiscoveryClient keeps the engine's list of endpoints up to date.
+type DiscoveryClient struct {
 	asks       bool          // the module asks for the list; else it is pushed
 	gap        time.Duration // the least time between two calls: one answered at once must not be a busy loop
 	wait, late time.Duration // how long a call may wait, and its answer take beyond
@@ -40,28 +40,28 @@
 	cancel context.CancelFunc // ends the calls to the address before
 }
 
-// NewDiscovery returns the Discovery of an engine.
-func NewDiscovery(c *config.Config, e *engine.Engine) *Discovery {
-	d := &Discovery{
-		addr: c.Discovery, asks: c.Module.AskDiscovery, engine: e, gap: c.Settings.Discovery.Pause,
+// NewDiscoveryClient returns the Discovery of an engine.
+func NewDiscoveryClient(c *config.Config, e *engine.Engine) *DiscoveryClient {
+	d := &DiscoveryClient{
+		addr: c.DiscoveryAddress, asks: c.BalancerConfig.MustSubscribe, engine: e, gap: c.Settings.Discovery.MinPause,
 		// An agent on this machine may fall silent and leave a call unanswered after it has news
 		// again, so it is asked well within a drain's grace.
-		wait: c.Settings.Discovery.PushWait, late: c.Settings.Discovery.PushAnswer,
+		wait: c.Settings.Discovery.PushWait, late: c.Settings.Discovery.PushResponseTimeout,
 		transport: &http.Transport{MaxConnsPerHost: 2, MaxResponseHeaderBytes: maxListHead}, cancel: func() {},
 	}
 	d.client = &http.Client{Transport: d.transport}
-	if len(c.Known.Instances) > 0 {
-		d.index = c.Known.Index()
+	if len(c.KnownEndpoints.Instances) > 0 {
+		d.index = c.KnownEndpoints.GenerationString()
 	}
 	if d.asks {
-		d.wait, d.late = c.Settings.Discovery.AskWait, c.Settings.Discovery.AskAnswer
+		d.wait, d.late = c.Settings.Discovery.PollWait, c.Settings.Discovery.PollResponseTimeout
 	}
 	return d
 }
 
-// Move has discovery at another address from now on. Its versions are its own, so it is
+// SetAddress has discovery at another address from now on. Its versions are its own, so it is
 // asked for the whole list, at once; what a call that is out brings is not taken any more.
-func (d *Discovery) Move(addr string) {
+func (d *DiscoveryClient) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.addr, d.moved = addr, true
@@ -69,7 +69,7 @@
 }
 
 // begin returns the address to ask from now on, and a context that ends with the next Move.
-func (d *Discovery) begin(ctx context.Context) (here context.Context, addr string, moved bool) {
+func (d *DiscoveryClient) begin(ctx context.Context) (here context.Context, addr string, moved bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cancel() // what is left of the calls before
@@ -79,7 +79,7 @@
 }
 
 // Run follows the list until ctx ends.
-func (d *Discovery) Run(ctx context.Context) {
+func (d *DiscoveryClient) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		here, addr, moved := d.begin(ctx)
 		if moved {
@@ -93,11 +93,11 @@
 
 // follow follows the list at one address until ctx ends. Where the module asks for the list,
 // it has asked for the one of a new address when it asked for the first.
-func (d *Discovery) follow(ctx context.Context, addr string, asked bool) {
+func (d *DiscoveryClient) follow(ctx context.Context, addr string, asked bool) {
 	for ctx.Err() == nil {
 		if d.asks && !asked {
 			select {
-			case <-d.engine.Subscribed():
+			case <-d.engine.SubscribeRequested():
 			case <-ctx.Done():
 				return
 			}
@@ -109,7 +109,7 @@
 			}
 			d.failed = true
 			if d.asks {
-				d.engine.Refused()
+				d.engine.RecordDiscoveryFailure()
 			}
 			pause(ctx, d.gap)
 		}
@@ -117,7 +117,7 @@
 }
 
 // watch asks for news until a call fails.
-func (d *Discovery) watch(ctx context.Context, addr string) error {
+func (d *DiscoveryClient) watch(ctx context.Context, addr string) error {
 	for {
 		asked := time.Now()
 		l, err := d.ask(ctx, addr)
@@ -130,17 +130,17 @@
 		if d.failed {
 			slog.Info("discovery: back", "generation", l.Generation)
 		}
-		d.failed, d.index = false, l.Index()
-		if d.asks || l.Reset || len(l.Instances) > 0 {
-			d.engine.List(l)
+		d.failed, d.index = false, l.GenerationString()
+		if d.asks || l.Full || len(l.Instances) > 0 {
+			d.engine.UpdateEndpoints(l)
 		}
-		d.engine.Heard()
+		d.engine.RecordDiscoveryResponse()
 		pause(ctx, d.gap-time.Since(asked))
 	}
 }
 
 // ask makes one call.
-func (d *Discovery) ask(ctx context.Context, addr string) (*discovery.List, error) {
+func (d *DiscoveryClient) ask(ctx context.Context, addr string) (*discovery.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.wait+d.late)
 	defer cancel()
 	query := url.Values{}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -18,7 +18,7 @@
 // follow runs discovery against a handler until the test ends.
 func follow(t *testing.T, known discovery.List, h http.HandlerFunc) *engine.Engine {
 	t.Helper()
-	return followConfig(t, fake.Config(t, known), h)
+	return followConfig(t, fake.NewConfig(t, known), h)
 }
 
 func followConfig(t *testing.T, c *config.Config, h http.HandlerFunc) *engine.Engine {
@@ -26,16 +26,16 @@
 	return followMoves(t, c, h).engine
 }
 
-func followMoves(t *testing.T, c *config.Config, h http.HandlerFunc) *Discovery {
+func followMoves(t *testing.T, c *config.Config, h http.HandlerFunc) *DiscoveryClient {
 	t.Helper()
-	c.Discovery = fake.HTTP(t, h)
+	c.DiscoveryAddress = fake.StartHTTPServer(t, h)
 	e, err := engine.New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	d := NewDiscovery(c, e)
+	d := NewDiscoveryClient(c, e)
 	d.late = 3 * time.Second // a slow machine must not lose an answer that a test counts on
 	go func() {
 		d.Run(ctx)
@@ -63,31 +63,31 @@
 		var moves [2]string
 		for i := range moves {
 			var calls atomic.Int32
-			moves[i] = fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+			moves[i] = fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 				if calls.Add(1) == 1 {
 					first <- r.URL.RawQuery
-					json.NewEncoder(w).Encode(fake.Up(fmt.Sprint("127.0.0.1:", 3+i)))
+					json.NewEncoder(w).Encode(fake.EndpointList(fmt.Sprint("127.0.0.1:", 3+i)))
 					return
 				}
 				hang(r)
 			})
 		}
-		known := fake.Up("127.0.0.1:2")
+		known := fake.EndpointList("127.0.0.1:2")
 		if asks { // so that the balancer asks at once
 			known = discovery.List{}
 		}
-		c := fake.Config(t, known)
-		c.Module.AskDiscovery = asks
+		c := fake.NewConfig(t, known)
+		c.BalancerConfig.MustSubscribe = asks
 		d := followMoves(t, c, func(_ http.ResponseWriter, r *http.Request) { hang(r) })
 		wait(t, asked, "call")
 		for i, addr := range moves { // moves may repeat
-			d.Move(addr)
+			d.SetAddress(addr)
 			wait(t, given, "end of the old call")
 			wait(t, asked, "second call at the new address")
 			if got := <-first; got != "" {
 				t.Errorf("asks %v: first call with %q, want the whole list", asks, got)
 			}
-			got, _, _ := d.engine.Endpoint("s-0")
+			got, _, _ := d.engine.LookupEndpoint("s-0")
 			if want := fmt.Sprint("127.0.0.1:", 3+i); got != want {
 				t.Errorf("asks %v: endpoint at %s, want %s", asks, got, want)
 			}
@@ -98,7 +98,7 @@
 // Version 0 left out of a watch had each call answered with the whole list, at once.
 func TestWatchNamesItsVersion(t *testing.T) {
 	queries := make(chan string, 100)
-	news := fake.Up("127.0.0.1:2")
+	news := fake.EndpointList("127.0.0.1:2")
 	news.Generation = 0
 	follow(t, discovery.List{}, func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -125,7 +125,7 @@
 	}
 	done := make(chan struct{})
 	calls, began := 0, time.Now()
-	e := follow(t, fake.Up("127.0.0.1:2"), func(w http.ResponseWriter, r *http.Request) {
+	e := follow(t, fake.EndpointList("127.0.0.1:2"), func(w http.ResponseWriter, r *http.Request) {
 		switch calls++; {
 		case calls <= len(bad):
 			fmt.Fprint(w, bad[calls-1])
@@ -147,11 +147,11 @@
 		}
 	})
 	wait(t, done, "news")
-	if least := time.Duration(len(bad)) * config.Default().Discovery.Pause; time.Since(began) < least {
+	if least := time.Duration(len(bad)) * config.DefaultSettings().Discovery.MinPause; time.Since(began) < least {
 		t.Errorf("%d calls within %v", calls, time.Since(began))
 	}
 	for name, want := range map[string]bool{"s-0": true, "s-1": false} {
-		if _, inService, known := e.Endpoint(name); !known || inService != want {
+		if _, inService, known := e.LookupEndpoint(name); !known || inService != want {
 			t.Errorf("%s: in service %v, known %v, want in service %v", name, inService, known, want)
 		}
 	}
@@ -160,15 +160,15 @@
 // Where discovery is asked, it is asked when the balancer says so, and a call that fails is
 // the balancer's to repeat: a fleet that asked again at once would keep discovery down.
 func TestAsksWhenTold(t *testing.T) {
-	c := fake.Config(t, discovery.List{})
-	c.Module.AskDiscovery = true
+	c := fake.NewConfig(t, discovery.List{})
+	c.BalancerConfig.MustSubscribe = true
 	calls, listed := 0, make(chan struct{})
 	e := followConfig(t, c, func(w http.ResponseWriter, r *http.Request) {
 		switch calls++; calls {
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 2:
-			json.NewEncoder(w).Encode(fake.Up("127.0.0.1:2"))
+			json.NewEncoder(w).Encode(fake.EndpointList("127.0.0.1:2"))
 		case 3:
 			close(listed)
 			fallthrough
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/flow.go
@@ -14,23 +14,23 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// Flows counts requests and answers whose bodies were passed on as they arrived.
-type Flows struct {
-	Open          int   // requests that are
-	Taken         int64 // requests in all
-	Refused       int64 // for there being too many open
-	Answers       int64 // in all
-	Broken        int64 // requests or answers that did not come whole
-	SlowCallers   int64 // among those, for a caller's pace
-	SlowEndpoints int64 // or an endpoint's
-	reported      time.Time
+// StreamStats counts requests and answers whose bodies were passed on as they arrived.
+type StreamStats struct {
+	OpenRequests     int   // requests that are
+	AcceptedRequests int64 // requests in all
+	RefusedRequests  int64 // for there being too many open
+	Responses        int64 // in all
+	IncompleteBodies int64 // requests or answers that did not come whole
+	SlowCallers      int64 // among those, for a caller's pace
+	SlowEndpoints    int64 // or an endpoint's
+	reported         time.Time
 }
 
 // reportEvery is the least time between two lines in the log about bodies.
 const reportEvery = 10 * time.Second
 
-// Flows tells what has flowed.
-func (s *Server) Flows() (Flows, body.Stats) {
+// StreamStats tells what has flowed.
+func (s *Server) StreamStats() (StreamStats, body.Stats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.flows, s.bodies.Stats()
@@ -40,30 +40,30 @@
 func (s *Server) enter(most int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.flows.Open >= most {
-		s.flows.Refused++
+	if s.flows.OpenRequests >= most {
+		s.flows.RefusedRequests++
 		return false
 	}
-	s.flows.Open++
-	s.flows.Taken++
+	s.flows.OpenRequests++
+	s.flows.AcceptedRequests++
 	return true
 }
 
 func (s *Server) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flows.Open--
+	s.flows.OpenRequests--
 }
 
 // broke notes why a body did not come whole, and says now and then in the log what bodies do.
 func (s *Server) broke(err error) {
 	s.mu.Lock()
 	f := &s.flows
-	f.Broken++
+	f.IncompleteBodies++
 	switch {
-	case errors.Is(err, httpserver.ErrSlow), errors.Is(err, httpserver.ErrTime):
+	case errors.Is(err, httpserver.ErrCallerTooSlow), errors.Is(err, httpserver.ErrStreamDeadline):
 		f.SlowCallers++
-	case errors.Is(err, upstream.ErrSlow):
+	case errors.Is(err, upstream.ErrEndpointTooSlow):
 		f.SlowEndpoints++
 	}
 	now := time.Now()
@@ -77,55 +77,55 @@
 		return
 	}
 	held := s.bodies.Stats()
-	slog.Info("bodies", "why", err, "open", was.Open, "taken", was.Taken, "refused", was.Refused, "answers", was.Answers,
-		"broken", was.Broken, "slow callers", was.SlowCallers, "slow endpoints", was.SlowEndpoints,
-		"kept in memory", held.Memory, "files", held.Files, "in files", held.Filed, "not kept", held.Lost, "file errors", held.Failed)
+	slog.Info("bodies", "why", err, "open", was.OpenRequests, "taken", was.AcceptedRequests, "refused", was.RefusedRequests, "answers", was.Responses,
+		"broken", was.IncompleteBodies, "slow callers", was.SlowCallers, "slow endpoints", was.SlowEndpoints,
+		"kept in memory", held.MemoryBytes, "files", held.OpenFiles, "in files", held.FileBytes, "not kept", held.DiscardedBodies, "file errors", held.FileErrors)
 }
 
 // flow serves a call whose body is still arriving.
 func (s *Server) flow(x *httpserver.Exchange, c *engine.Call) {
 	set := &s.engine.Settings().Streams
-	if !s.enter(set.Open) {
-		s.engine.Done(c)
+	if !s.enter(set.MaxOpenRequests) {
+		s.engine.ReleaseCall(c)
 		x.Close = true // its body is not read
-		s.word(x, engine.Final{Refused: true, RetryAfter: s.cfg.Module.Limits.MaxRetryAfter})
+		s.word(x, engine.FinalResult{Refused: true, RetryAfter: s.cfg.BalancerConfig.Limits.MaxRetryAfter})
 		return
 	}
 	defer s.leave()
-	b := s.bodies.New(set.Limits(), c.Lost)
+	b := s.bodies.New(set.BodyLimits(), c.MarkBodyUnavailable)
 	defer b.Close() // also where there is a panic
-	c.Flow, c.Size, c.Arriving = b, x.Head().ContentLength(), true
-	if x.Head().Framing() == http1.Chunked {
-		c.Size = -1
+	c.StreamedBody, c.StreamedBodyLength, c.BodyArriving = b, x.RequestHead().ContentLength(), true
+	if x.RequestHead().Framing() == http1.Chunked {
+		c.StreamedBodyLength = -1
 	}
-	here := x.Watch(c)
+	here := x.NotifyDisconnect(c)
 	var broken error // its goroutine's until StopUpload
-	x.Upload(b, httpserver.Flow{Most: int64(set.MaxBody), Pace: set.Pace(), Until: c.Until}, func(err error) {
+	x.ReceiveBody(b, httpserver.StreamLimits{MaxBytes: int64(set.MaxRequestBody), RateMeter: set.RateMeter(), Deadline: c.Deadline}, func(err error) {
 		if err == nil {
-			c.Whole()
+			c.MarkBodyComplete()
 			return
 		}
 		broken = err
-		c.Leave()
+		c.Cancel()
 	})
 	f := s.engine.Serve(c, !here)
-	x.Unwatch()
-	if f.Flows {
-		b.Forgo()
+	x.StopNotifyDisconnect()
+	if f.Streaming {
+		b.StopRetaining()
 		s.pass(x, c, f)
 	}
 	b.Close()
-	x.StopUpload()
-	if !f.Flows {
+	x.StopReceiving()
+	if !f.Streaming {
 		s.wordFlow(x, f, broken)
 	}
-	s.engine.Done(c)
+	s.engine.ReleaseCall(c)
 }
 
 // wordFlow words the final answer to a request whose body may not have come whole: then nothing
 // can have run, and the caller is told what was wrong with it.
-func (s *Server) wordFlow(x *httpserver.Exchange, f engine.Final, broken error) {
-	if broken == nil || errors.Is(broken, body.ErrClosed) || f.Served != nil || f.Refused {
+func (s *Server) wordFlow(x *httpserver.Exchange, f engine.FinalResult, broken error) {
+	if broken == nil || errors.Is(broken, body.ErrClosed) || f.ServedBy != nil || f.Refused {
 		s.word(x, f)
 		return
 	}
@@ -135,39 +135,39 @@
 	switch {
 	case errors.As(broken, &wrong):
 		status = wrong.Status
-	case errors.Is(broken, httpserver.ErrTooLong):
+	case errors.Is(broken, httpserver.ErrBodyTooLarge):
 		status = http.StatusRequestEntityTooLarge
-	case errors.Is(broken, httpserver.ErrSlow), errors.Is(broken, httpserver.ErrTime):
+	case errors.Is(broken, httpserver.ErrCallerTooSlow), errors.Is(broken, httpserver.ErrStreamDeadline):
 		status = http.StatusRequestTimeout
 	}
-	x.Answer(status, plain, nil, []byte(broken.Error()+"\n"))
+	x.Respond(status, plain, nil, []byte(broken.Error()+"\n"))
 }
 
-// leaver ends an answer that flows as its caller goes.
-type leaver struct{ x *upstream.Exchange }
+// responseCanceler ends an answer that flows as its caller goes.
+type responseCanceler struct{ x *upstream.Exchange }
 
-func (l leaver) Leave() { l.x.End(upstream.ErrCanceled) }
+func (l responseCanceler) Cancel() { l.x.Cancel(upstream.ErrCanceled) }
 
 // pass passes an answer on as it comes. If it breaks off, so does the caller's, who sees that.
-func (s *Server) pass(x *httpserver.Exchange, c *engine.Call, f engine.Final) {
+func (s *Server) pass(x *httpserver.Exchange, c *engine.Call, f engine.FinalResult) {
 	s.mu.Lock()
-	s.flows.Answers++
+	s.flows.Responses++
 	s.mu.Unlock()
-	if !x.Watch(leaver{f.Served}) {
-		s.broke(httpserver.ErrGone)
+	if !x.NotifyDisconnect(responseCanceler{f.ServedBy}) {
+		s.broke(httpserver.ErrCallerDisconnected)
 		return
 	}
-	defer x.Unwatch()
+	defer x.StopNotifyDisconnect()
 	set := &s.engine.Settings().Streams
-	err := x.Begin(http.StatusOK, fieldsOf(f.Served), f.Served.Length(), httpserver.Flow{Pace: set.Pace(), Until: c.Until})
+	err := x.StartResponse(http.StatusOK, fieldsOf(f.ServedBy), f.ServedBy.ResponseBodyLength(), httpserver.StreamLimits{RateMeter: set.RateMeter(), Deadline: c.Deadline})
 	for err == nil {
 		var p []byte
-		if p, err = f.Served.Next(); err == io.EOF {
-			err = x.End(f.Served.Trailers())
+		if p, err = f.ServedBy.NextResponseData(); err == io.EOF {
+			err = x.FinishResponse(f.ServedBy.ResponseTrailers())
 			break
 		}
 		if err == nil {
-			err = x.Write(p)
+			err = x.WriteBody(p)
 		}
 	}
 	if err != nil {
--- a/internal/sidecar/flow_test.go
+++ b/internal/sidecar/flow_test.go
@@ -51,9 +51,9 @@
 	p.t.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		s := p.engine.Stats()
-		f, b := p.server.Flows()
-		b.Lost, b.Failed = 0, 0
-		if s.Calls == 0 && s.Attempts == 0 && f.Open == 0 && b == (body.Stats{}) {
+		f, b := p.server.StreamStats()
+		b.DiscardedBodies, b.FileErrors = 0, 0
+		if s.OpenCalls == 0 && s.AttemptsInFlight == 0 && f.OpenRequests == 0 && b == (body.Stats{}) {
 			return
 		}
 		if time.Now().After(end) {
@@ -75,7 +75,7 @@
 	up, down := noise(3<<20), noise(2<<20+1)
 	for _, asked := range []string{"length", "chunks"} {
 		for _, answered := range []string{"length", "chunks", "close"} {
-			addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+			addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 				h := sha256.New()
 				if _, err := io.Copy(h, r.Body); err != nil || [32]byte(h.Sum(nil)) != sha256.Sum256(up) {
 					t.Errorf("%s: the node got something else: %v", asked, err)
@@ -102,7 +102,7 @@
 				}
 				w.Write(down)
 			})
-			p := start(t, withSettings(t, fake.Up(addr), flows))
+			p := start(t, withSettings(t, fake.EndpointList(addr), flows))
 			length := int64(len(up))
 			if asked == "chunks" {
 				length = -1
@@ -125,11 +125,11 @@
 
 // A connection serves on after bodies that came whole, either way.
 func TestFlowsKeepConnections(t *testing.T) {
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		w.Write(text)
 	})
-	p := start(t, withSettings(t, fake.Up(addr), flows))
+	p := start(t, withSettings(t, fake.EndpointList(addr), flows))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -205,8 +205,8 @@
 	for _, class := range []string{"read", "book", "pay"} {
 		for _, after := range []int64{1, size / 2, size - 1, -1} {
 			b := &breaker{after: after}
-			addr := fake.HTTP(t, b.serve)
-			p := start(t, withSettings(t, fake.Up(addr, fake.HTTP(t, b.serve)), flows))
+			addr := fake.StartHTTPServer(t, b.serve)
+			p := start(t, withSettings(t, fake.EndpointList(addr, fake.StartHTTPServer(t, b.serve)), flows))
 			resp, _ := p.send(p.upload(class, bytes.NewReader(want), size))
 			served := after >= 0 && after <= size/2 || class != "pay"
 			if got := resp.StatusCode; served && got != 200 || !served && got != http.StatusBadGateway {
@@ -253,14 +253,14 @@
 	const size = 1 << 20
 	want := noise(size)
 	for name, store := range map[string]*body.Store{
-		"no file": body.NewStoreWith(func() (body.File, error) { return nil, syscall.EMFILE }),
-		"ENOSPC":  body.NewStoreWith(func() (body.File, error) { return &disk{room: size / 4, err: syscall.ENOSPC}, nil }),
-		"EDQUOT":  body.NewStoreWith(func() (body.File, error) { return &disk{room: size / 4, err: syscall.EDQUOT}, nil }),
-		"short":   body.NewStoreWith(func() (body.File, error) { return &disk{room: size/4 + 5, short: true}, nil }),
+		"no file": body.NewStoreWithFileOpener(func() (body.File, error) { return nil, syscall.EMFILE }),
+		"ENOSPC":  body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: size / 4, err: syscall.ENOSPC}, nil }),
+		"EDQUOT":  body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: size / 4, err: syscall.EDQUOT}, nil }),
+		"short":   body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: size/4 + 5, short: true}, nil }),
 	} {
 		for class, status := range map[string]int{"read": 503, "book": 503, "pay": 502} {
 			b := &breaker{after: -1}
-			p := start(t, withSettings(t, fake.Up(fake.HTTP(t, b.serve), fake.HTTP(t, b.serve)), flows))
+			p := start(t, withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), flows))
 			p.server.bodies = store
 			resp, _ := p.send(p.upload(class, bytes.NewReader(want), size))
 			b.mu.Lock()
@@ -277,12 +277,12 @@
 // worse for it: the next request goes there at once.
 func TestSlowCaller(t *testing.T) {
 	var broken atomic.Int32
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			broken.Add(1)
 		}
 	})
-	p := start(t, withSettings(t, fake.Up(addr), flowsSlow))
+	p := start(t, withSettings(t, fake.EndpointList(addr), flowsSlow))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -315,7 +315,7 @@
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != 200 {
 		t.Errorf("the endpoint is blamed: %s", resp.Status)
 	}
-	if f, _ := p.server.Flows(); f.SlowCallers != 1 || f.SlowEndpoints != 0 || broken.Load() != 1 {
+	if f, _ := p.server.StreamStats(); f.SlowCallers != 1 || f.SlowEndpoints != 0 || broken.Load() != 1 {
 		t.Errorf("%+v, %d broken at the node", f, broken.Load())
 	}
 }
@@ -335,7 +335,7 @@
 			t.Error("the second node got something else")
 		}
 	}
-	p := start(t, withSettings(t, fake.Up(fake.HTTP(t, node), fake.HTTP(t, node)), flowsSlow))
+	p := start(t, withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), flowsSlow))
 	defer close(stop)
 	if resp, _ := p.send(p.upload("pay", bytes.NewReader(want), int64(len(want)))); resp.StatusCode != 200 || !first.Load() {
 		t.Errorf("%s", resp.Status)
@@ -355,7 +355,7 @@
 		{"short", []byte("enough"), false}, {"short, the caller has stopped", []byte("enough"), true},
 		{"long", long, false}, {"long, the caller has stopped", long, true},
 	} {
-		addr := fake.TCP(t, func(n net.Conn) {
+		addr := fake.StartTCPServer(t, func(n net.Conn) {
 			defer n.Close()
 			in := bufio.NewReader(n)
 			if _, err := http.ReadRequest(in); err != nil {
@@ -365,7 +365,7 @@
 			n.Write(c.answer)
 			io.Copy(io.Discard, in)
 		})
-		p := start(t, withSettings(t, fake.Up(addr), flows))
+		p := start(t, withSettings(t, fake.EndpointList(addr), flows))
 		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -400,9 +400,9 @@
 		for _, how := range []string{"reset", "end", "silence", "bad chunk"} {
 			var seen atomic.Int32
 			stop := make(chan struct{})
-			addr := fake.TCP(t, func(n net.Conn) {
+			addr := fake.StartTCPServer(t, func(n net.Conn) {
 				defer n.Close()
-				if err := fake.ReadRequest(bufio.NewReader(n)); err != nil {
+				if err := fake.DiscardRequest(bufio.NewReader(n)); err != nil {
 					return
 				}
 				seen.Add(1)
@@ -421,7 +421,7 @@
 					io.WriteString(n, "zz\r\n")
 				}
 			})
-			p := start(t, withSettings(t, fake.Up(addr, addr), flowsSlow))
+			p := start(t, withSettings(t, fake.EndpointList(addr, addr), flowsSlow))
 			resp, err := http.DefaultTransport.RoundTrip(p.request("read", ""))
 			if err == nil {
 				var got []byte
@@ -443,9 +443,9 @@
 // Until part of an answer has gone to the caller, another attempt may answer.
 func TestLookFirst(t *testing.T) {
 	var seen atomic.Int32
-	addr := fake.TCP(t, func(n net.Conn) {
+	addr := fake.StartTCPServer(t, func(n net.Conn) {
 		defer n.Close()
-		if err := fake.ReadRequest(bufio.NewReader(n)); err != nil {
+		if err := fake.DiscardRequest(bufio.NewReader(n)); err != nil {
 			return
 		}
 		if seen.Add(1) == 1 { // less than what is looked at
@@ -454,7 +454,7 @@
 		}
 		fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n%s", noise(100000))
 	})
-	p := start(t, withSettings(t, fake.Up(addr, addr), flows))
+	p := start(t, withSettings(t, fake.EndpointList(addr, addr), flows))
 	if resp, got := p.send(p.request("read", "")); resp.StatusCode != 200 || got != string(noise(100000)) || seen.Load() != 2 {
 		t.Errorf("%s, %d bytes, %d attempts", resp.Status, len(got), seen.Load())
 	}
@@ -465,9 +465,9 @@
 func TestCallerStopsReading(t *testing.T) {
 	for _, goes := range []bool{false, true} {
 		let := make(chan struct{})
-		addr := fake.TCP(t, func(n net.Conn) {
+		addr := fake.StartTCPServer(t, func(n net.Conn) {
 			defer n.Close()
-			if err := fake.ReadRequest(bufio.NewReader(n)); err != nil {
+			if err := fake.DiscardRequest(bufio.NewReader(n)); err != nil {
 				return
 			}
 			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
@@ -478,7 +478,7 @@
 		if goes {
 			text = flows
 		}
-		p := start(t, withSettings(t, fake.Up(addr), text))
+		p := start(t, withSettings(t, fake.EndpointList(addr), text))
 		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -490,7 +490,7 @@
 		}
 		wait(t, let, "the endpoint is let go")
 		p.ended()
-		if f, _ := p.server.Flows(); f.Broken != 1 || f.SlowEndpoints != 0 || !goes && f.SlowCallers != 1 {
+		if f, _ := p.server.StreamStats(); f.IncompleteBodies != 1 || f.SlowEndpoints != 0 || !goes && f.SlowCallers != 1 {
 			t.Errorf("%+v", f)
 		}
 		caller.Close()
@@ -500,18 +500,18 @@
 // A caller goes in the middle of its upload: no endpoint gets it whole.
 func TestCallerGoesMidUpload(t *testing.T) {
 	came := make(chan error, 1)
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		came <- err
 	})
-	p := start(t, withSettings(t, fake.Up(addr), flows))
+	p := start(t, withSettings(t, fake.EndpointList(addr), flows))
 	for _, chunked := range []string{"Content-Length: 1000000\r\n\r\n" + strings.Repeat("x", 500_000), "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"} {
 		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: g\r\nX-Priority-Class: pay\r\n%s", chunked)
-		for p.engine.Stats().Attempts == 0 {
+		for p.engine.Stats().AttemptsInFlight == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		c.Close()
@@ -526,12 +526,12 @@
 // on of them never becomes a whole request at the endpoint.
 func TestFlowFraming(t *testing.T) {
 	var whole atomic.Int32
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
 			whole.Add(1)
 		}
 	})
-	p := start(t, withSettings(t, fake.Up(addr), strings.Replace(flows, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
+	p := start(t, withSettings(t, fake.EndpointList(addr), strings.Replace(flows, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
 	good := "5\r\nhello\r\n"
 	for text, status := range map[string]int{
 		good + "zz\r\n":                         400,
@@ -573,8 +573,8 @@
 
 // A caller that waits for a 100 gets it once its body is wanted, and none where it is not.
 func TestContinueOnlyIfWanted(t *testing.T) {
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	for name, list := range map[string]discovery.List{"wanted": fake.Up(addr), "not wanted": fake.Up()} {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	for name, list := range map[string]discovery.List{"wanted": fake.EndpointList(addr), "not wanted": fake.EndpointList()} {
 		p := start(t, withSettings(t, list, flows))
 		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
@@ -610,9 +610,9 @@
 // Only so many such requests are let in; one more is told when to come back, while short ones
 // are served as ever.
 func TestFlowsAreBounded(t *testing.T) {
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	c := withSettings(t, fake.Up(addr), flows+"open = 1\n")
-	c.Module.Limits.MaxRetryAfter = 2 * time.Second
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	c := withSettings(t, fake.EndpointList(addr), flows+"open = 1\n")
+	c.BalancerConfig.Limits.MaxRetryAfter = 2 * time.Second
 	p := start(t, c)
 	in, out := io.Pipe()
 	done := make(chan *http.Response, 1)
@@ -621,7 +621,7 @@
 		done <- resp
 	}()
 	out.Write(make([]byte, 1000))
-	for f, _ := p.server.Flows(); f.Open == 0; f, _ = p.server.Flows() {
+	for f, _ := p.server.StreamStats(); f.OpenRequests == 0; f, _ = p.server.StreamStats() {
 		time.Sleep(time.Millisecond)
 	}
 	req := p.upload("book", bytes.NewReader(make([]byte, 100_000)), 100_000)
@@ -646,7 +646,7 @@
 // nothing new is sent there.
 func TestDrainMidUpload(t *testing.T) {
 	var old, other atomic.Int32
-	list := fake.Up(fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	list := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		old.Add(1)
 		io.Copy(io.Discard, r.Body)
 	}))
@@ -662,10 +662,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	list.Instances[0].Lifecycle = "draining"
-	fresh := fake.Up(fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { other.Add(1) })).Instances[0]
+	fresh := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { other.Add(1) })).Instances[0]
 	fresh.ID = "s-fresh"
 	list.Instances = append(list.Instances, fresh)
-	p.engine.List(&list)
+	p.engine.UpdateEndpoints(&list)
 	req := p.request("pay", "short")
 	req.Header.Set("X-Request-ID", "another")
 	if resp, _ := p.send(req); resp.StatusCode != 200 {
@@ -682,8 +682,8 @@
 // The end and a change of settings come while 100 streams are open: all get their answers whole.
 func TestShutdownAndReloadWithStreams(t *testing.T) {
 	const streams, half = 100, 100_000
-	addr := fake.HTTP(t, echo)
-	p := start(t, withSettings(t, fake.Up(addr), flows))
+	addr := fake.StartHTTPServer(t, echo)
+	p := start(t, withSettings(t, fake.EndpointList(addr), flows))
 	want := noise(2 * half)
 	var begun, ended sync.WaitGroup
 	rest := make(chan struct{})
@@ -715,7 +715,7 @@
 		}()
 	}
 	begun.Wait()
-	p.engine.Apply(settings(t, strings.Replace(flows, `"128KiB"`, `"0"`, 1)))
+	p.engine.ApplySettings(settings(t, strings.Replace(flows, `"128KiB"`, `"0"`, 1)))
 	down := make(chan struct{})
 	go func() {
 		p.server.Shutdown()
@@ -736,7 +736,7 @@
 	var whole atomic.Int32
 	first := make(chan struct{}, 2)
 	second := make(chan struct{})
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case first <- struct{}{}:
 		default:
@@ -753,8 +753,8 @@
 			reset(w)
 		}
 	})
-	c := withSettings(t, fake.Up(addr, addr), flows)
-	c.Module.Classes[c.Classes["book"]].RepeatWindow = 300 * time.Millisecond
+	c := withSettings(t, fake.EndpointList(addr, addr), flows)
+	c.BalancerConfig.Classes[c.ClassIndex["book"]].RepeatWindow = 300 * time.Millisecond
 	p := start(t, c)
 	want := noise(32 << 20)
 	resp, err := http.DefaultTransport.RoundTrip(p.upload("book", bytes.NewReader(want), int64(len(want))))
@@ -822,9 +822,9 @@
 			w.Write(noise(200_000))
 		}
 	}
-	addrs := []string{fake.HTTP(t, node), fake.HTTP(t, node), fake.HTTP(t, node), "127.0.0.1:1"}
-	p := start(t, withSettings(t, fake.Up(addrs...), strings.Replace(flows, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
-	p.server.bodies = body.NewStoreWith(func() (body.File, error) { return &disk{room: 500_000, err: syscall.ENOSPC}, nil })
+	addrs := []string{fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), "127.0.0.1:1"}
+	p := start(t, withSettings(t, fake.EndpointList(addrs...), strings.Replace(flows, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
+	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: 500_000, err: syscall.ENOSPC}, nil })
 	var wg sync.WaitGroup
 	for i := range 200 {
 		id := fmt.Sprintf("%c-%d", 'a'+rng.IntN(26), i)
@@ -891,7 +891,7 @@
 // nothing: it is ended in bounded time, and the endpoint is let go.
 func TestAnswersEarlyToNobody(t *testing.T) {
 	let := make(chan struct{})
-	addr := fake.TCP(t, func(n net.Conn) {
+	addr := fake.StartTCPServer(t, func(n net.Conn) {
 		defer n.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(n)); err != nil {
 			return
@@ -900,7 +900,7 @@
 		io.CopyN(n, zeros{}, 60_000_000)
 		close(let)
 	})
-	p := start(t, withSettings(t, fake.Up(addr), flowsSlow))
+	p := start(t, withSettings(t, fake.EndpointList(addr), flowsSlow))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -918,8 +918,8 @@
 // is out gets the whole of it, and the booking is served.
 func TestDiskFillsDuringRetry(t *testing.T) {
 	b := &breaker{after: 50_000}
-	p := start(t, withSettings(t, fake.Up(fake.HTTP(t, b.serve), fake.HTTP(t, b.serve)), flows))
-	p.server.bodies = body.NewStoreWith(func() (body.File, error) { return &disk{room: 400_000, err: syscall.ENOSPC}, nil })
+	p := start(t, withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), flows))
+	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: 400_000, err: syscall.ENOSPC}, nil })
 	want := noise(2 << 20)
 	in, out := io.Pipe()
 	done := make(chan *http.Response, 1)
@@ -939,7 +939,7 @@
 	out.Write(want[100_000:])
 	out.Close()
 	resp := <-done
-	if _, held := p.server.Flows(); resp.StatusCode != 200 || seen() != 2 || b.whole[0] != sha256.Sum256(want) || held.Lost != 1 || held.Failed != 1 {
+	if _, held := p.server.StreamStats(); resp.StatusCode != 200 || seen() != 2 || b.whole[0] != sha256.Sum256(want) || held.DiscardedBodies != 1 || held.FileErrors != 1 {
 		t.Errorf("%s, sent %d times, %+v", resp.Status, seen(), held)
 	}
 	p.ended()
@@ -969,9 +969,9 @@
 			<-stop
 		}
 	}
-	c := withSettings(t, fake.Up(fake.HTTP(t, node), fake.HTTP(t, node), fake.HTTP(t, node)), flows)
-	c.Module.Reporting, c.Module.Limits.Probes = balance.ReportsProbe, true
-	c.Module.Classes[c.Classes["book"]].Goal = 10 * time.Second // a quarter of it is what a call is taken to need at first
+	c := withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), flows)
+	c.BalancerConfig.Reporting, c.BalancerConfig.Limits.Probes = balance.ReportsInProbe, true
+	c.BalancerConfig.Classes[c.ClassIndex["book"]].TargetLatency = 10 * time.Second // a quarter of it is what a call is taken to need at first
 	p := start(t, c)
 	defer close(stop)
 	for i := range 60 { // calls are quick, so that a hedge comes soon
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/live_test.go
@@ -29,23 +29,23 @@
 // withSettings is a configuration for tests narrowed by a file.
 func withSettings(t *testing.T, known discovery.List, text string) *config.Config {
 	t.Helper()
-	return config.Merge(fake.Config(t, known).Platform, settings(t, text))
+	return config.Merge(fake.NewConfig(t, known).Platform, settings(t, text))
 }
 
 // Each limit of the file holds, and what may change at SIGHUP changes with Apply.
 func TestBodyLimitsAreTheFiles(t *testing.T) {
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, strings.Repeat("x", 2000))
 	})
-	p := start(t, withSettings(t, fake.Up(addr, addr, addr), "[callers]\nmax_body = \"1KiB\"\n[endpoints]\nmax_answer = \"1KiB\"\n"))
+	p := start(t, withSettings(t, fake.EndpointList(addr, addr, addr), "[callers]\nmax_body = \"1KiB\"\n[endpoints]\nmax_answer = \"1KiB\"\n"))
 	if resp, _ := p.send(p.request("book", strings.Repeat("x", 1025))); resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("a long body: %s", resp.Status)
 	}
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("a long answer: %s", resp.Status)
 	}
-	p.engine.Apply(settings(t, "[callers]\nmax_body = \"2KiB\"\n[endpoints]\nmax_answer = \"2KiB\"\n"))
+	p.engine.ApplySettings(settings(t, "[callers]\nmax_body = \"2KiB\"\n[endpoints]\nmax_answer = \"2KiB\"\n"))
 	if resp, body := p.send(p.request("book", strings.Repeat("x", 1025))); resp.StatusCode != 200 || len(body) != 2000 {
 		t.Errorf("after the change: %s, %d bytes", resp.Status, len(body))
 	}
@@ -58,8 +58,8 @@
 		ran.Add(1)
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	addr := fake.HTTP(t, fail)
-	many := fake.Up(addr, addr, addr, addr, addr, addr, addr, addr) // those that failed are passed over for a while
+	addr := fake.StartHTTPServer(t, fail)
+	many := fake.EndpointList(addr, addr, addr, addr, addr, addr, addr, addr) // those that failed are passed over for a while
 	p := start(t, withSettings(t, many, "[class.book]\nretries = 0\n"))
 	ask := func(want int32) {
 		t.Helper()
@@ -69,26 +69,26 @@
 		}
 	}
 	ask(1)
-	p.engine.Apply(settings(t, "[class.book]\nattempts = 2\n"))
+	p.engine.ApplySettings(settings(t, "[class.book]\nattempts = 2\n"))
 	ask(2)
-	p.engine.Apply(settings(t, ""))
+	p.engine.ApplySettings(settings(t, ""))
 	ask(3) // the platform's own bound
-	p.engine.Apply(settings(t, "[class.book]\nretry_within = \"1ms\"\n"))
+	p.engine.ApplySettings(settings(t, "[class.book]\nretry_within = \"1ms\"\n"))
 	time.Sleep(2 * time.Millisecond)
-	slow := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	slow := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
 		time.Sleep(5 * time.Millisecond)
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	l := fake.Up(slow, slow)
-	p.engine.List(&l)
+	l := fake.EndpointList(slow, slow)
+	p.engine.UpdateEndpoints(&l)
 	ask(1)
 }
 
 // A wanted time that the file shortens ends a request that no endpoint answers.
 func TestWantedIsTheFiles(t *testing.T) {
-	addr := fake.TCP(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	p := start(t, withSettings(t, fake.Up(addr), "[class.pay]\nwanted = \"50ms\"\ndeadline = \"100ms\"\n"))
+	addr := fake.StartTCPServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	p := start(t, withSettings(t, fake.EndpointList(addr), "[class.pay]\nwanted = \"50ms\"\ndeadline = \"100ms\"\n"))
 	resp, _ := p.send(p.request("pay", "x")) // the caller would wait for 20 s
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%s, want a failure", resp.Status)
@@ -97,8 +97,8 @@
 
 // All listeners of a sidecar share its places for callers.
 func TestListenersSharePlaces(t *testing.T) {
-	c := fake.Config(t, fake.Up(fake.HTTP(t, func(http.ResponseWriter, *http.Request) {})))
-	c.Settings.Callers.Connections = 4
+	c := fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
+	c.Settings.Callers.MaxConnections = 4
 	p := start(t, c)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +107,7 @@
 	go p.server.Serve(l)
 	first, second := strings.TrimPrefix(p.url, "http://"), l.Addr().String()
 	for _, addr := range []string{first, second} {
-		req, err := fake.NewRequest(context.Background(), addr, fake.Order{ID: addr, Class: "read", Tenant: "acme", Timeout: patience})
+		req, err := fake.NewHTTPRequest(context.Background(), addr, fake.CallerRequest{ID: addr, Class: "read", Tenant: "acme", Timeout: patience})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,19 +115,19 @@
 			t.Errorf("%s: %s", addr, resp.Status)
 		}
 	}
-	if got := c.CallerConnections(); got != 4 {
+	if got := c.MaxCallerConnections(); got != 4 {
 		t.Errorf("%d places", got)
 	}
 }
 
 // Settings may change while requests are under way: each gets its one answer.
 func TestApplyUnderLoad(t *testing.T) {
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	p := start(t, fake.Config(t, fake.Up(addr, addr)))
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr, addr)))
 	stop := make(chan struct{})
 	var changes sync.WaitGroup
 	changes.Add(1)
-	texts := []*config.Settings{settings(t, "[class.book]\nattempts = 1\nsecond_copies = false\n"), settings(t, "[probe]\ntime = \"1s\"\n"), config.Default()}
+	texts := []*config.Settings{settings(t, "[class.book]\nattempts = 1\nsecond_copies = false\n"), settings(t, "[probe]\ntime = \"1s\"\n"), config.DefaultSettings()}
 	go func() {
 		defer changes.Done()
 		for i := 0; ; i++ {
@@ -135,7 +135,7 @@
 			case <-stop:
 				return
 			default:
-				p.engine.Apply(texts[i%len(texts)])
+				p.engine.ApplySettings(texts[i%len(texts)])
 			}
 		}
 	}()
@@ -147,8 +147,8 @@
 		go func() {
 			defer callers.Done()
 			for range 30 {
-				o := fake.Order{ID: caller.NextID(), Class: "book", Tenant: "acme", Key: "k", Body: "x", Timeout: patience}
-				req, err := fake.NewRequest(context.Background(), strings.TrimPrefix(p.url, "http://"), o)
+				o := fake.CallerRequest{ID: caller.NextID(), Class: "book", Tenant: "acme", IdempotencyKey: "k", Body: "x", Timeout: patience}
+				req, err := fake.NewHTTPRequest(context.Background(), strings.TrimPrefix(p.url, "http://"), o)
 				if err != nil {
 					t.Error(err)
 					return
--- a/internal/sidecar/reset_test.go
+++ b/internal/sidecar/reset_test.go
@@ -25,7 +25,7 @@
 		}
 		io.WriteString(w, r.Header.Get("X-Request-ID"))
 	}
-	p := start(t, fake.Config(t, fake.Up(fake.HTTP(t, echo), fake.HTTP(t, echo), fake.HTTP(t, echo))))
+	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo))))
 	const head = "POST /api/%s HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx"
 	text := func(path, id string) string {
 		return strings.NewReplacer("%s HTTP", path+" HTTP", "ID: %s", "ID: "+id).Replace(head)
@@ -58,7 +58,7 @@
 	}
 	<-done
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		if s := p.engine.Stats(); s.Calls == 0 && s.Attempts == 0 {
+		if s := p.engine.Stats(); s.OpenCalls == 0 && s.AttemptsInFlight == 0 {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -30,13 +30,13 @@
 type Server struct {
 	cfg    *config.Config
 	engine *engine.Engine
-	door   *httpserver.Door
+	door   *httpserver.Server
 
 	bodies *body.Store
 
 	mu    sync.Mutex
 	ids   map[string]struct{} // of the requests that are open
-	flows Flows
+	flows StreamStats
 }
 
 // NewServer returns a Server that hands its requests to an engine.
@@ -44,11 +44,11 @@
 	s := &Server{cfg: c, engine: e, bodies: body.NewStore(os.TempDir()), ids: make(map[string]struct{})}
 	var err error
 	s.door, err = httpserver.New(httpserver.Config{
-		Handler: front{s}, Places: c.CallerConnections(), MaxHead: int(c.Settings.Callers.MaxHead),
-		MaxBody: func() int { return int(s.engine.Settings().Callers.MaxBody) },
-		Times: func() httpserver.Times {
+		Handler: front{s}, MaxConnections: c.MaxCallerConnections(), MaxHeadBytes: int(c.Settings.Callers.MaxRequestHead),
+		MaxBodyBytes: func() int { return int(s.engine.Settings().Callers.MaxRequestBody) },
+		Timeouts: func() httpserver.Timeouts {
 			k := &s.engine.Settings().Callers
-			return httpserver.Times{Head: k.HeadTime, Body: k.BodyTime, Idle: k.IdleTime, Write: k.WriteTime, Grace: k.EvictionGrace}
+			return httpserver.Timeouts{Head: k.HeadTimeout, Body: k.BodyTimeout, Idle: k.IdleTimeout, Write: k.WriteTimeout, EvictionGrace: k.EvictionGrace}
 		},
 	})
 	return s, err
@@ -64,11 +64,11 @@
 // answer. Nothing is waited for beyond the time at which the platform may end the process.
 func (s *Server) Shutdown() {
 	end := s.engine.Settings().Shutdown
-	most := end.Linger + s.cfg.ShutdownDeadline() + end.Spare
+	most := end.AcceptGrace + s.cfg.ShutdownRequestTimeout() + end.DeadlineMargin
 	ctx, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
-	s.engine.EndBy(time.Now().Add(most - answerReserve))
-	if left := s.door.Shutdown(ctx, end.Linger); left > 0 { // a caller that sent no whole request is owed nothing
+	s.engine.SetShutdownDeadline(time.Now().Add(most - answerReserve))
+	if left := s.door.Shutdown(ctx, end.AcceptGrace); left > 0 { // a caller that sent no whole request is owed nothing
 		slog.Warn("shutdown: connections left", "connections", left)
 	}
 }
@@ -98,63 +98,63 @@
 // front is the Server as the door's handler.
 type front struct{ *Server }
 
-// Head judges a request by its head, see door.Handler.
-func (s front) Head(x *httpserver.Exchange) *httpserver.Refusal {
-	r, set := x.Head(), s.engine.Settings()
+// CheckHead judges a request by its head, see door.Handler.
+func (s front) CheckHead(x *httpserver.Exchange) *httpserver.ErrorResponse {
+	r, set := x.RequestHead(), s.engine.Settings()
 	n := r.ContentLength()
-	x.Flows = set.Streams.Takes() && !health(r) &&
-		(r.Framing() == http1.Chunked && set.Streams.Chunks() || n > int64(set.Callers.MaxBody) && n <= int64(set.Streams.MaxBody))
+	x.Streaming = set.Streams.RequestsEnabled() && !health(r) &&
+		(r.Framing() == http1.Chunked && set.Streams.ChunkedEnabled() || n > int64(set.Callers.MaxRequestBody) && n <= int64(set.Streams.MaxRequestBody))
 	switch {
-	case x.Flows:
-	case n > int64(set.Callers.MaxBody):
-		return &httpserver.Refusal{Status: http.StatusRequestEntityTooLarge, Why: fmt.Sprintf("body: %d bytes are too many", n)}
+	case x.Streaming:
+	case n > int64(set.Callers.MaxRequestBody):
+		return &httpserver.ErrorResponse{Status: http.StatusRequestEntityTooLarge, Message: fmt.Sprintf("body: %d bytes are too many", n)}
 	case health(r):
 		return nil
 	}
 	c := s.engine.NewCall()
 	if err := s.parse(c, r); err != nil {
-		s.engine.Done(c)
-		return &httpserver.Refusal{Status: http.StatusBadRequest, Why: err.Error()}
+		s.engine.ReleaseCall(c)
+		return &httpserver.ErrorResponse{Status: http.StatusBadRequest, Message: err.Error()}
 	}
-	x.State = c
+	x.HandlerState = c
 	return nil
 }
 
-// Serve answers a request, see door.Handler.
-func (s front) Serve(x *httpserver.Exchange) {
-	c, ok := x.State.(*engine.Call)
+// ServeExchange answers a request, see door.Handler.
+func (s front) ServeExchange(x *httpserver.Exchange) {
+	c, ok := x.HandlerState.(*engine.Call)
 	if !ok {
 		status := http.StatusOK
 		if s.door.Draining() || !s.engine.Ready() {
 			status = http.StatusServiceUnavailable
 		}
-		x.Answer(status, "", nil, nil)
+		x.Respond(status, "", nil, nil)
 		return
 	}
-	if !s.open(c.Name) {
-		s.engine.Done(c)
+	if !s.open(c.CallerRequestID) {
+		s.engine.ReleaseCall(c)
 		x.Close = true
-		x.Answer(http.StatusConflict, plain, nil, []byte("X-Request-ID: a request with it is open\n"))
+		x.Respond(http.StatusConflict, plain, nil, []byte("X-Request-ID: a request with it is open\n"))
 		return
 	}
-	defer s.closed(c.Name)
-	c.Head, c.Body, c.CallerGone = x.Head(), x.Body, x.Gone
-	margin := min(s.engine.Settings().Callers.AnswerMargin, c.Budget/10)
-	c.Until = x.Came().Add(c.Budget - margin)
-	c.Budget -= 2*margin + time.Since(x.Came())
-	if x.Flows {
+	defer s.closed(c.CallerRequestID)
+	c.Head, c.Body, c.CallerDisconnected = x.RequestHead(), x.Body, x.CallerDisconnected
+	margin := min(s.engine.Settings().Callers.ResponseMargin, c.Timeout/10)
+	c.Deadline = x.ReceivedAt().Add(c.Timeout - margin)
+	c.Timeout -= 2*margin + time.Since(x.ReceivedAt())
+	if x.Streaming {
 		s.flow(x, c)
 		return
 	}
-	here := x.Watch(c)
+	here := x.NotifyDisconnect(c)
 	f := s.engine.Serve(c, !here)
-	x.Unwatch()
-	if f.Flows {
+	x.StopNotifyDisconnect()
+	if f.Streaming {
 		s.pass(x, c, f)
 	} else {
 		s.word(x, f)
 	}
-	s.engine.Done(c)
+	s.engine.ReleaseCall(c)
 }
 
 const plain = "text/plain; charset=utf-8"
@@ -163,29 +163,29 @@
 
 // word words a final answer. Only a refusal is worded 503: it tells the caller that trying
 // again does no harm.
-func (s *Server) word(x *httpserver.Exchange, f engine.Final) {
+func (s *Server) word(x *httpserver.Exchange, f engine.FinalResult) {
 	switch {
-	case f.Served != nil:
-		x.Answer(http.StatusOK, "", fieldsOf(f.Served), f.Served.Body())
+	case f.ServedBy != nil:
+		x.Respond(http.StatusOK, "", fieldsOf(f.ServedBy), f.ServedBy.ResponseBody())
 	case f.Refused:
-		x.Answer(http.StatusServiceUnavailable, plain, func(b []byte) []byte {
+		x.Respond(http.StatusServiceUnavailable, plain, func(b []byte) []byte {
 			if f.RetryAfter > 0 {
 				b = http1.AppendRetryAfter(b, f.RetryAfter)
 			}
 			return b
 		}, refused)
 	default:
-		x.Answer(http.StatusBadGateway, plain, nil, failed)
+		x.Respond(http.StatusBadGateway, plain, nil, failed)
 	}
 }
 
 // fieldsOf appends the fields of an endpoint's answer that go to the caller.
 func fieldsOf(x *upstream.Exchange) func(b []byte) []byte {
 	return func(b []byte) []byte {
-		head := x.Head()
-		for i := range head.Len() {
+		head := x.ResponseHead()
+		for i := range head.NumFields() {
 			if f := head.Field(i); passedOn(head, f.Name) {
-				b = http1.AppendParsed(b, f)
+				b = http1.AppendParsedField(b, f)
 			}
 		}
 		return b
@@ -194,8 +194,8 @@
 
 // passedOn tells whether a field of an endpoint's answer goes to the caller: Date is the
 // door's, and a load report is for this sidecar.
-func passedOn(head *http1.Answer, name []byte) bool {
-	return !http1.Is(name, "Date") && !http1.Is(name, "X-Server-Load") && head.EndToEnd(name)
+func passedOn(head *http1.Response, name []byte) bool {
+	return !http1.EqualFieldName(name, "Date") && !http1.EqualFieldName(name, "X-Server-Load") && head.IsEndToEnd(name)
 }
 
 // ownFields are those of the protocol that may stand in a request once.
@@ -214,7 +214,7 @@
 		if n > 1 { // an endpoint may read another than the first
 			return fmt.Errorf("%s: given more than once", name)
 		}
-		if n > 0 && r.Named([]byte(name)) { // and would not get it
+		if n > 0 && r.IsConnectionOption([]byte(name)) { // and would not get it
 			return fmt.Errorf("%s: named by Connection", name)
 		}
 		own[i] = v
@@ -224,36 +224,36 @@
 		return errors.New("X-Request-ID: missing or too long")
 	}
 	var ok bool
-	if c.Class, ok = s.cfg.Classes[string(class)]; !ok {
+	if c.Class, ok = s.cfg.ClassIndex[string(class)]; !ok {
 		return fmt.Errorf("X-Priority-Class: unknown class %.40q", class)
 	}
-	k := &s.cfg.Module.Classes[c.Class]
+	k := &s.cfg.BalancerConfig.Classes[c.Class]
 	// A keyed request without its key would be sent again to endpoints that can't tell it for a repeat.
 	if k.Semantics == balance.Keyed && len(key) == 0 {
 		return fmt.Errorf("Idempotency-Key: missing for class %q", class)
 	}
-	if len(tenant) > 0 && len(s.cfg.Tenants) > 0 {
-		if c.Tenant, ok = s.cfg.Tenants[string(tenant)]; !ok {
+	if len(tenant) > 0 && len(s.cfg.TenantIndex) > 0 {
+		if c.Tenant, ok = s.cfg.TenantIndex[string(tenant)]; !ok {
 			return fmt.Errorf("X-Tenant-Id: unknown tenant %.40q", tenant)
 		}
 	}
-	c.Budget = k.Deadline
+	c.Timeout = k.Deadline
 	if len(timeout) > 0 {
 		budget, ok := parseTimeout(timeout)
 		if !ok {
 			return fmt.Errorf("X-Timeout: bad value %.40q", timeout)
 		}
-		c.Budget = min(budget, c.Budget) // no client of the class waits for longer
+		c.Timeout = min(budget, c.Timeout) // no client of the class waits for longer
 	}
 	if len(cost) > 0 {
 		us, err := strconv.ParseFloat(string(cost), 64)
 		if err != nil || !(us >= 0 && us < maxTimeout.Seconds()*1e6) {
 			return fmt.Errorf("X-Cost: bad value %.40q", cost)
 		}
-		c.Work = time.Duration(us * float64(time.Microsecond))
+		c.ExpectedWork = time.Duration(us * float64(time.Microsecond))
 	}
-	c.Repeat = string(retried) == "1"
-	c.Name = string(id)
+	c.ClientRetry = string(retried) == "1"
+	c.CallerRequestID = string(id)
 	return nil
 }
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -62,13 +62,13 @@
 // newRequest returns a request as a client sends it.
 func newRequest(ctx context.Context, t *testing.T, url, class, body string) *http.Request {
 	t.Helper()
-	o := fake.Order{
+	o := fake.CallerRequest{
 		ID: "9b1f03aa5c7e2d41", Class: class, Tenant: "acme", Path: "a%2Fb?x=1", Body: body, Timeout: patience,
 	}
 	if class == "book" {
-		o.Key = "5c0f"
+		o.IdempotencyKey = "5c0f"
 	}
-	req, err := fake.NewRequest(ctx, strings.TrimPrefix(url, "http://"), o)
+	req, err := fake.NewHTTPRequest(ctx, strings.TrimPrefix(url, "http://"), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,7 +109,7 @@
 // What must go on unchanged does, and so does the answer's body.
 func TestServes(t *testing.T) {
 	answer := "\x1f\x8bnot gzip\x00"
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		_, timed := parseTimeout([]byte(r.Header.Get("X-Timeout")))
 		if r.RequestURI != "/api/a%2Fb?x=1" || r.Header.Get("X-Request-ID") != "9b1f03aa5c7e2d41" || !timed ||
@@ -119,7 +119,7 @@
 		w.Header().Set("Content-Encoding", "gzip")
 		io.WriteString(w, answer)
 	})
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	for _, class := range []string{"read", "book", "pay"} {
 		body := "hello"
 		if class == "read" {
@@ -132,7 +132,7 @@
 			t.Errorf("%s: %s %q", class, resp.Status, got)
 		}
 	}
-	if n := p.engine.Stats().Calls; n != 0 {
+	if n := p.engine.Stats().OpenCalls; n != 0 {
 		t.Errorf("%d calls are kept", n)
 	}
 }
@@ -157,20 +157,20 @@
 	t.Cleanup(s.Close)
 	addr := s.Listener.Addr().String()
 	list := func(id string) *discovery.List {
-		l := fake.Up(addr)
+		l := fake.EndpointList(addr)
 		l.Instances[0].ID = id
 		return &l
 	}
-	p := start(t, fake.Config(t, *list("s-0")))
+	p := start(t, fake.NewConfig(t, *list("s-0")))
 	known := func() int {
 		s := p.engine.Stats()
-		if s.Names != s.Endpoints {
-			t.Errorf("%d endpoints, %d names", s.Endpoints, s.Names)
+		if s.EndpointNames != s.Endpoints {
+			t.Errorf("%d endpoints, %d names", s.Endpoints, s.EndpointNames)
 		}
 		return s.Endpoints
 	}
 	for i := range 20 {
-		p.engine.List(list(fmt.Sprint("s-", i%10)))
+		p.engine.UpdateEndpoints(list(fmt.Sprint("s-", i%10)))
 		if resp, _ := p.send(p.request("read", "")); resp.StatusCode != 200 {
 			t.Fatal(resp.Status)
 		}
@@ -187,7 +187,7 @@
 		status <- resp.StatusCode
 	}()
 	wait(t, began, "attempt")
-	p.engine.List(&discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "s-9", Lifecycle: "removed"}}})
+	p.engine.UpdateEndpoints(&discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "s-9", Lifecycle: "removed"}}})
 	if n := known(); n != 1 {
 		t.Errorf("%d endpoints are known while one answers, want 1", n)
 	}
@@ -207,13 +207,13 @@
 // one that never ran goes to another endpoint.
 func TestUnsafe(t *testing.T) {
 	var ran atomic.Int32
-	drops := fake.TCP(t, func(c net.Conn) {
+	drops := fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
-		if fake.ReadRequest(bufio.NewReader(c)) == nil {
+		if fake.DiscardRequest(bufio.NewReader(c)) == nil {
 			ran.Add(1)
 		}
 	})
-	p := start(t, fake.Config(t, fake.Up(drops)))
+	p := start(t, fake.NewConfig(t, fake.EndpointList(drops)))
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != http.StatusBadGateway || ran.Load() != 1 {
 		t.Errorf("%s after %d attempts, want a 502 after 1", resp.Status, ran.Load())
 	}
@@ -224,7 +224,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}
-	p = start(t, fake.Config(t, fake.Up(fake.HTTP(t, full), fake.HTTP(t, full))))
+	p = start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, full), fake.StartHTTPServer(t, full))))
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != 200 || turned.Load() != 2 {
 		t.Errorf("%s after %d attempts, want a 200 after 2", resp.Status, turned.Load())
 	}
@@ -233,8 +233,8 @@
 // A request that never ran and that nobody will take is refused at once, and its client is
 // told when to come back.
 func TestRefusedAtOnce(t *testing.T) {
-	c := fake.Config(t, discovery.List{})
-	c.Module.Limits.MaxRetryAfter = 1500 * time.Millisecond
+	c := fake.NewConfig(t, discovery.List{})
+	c.BalancerConfig.Limits.MaxRetryAfter = 1500 * time.Millisecond
 	p := start(t, c)
 	req := p.request("pay", "x")
 	req.Header.Set("X-Timeout", "1m") // too short for the balancer to begin
@@ -245,8 +245,8 @@
 
 // Bad input reaches neither the balancer nor an endpoint.
 func TestBadRequests(t *testing.T) {
-	addr := fake.HTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	addr := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	for name, c := range map[string]struct {
 		spoil func(r *http.Request)
 		want  int
@@ -276,18 +276,18 @@
 			t.Errorf("%s: %s, want %d", name, resp.Status, c.want)
 		}
 	}
-	if n := p.engine.Stats().Taken; n != 0 {
+	if n := p.engine.Stats().CallsTotal; n != 0 {
 		t.Errorf("%d requests reached the balancer", n)
 	}
 }
 
 func TestBodyInChunksReachesTheEndpointWhole(t *testing.T) {
 	const head = "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nTransfer-Encoding: chunked\r\n"
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %d %v", body, r.ContentLength, r.TransferEncoding)
 	})
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	c := p.dial("")
 	in := bufio.NewReader(c)
 	for i, body := range []string{
@@ -326,12 +326,12 @@
 func TestSlowlyWrittenRequestIsTakenAndItsTimeCountsFromItsLastByte(t *testing.T) {
 	const slow = time.Second // more than body_time, within head_time
 	told := make(chan time.Duration, 1)
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		timeout, _ := parseTimeout([]byte(r.Header.Get("X-Timeout")))
 		told <- timeout
 		io.Copy(w, r.Body)
 	})
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	c := p.dial("POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: slow\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nX-Timeout: 1500m\r\nContent-Length: 4\r\n\r\nta")
 	time.Sleep(slow)
 	io.WriteString(c, "nk")
@@ -348,7 +348,7 @@
 	const timeout, hold = 1500 * time.Millisecond, 500 * time.Millisecond
 	told := make(chan time.Duration, 2)
 	began := make(chan struct{}, 2)
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		d, _ := parseTimeout([]byte(r.Header.Get("X-Timeout")))
 		told <- d
 		began <- struct{}{}
@@ -356,7 +356,7 @@
 			time.Sleep(hold)
 		}
 	})
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	text := func(id string) string {
 		return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: %s\r\nX-Timeout: %dm\r\nContent-Length: 4\r\n\r\ntank",
 			id, id, timeout.Milliseconds())
@@ -380,8 +380,8 @@
 
 // A request whose end can be read in two ways may hide another: neither is passed on.
 func TestHiddenRequest(t *testing.T) {
-	addr := fake.HTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	addr := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	const head = "POST /api/a HTTP/1.%d\r\nHost: a\r\nX-Request-ID: 1\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\n"
 	hidden := fmt.Sprintf(head, 1) + "Content-Length: 0\r\n\r\n"
 	for name, text := range map[string]string{
@@ -416,12 +416,12 @@
 
 func TestRequestOfACallerThatLeftBeforeItWasAcceptedIsNotSentOn(t *testing.T) {
 	var arrived atomic.Int32
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-ID") != "" && r.URL.Path != "/load" {
 			arrived.Add(1)
 		}
 	})
-	c := fake.Config(t, fake.Up(addr))
+	c := fake.NewConfig(t, fake.EndpointList(addr))
 	e, err := engine.New(c)
 	if err != nil {
 		t.Fatal(err)
@@ -459,13 +459,13 @@
 // A client that has gone is owed nothing: its attempt's connection is closed.
 func TestClientGone(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
-	addr := fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		close(began)
 		<-r.Context().Done()
 		close(ended)
 	})
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		if resp, err := http.DefaultTransport.RoundTrip(newRequest(ctx, t, p.url, "book", "x")); err == nil {
@@ -480,18 +480,18 @@
 // An attempt that waits for a connection must not go out once its endpoint has left.
 func TestLeftWhileDialing(t *testing.T) {
 	began, finish := make(chan struct{}), make(chan struct{})
-	holds := fake.HTTP(t, func(http.ResponseWriter, *http.Request) {
+	holds := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) {
 		close(began)
 		<-finish
 	})
-	leaving := fake.HTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out late") })
+	leaving := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out late") })
 	list := func(id, addr string) discovery.List {
-		l := fake.Up(addr)
+		l := fake.EndpointList(addr)
 		l.Instances[0].ID = id
 		return l
 	}
-	c := fake.Config(t, list("holds", holds))
-	c.Settings.Endpoints.Connections = 1
+	c := fake.NewConfig(t, list("holds", holds))
+	c.Settings.Endpoints.MaxConnections = 1
 	p := start(t, c)
 	ask := func(id string) chan int {
 		status := make(chan int, 1)
@@ -506,15 +506,15 @@
 	first := ask("1") // which holds the only connection
 	wait(t, began, "first attempt")
 	l := list("leaves", leaving)
-	p.engine.List(&l)
+	p.engine.UpdateEndpoints(&l)
 	status := ask("2")
-	for p.engine.Stats().Waiting == 0 {
+	for p.engine.Stats().WaitingExchanges == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	l = fake.Up(fake.HTTP(t, func(http.ResponseWriter, *http.Request) {}))
-	l.Reset = false
+	l = fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) {}))
+	l.Full = false
 	l.Instances = append(l.Instances, discovery.Instance{ID: "leaves", HostPort: leaving, Zone: "a", Lifecycle: "draining"})
-	p.engine.List(&l)
+	p.engine.UpdateEndpoints(&l)
 	close(finish)
 	if got := <-first; got != 200 {
 		t.Errorf("the first: %d", got)
@@ -532,14 +532,14 @@
 // An endpoint's address may change under its id.
 func TestAddressChanges(t *testing.T) {
 	who := func(name string) string {
-		return fake.HTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
+		return fake.StartHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
-	first, second := fake.Up(who("first")), fake.Up(who("second"))
-	p := start(t, fake.Config(t, first))
+	first, second := fake.EndpointList(who("first")), fake.EndpointList(who("second"))
+	p := start(t, fake.NewConfig(t, first))
 	if _, got := p.send(p.request("read", "")); got != "first" {
 		t.Errorf("%q, want first", got)
 	}
-	p.engine.List(&second)
+	p.engine.UpdateEndpoints(&second)
 	if _, got := p.send(p.request("read", "")); got != "second" {
 		t.Errorf("%q, want second", got)
 	}
@@ -556,14 +556,14 @@
 	}
 	s.Start()
 	t.Cleanup(s.Close)
-	l := fake.Up(s.Listener.Addr().String())
-	p := start(t, fake.Config(t, l))
+	l := fake.EndpointList(s.Listener.Addr().String())
+	p := start(t, fake.NewConfig(t, l))
 	for range 2 {
 		if resp, _ := p.send(p.request("read", "")); resp.StatusCode != 200 {
 			t.Fatal(resp.Status)
 		}
-		l.Instances[0].StartedMS = time.Now().Add(-time.Hour).UnixMilli()
-		p.engine.List(&l)
+		l.Instances[0].StartedAtUnixMilli = time.Now().Add(-time.Hour).UnixMilli()
+		p.engine.UpdateEndpoints(&l)
 	}
 	if n := conns.Load(); n != 2 {
 		t.Errorf("%d connections, want 2", n)
@@ -574,14 +574,14 @@
 func TestShutdown(t *testing.T) {
 	var once sync.Once
 	began, finish := make(chan struct{}), make(chan struct{})
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		once.Do(func() { close(began) })
 		<-finish
 		io.WriteString(w, "ok")
 	})
-	c := fake.Config(t, fake.Up(addr))
-	c.Settings.Shutdown.Linger = 3 * time.Second // ample on a slow machine
+	c := fake.NewConfig(t, fake.EndpointList(addr))
+	c.Settings.Shutdown.AcceptGrace = 3 * time.Second // ample on a slow machine
 	p := start(t, c)
 	type result struct {
 		status int
@@ -626,17 +626,17 @@
 
 func TestRequestLongerThanTheKillIsAnsweredBeforeIt(t *testing.T) {
 	began := make(chan struct{}, 1)
-	addr := fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		began <- struct{}{}
 		<-r.Context().Done() // it hangs through the whole shutdown
 	})
-	c := fake.Config(t, fake.Up(addr))
-	for i := range c.Module.Classes {
-		c.Module.Classes[i].Deadline = patience
-		c.Module.Classes[i].Goal = patience
+	c := fake.NewConfig(t, fake.EndpointList(addr))
+	for i := range c.BalancerConfig.Classes {
+		c.BalancerConfig.Classes[i].Deadline = patience
+		c.BalancerConfig.Classes[i].TargetLatency = patience
 	}
-	c.Settings.Shutdown.Linger = 0
+	c.Settings.Shutdown.AcceptGrace = 0
 	p := start(t, c)
 	req := p.request("pay", "x")
 	caller := p.dial(fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nX-Request-ID: hangs\r\nX-Priority-Class: pay\r\nX-Timeout: 19000m\r\nContent-Length: 1\r\n\r\nx",
@@ -656,11 +656,11 @@
 
 // Idle callers must not keep a new one out.
 func TestIdleCallersGiveWay(t *testing.T) {
-	addr := fake.HTTP(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
-	c := fake.Config(t, fake.Up(addr))
-	c.Limits.Sockets = config.LeastSockets
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
+	c := fake.NewConfig(t, fake.EndpointList(addr))
+	c.Limits.Sockets = config.MinSockets
 	p := start(t, c)
-	for i := range 2 * c.CallerConnections() {
+	for i := range 2 * c.MaxCallerConnections() {
 		own := &http.Transport{}
 		defer own.CloseIdleConnections()
 		resp, err := own.RoundTrip(p.request("read", ""))
@@ -693,10 +693,10 @@
 // Callers that say nothing, or half of something, must not shut out one that asks.
 func TestBadCallersGiveWay(t *testing.T) {
 	for _, text := range []string{"", "POST /api/a HTTP/1.1\r\nHost:"} {
-		c := fake.Config(t, fake.Up(fake.HTTP(t, func(http.ResponseWriter, *http.Request) {})))
-		c.Limits.Sockets = config.LeastSockets
+		c := fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
+		c.Limits.Sockets = config.MinSockets
 		p := start(t, c)
-		for range 20 * c.CallerConnections() {
+		for range 20 * c.MaxCallerConnections() {
 			p.dial(text)
 		}
 		own := &http.Transport{}
@@ -717,11 +717,11 @@
 // A caller that never sends a whole request has an error or a close within 3 s, and one
 // that announces a body of 60 MB is not read through.
 func TestBadCallersAreEnded(t *testing.T) {
-	if k := config.Default().Callers; k.HeadTime+k.BodyTime >= 3*time.Second {
-		t.Errorf("%v for a header and %v for a body come to 3 s", k.HeadTime, k.BodyTime)
+	if k := config.DefaultSettings().Callers; k.HeadTimeout+k.BodyTimeout >= 3*time.Second {
+		t.Errorf("%v for a header and %v for a body come to 3 s", k.HeadTimeout, k.BodyTimeout)
 	}
-	addr := fake.HTTP(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
-	p := start(t, fake.Config(t, fake.Up(addr)))
+	addr := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
+	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	const head = "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\n"
 	for name, text := range map[string]string{
 		"silent": "", "half a header": head, "half a body": head + "Content-Length: 9\r\n\r\nhalf",
@@ -745,7 +745,7 @@
 // A request with the id of one that is open is turned away; once that is answered, it is free.
 func TestOpenID(t *testing.T) {
 	began, finish := make(chan struct{}, 2), make(chan struct{})
-	p := start(t, fake.Config(t, fake.Up(fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		began <- struct{}{}
 		<-finish
@@ -770,11 +770,11 @@
 
 // Nobody waits for longer than the class's deadline: no timer is held for longer either.
 func TestTimeoutIsBounded(t *testing.T) {
-	p := start(t, fake.Config(t, discovery.List{}))
+	p := start(t, fake.NewConfig(t, discovery.List{}))
 	c := new(engine.Call)
 	err := p.server.parse(c, requestHead(t, "GET / HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Priority-Class: read\r\nX-Timeout: 3000000m\r\n\r\n"))
-	if err != nil || c.Budget != 30*time.Second {
-		t.Errorf("budget %v, %v, want the class's 30 s", c.Budget, err)
+	if err != nil || c.Timeout != 30*time.Second {
+		t.Errorf("budget %v, %v, want the class's 30 s", c.Timeout, err)
 	}
 }
 
@@ -782,7 +782,7 @@
 // time: an answer must come within what is left, not within as much again.
 func TestPipelinedTime(t *testing.T) {
 	began, finish := make(chan struct{}, 2), make(chan struct{})
-	p := start(t, fake.Config(t, fake.Up(fake.HTTP(t, func(_ http.ResponseWriter, r *http.Request) {
+	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		began <- struct{}{}
 		<-finish
@@ -833,7 +833,7 @@
 // this sidecar does not. One of the protocol's own fields that Connection names would not
 // reach an endpoint: that is refused.
 func TestPassesOn(t *testing.T) {
-	p := start(t, fake.Config(t, fake.Up(fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		for name, value := range map[string]string{
 			"Content-Type": "text/x", "Content-Encoding": "x", "X-Server-Load": "TEXT inflight=1", "X-Mine": "1",
 			"Connection": "X-Hop", "X-Hop": "1", "Keep-Alive": "timeout=5",
--- a/internal/tcpconn/errors.go
+++ b/internal/tcpconn/errors.go
@@ -8,26 +8,26 @@
 	"syscall"
 )
 
-// momentary are the errors by which this machine can't make a connection for a moment: accept(2), socket(2)
+// transientLocalErrors are the errors by which this machine can't make a connection for a moment: accept(2), socket(2)
 // and connect(2). They say nothing of the other side.
-var momentary = []error{
+var transientLocalErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR, syscall.EPERM, syscall.ENOSPC,
 }
 
-// Momentary tells whether an error lies on this machine and may pass.
-func Momentary(err error) bool {
-	return slices.ContainsFunc(momentary, func(e error) bool { return errors.Is(err, e) })
+// IsTransientLocalError tells whether an error lies on this machine and may pass.
+func IsTransientLocalError(err error) bool {
+	return slices.ContainsFunc(transientLocalErrors, func(e error) bool { return errors.Is(err, e) })
 }
 
-// NoDescriptor tells whether an error is that descriptors have run out.
-func NoDescriptor(err error) bool {
+// IsOutOfDescriptors tells whether an error is that descriptors have run out.
+func IsOutOfDescriptors(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// ListenerBroken tells whether accept can't succeed any more after an error. Any other is that of the one
+// IsFatalAcceptError tells whether accept can't succeed any more after an error. Any other is that of the one
 // connection that was to be accepted, or of this machine for a moment: accept(2), "Error handling".
-func ListenerBroken(err error) bool {
+func IsFatalAcceptError(err error) bool {
 	for _, e := range []error{net.ErrClosed, syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT} {
 		if errors.Is(err, e) {
 			return true
@@ -36,6 +36,6 @@
 	return false
 }
 
-// DeadlinePassed tells whether an operation ended because its deadline had passed. ETIMEDOUT, by which a
+// IsDeadlineExceeded tells whether an operation ended because its deadline had passed. ETIMEDOUT, by which a
 // broken connection may show, is no such end, though net.Error counts it as a time-out.
-func DeadlinePassed(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+func IsDeadlineExceeded(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/tcpconn/sock.go
+++ b/internal/tcpconn/sock.go
@@ -22,7 +22,7 @@
 type Conn struct {
 	net.Conn
 	raw  syscall.RawConn
-	bufs *http1.Buffers
+	bufs *http1.BufferPool
 
 	// What a call hands to the functions that the runtime calls with the descriptor, which are
 	// made once: a closure for each call would be garbage.
@@ -42,7 +42,7 @@
 const leastRead = 512
 
 // New returns the connection with buffers from a pool.
-func New(c net.Conn, bufs *http1.Buffers) (*Conn, error) {
+func New(c net.Conn, bufs *http1.BufferPool) (*Conn, error) {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
@@ -60,9 +60,9 @@
 	return s, nil
 }
 
-// Fill waits until there is something to read and reads it into a buffer, one from the pool if
+// ReadInto waits until there is something to read and reads it into a buffer, one from the pool if
 // it is handed none. It returns the buffer, nil still if nothing came, and io.EOF at the end.
-func (s *Conn) Fill(b *http1.Buffer) (*http1.Buffer, error) {
+func (s *Conn) ReadInto(b *http1.Buffer) (*http1.Buffer, error) {
 	s.into = b
 	err := s.raw.Read(s.try)
 	return s.filled(err)
@@ -83,12 +83,12 @@
 	return b, nil
 }
 
-// Ask writes a request and reads the first of what comes back, as Write and Fill would, on a
+// WriteThenRead writes a request and reads the first of what comes back, as Write and Fill would, on a
 // connection that must be quiet: stale tells that it was not, and nothing has been written. It
 // returns early, with no buffer and no error, if not all could be written at once. The look
 // that proves the connection quiet is the attempt to read that waiting begins with anyway:
 // that saves a system call for each request.
-func (s *Conn) Ask(p []byte) (sent int, stale bool, b *http1.Buffer, err error) {
+func (s *Conn) WriteThenRead(p []byte) (sent int, stale bool, b *http1.Buffer, err error) {
 	s.out, s.sent, s.asked, s.stale, s.into, s.n, s.err = p, 0, false, false, nil, 0, nil
 	err = s.raw.Read(s.ask)
 	s.out = nil
@@ -122,9 +122,9 @@
 	return s.sent, err
 }
 
-// WriteBy writes all of p. What can't be written without waiting is written by a deadline that ends
+// WriteWithDeadline writes all of p. What can't be written without waiting is written by a deadline that ends
 // with the call: one that stayed would fail a later write that needs no waiting.
-func (s *Conn) WriteBy(p []byte, deadline time.Time) error {
+func (s *Conn) WriteWithDeadline(p []byte, deadline time.Time) error {
 	n, err := s.TryWrite(p)
 	if err != nil || n == len(p) {
 		return err
@@ -160,13 +160,13 @@
 		b = s.bufs.Get()
 	}
 	for {
-		s.n, s.err = syscall.Read(int(fd), b.Room(leastRead))
+		s.n, s.err = syscall.Read(int(fd), b.Reserve(leastRead))
 		if s.err != syscall.EINTR {
 			break
 		}
 	}
 	if s.n > 0 {
-		b.Wrote(s.n)
+		b.Commit(s.n)
 		s.into = b
 		return true
 	}
@@ -176,9 +176,9 @@
 	return s.err != syscall.EAGAIN
 }
 
-// Quiet tells whether the connection is open with nothing to read. It does not wait, and may
+// ReadWouldBlock tells whether the connection is open with nothing to read. It does not wait, and may
 // be called while another goroutine waits in Fill.
-func (s *Conn) Quiet() bool {
+func (s *Conn) ReadWouldBlock() bool {
 	return s.raw.Control(s.look) == nil && s.quiet.Load()
 }
 
@@ -189,9 +189,9 @@
 	s.quiet.Store(err == syscall.EAGAIN)
 }
 
-// PeerGone tells whether the peer has ended its sending or reset, or the connection is closed here. It does
+// PeerDisconnected tells whether the peer has ended its sending or reset, or the connection is closed here. It does
 // not wait, and may be called by any goroutine.
-func (s *Conn) PeerGone() bool {
+func (s *Conn) PeerDisconnected() bool {
 	gone := false
 	err := s.raw.Control(func(fd uintptr) {
 		fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -207,9 +207,9 @@
 	return err != nil || gone
 }
 
-// WriteAll writes texts, as far as the write deadline lets it, and takes what has been written off
+// WriteBuffers writes texts, as far as the write deadline lets it, and takes what has been written off
 // them. Several go out together.
-func (s *Conn) WriteAll(texts *net.Buffers) (int64, error) {
+func (s *Conn) WriteBuffers(texts *net.Buffers) (int64, error) {
 	if len(*texts) != 1 {
 		return texts.WriteTo(s.Conn)
 	}
@@ -218,8 +218,8 @@
 	return int64(n), err
 }
 
-// Unread tells whether the peer's machine has yet to take part of what was sent, tcp(7), SIOCOUTQ.
-func (s *Conn) Unread() bool {
+// HasUnackedData tells whether the peer's machine has yet to take part of what was sent, tcp(7), SIOCOUTQ.
+func (s *Conn) HasUnackedData() bool {
 	left := 0
 	err := s.raw.Control(func(fd uintptr) { left, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
 	return err == nil && left > 0
--- a/internal/tcpconn/sock_test.go
+++ b/internal/tcpconn/sock_test.go
@@ -16,7 +16,7 @@
 const patience = 20 * time.Second
 
 // pair returns the two ends of a connection.
-func pair(t *testing.T, bufs *http1.Buffers) (*Conn, *net.TCPConn) {
+func pair(t *testing.T, bufs *http1.BufferPool) (*Conn, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,13 +45,13 @@
 // Reads take a buffer only with something in it, come back at the deadline with none, and end
 // with io.EOF.
 func TestFill(t *testing.T) {
-	var bufs http1.Buffers
+	var bufs http1.BufferPool
 	here, there := pair(t, &bufs)
-	if !here.Quiet() {
+	if !here.ReadWouldBlock() {
 		t.Error("not quiet at first")
 	}
 	here.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
-	b, err := here.Fill(nil)
+	b, err := here.ReadInto(nil)
 	if ne, ok := err.(net.Error); b != nil || !ok || !ne.Timeout() {
 		t.Errorf("%v %v, want a time-out and no buffer", b, err)
 	}
@@ -59,7 +59,7 @@
 	long := strings.Repeat("x", 100_000)
 	go io.WriteString(there, long)
 	for b == nil || b.Len() < len(long) {
-		if b, err = here.Fill(b); err != nil {
+		if b, err = here.ReadInto(b); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -67,17 +67,17 @@
 		t.Error("what was read is not what was sent")
 	}
 	io.WriteString(there, "y")
-	for here.Quiet() {
+	for here.ReadWouldBlock() {
 		runtime.Gosched()
 	}
 	there.CloseWrite()
-	if b, err = here.Fill(nil); err != nil || string(b.Bytes()) != "y" {
+	if b, err = here.ReadInto(nil); err != nil || string(b.Bytes()) != "y" {
 		t.Errorf("%v %v", b, err)
 	}
-	if b, err = here.Fill(nil); b != nil || err != io.EOF {
+	if b, err = here.ReadInto(nil); b != nil || err != io.EOF {
 		t.Errorf("%v %v, want the end", b, err)
 	}
-	if here.Quiet() {
+	if here.ReadWouldBlock() {
 		t.Error("quiet at its end")
 	}
 }
@@ -85,13 +85,13 @@
 // Each peer that ends its sending or resets is told once, whatever else has been sent; one
 // that is closed here is not.
 func TestWatch(t *testing.T) {
-	w, err := NewWatch()
+	w, err := NewDisconnectWatcher()
 	if err != nil {
 		t.Fatal(err)
 	}
 	told, ended := make(chan uint64, 100), make(chan error, 1)
 	go func() { ended <- w.Run(func(number uint64) { told <- number }) }()
-	var bufs http1.Buffers
+	var bufs http1.BufferPool
 	const big = 7<<40 + 5 // numbers go beyond 32 bits
 	for i, end := range []func(c *net.TCPConn){
 		func(c *net.TCPConn) { c.Close() }, func(c *net.TCPConn) { c.CloseWrite() },
@@ -128,7 +128,7 @@
 }
 
 func TestWatchGoesOnAfterAnInterruptedWait(t *testing.T) {
-	w, err := NewWatch()
+	w, err := NewDisconnectWatcher()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 		return syscall.EpollWait(epfd, events, msec)
 	}
 	told := make(chan uint64, 1)
-	var bufs http1.Buffers
+	var bufs http1.BufferPool
 	here, there := pair(t, &bufs)
 	if err := w.Add(here, 7); err != nil {
 		t.Fatal(err)
@@ -167,12 +167,12 @@
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 	}
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
-		if !Momentary(wrapped(errno)) {
+		if !IsTransientLocalError(wrapped(errno)) {
 			t.Errorf("%v is held to be the endpoint's", errno)
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
-		if Momentary(wrapped(errno)) || DeadlinePassed(wrapped(errno)) {
+		if IsTransientLocalError(wrapped(errno)) || IsDeadlineExceeded(wrapped(errno)) {
 			t.Errorf("%v is held to be this machine's, or a deadline of ours", errno)
 		}
 	}
@@ -180,7 +180,7 @@
 		syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN,
 		syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT,
 	} {
-		if ListenerBroken(wrapped(errno)) {
+		if IsFatalAcceptError(wrapped(errno)) {
 			t.Errorf("%v ends the listener", errno)
 		}
 	}
--- a/internal/tcpconn/watch.go
+++ b/internal/tcpconn/watch.go
@@ -8,10 +8,10 @@
 	"syscall"
 )
 
-// Watch hears of peers that end their sending or reset, without a goroutine for each: one waits
+// DisconnectWatcher hears of peers that end their sending or reset, without a goroutine for each: one waits
 // for all. A peer that ends its sending is held to have gone: PROTOCOL has callers and sidecars
 // give up a request that way.
-type Watch struct {
+type DisconnectWatcher struct {
 	file   *os.File
 	raw    syscall.RawConn
 	epfd   int
@@ -22,8 +22,8 @@
 // goneEvents are told once for each connection, as it happens.
 const goneEvents = syscall.EPOLLRDHUP | syscall.EPOLLHUP | syscall.EPOLLERR | 1<<31 // EPOLLET, whose constant is negative
 
-// NewWatch returns a Watch of no connection. It holds a descriptor until Close.
-func NewWatch() (*Watch, error) {
+// NewDisconnectWatcher returns a Watch of no connection. It holds a descriptor until Close.
+func NewDisconnectWatcher() (*DisconnectWatcher, error) {
 	fd, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
@@ -37,11 +37,11 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("watch: %w", err), f.Close())
 	}
-	return &Watch{file: f, raw: raw, epfd: fd, poll: syscall.EpollWait}, nil
+	return &DisconnectWatcher{file: f, raw: raw, epfd: fd, poll: syscall.EpollWait}, nil
 }
 
 // Add has a connection watched under a number until it is closed.
-func (w *Watch) Add(c *Conn, number uint64) error {
+func (w *DisconnectWatcher) Add(c *Conn, number uint64) error {
 	var added error
 	err := c.raw.Control(func(fd uintptr) {
 		added = syscall.EpollCtl(w.epfd, syscall.EPOLL_CTL_ADD, int(fd),
@@ -52,7 +52,7 @@
 
 // Run calls gone with the number of each connection whose peer goes, until Close. A connection
 // may have been closed here in the meantime.
-func (w *Watch) Run(gone func(number uint64)) error {
+func (w *DisconnectWatcher) Run(gone func(number uint64)) error {
 	events := make([]syscall.EpollEvent, 128)
 	for {
 		n, err := w.wait(events)
@@ -70,7 +70,7 @@
 
 // wait waits for events. The runtime tells only of a change, so that a call that a signal has interrupted
 // is made again at once.
-func (w *Watch) wait(events []syscall.EpollEvent) (n int, err error) {
+func (w *DisconnectWatcher) wait(events []syscall.EpollEvent) (n int, err error) {
 	readErr := w.raw.Read(func(fd uintptr) bool {
 		for {
 			if n, err = w.poll(int(fd), events, 0); err != syscall.EINTR {
@@ -82,7 +82,7 @@
 }
 
 // Close ends Run.
-func (w *Watch) Close() error {
+func (w *DisconnectWatcher) Close() error {
 	w.closed.Store(true)
 	return w.file.Close()
 }
--- a/internal/transferrate/pace.go
+++ b/internal/transferrate/pace.go
@@ -7,25 +7,25 @@
 // Meter judges one side of a stream. Within every Window of waiting for it, the side has to move
 // Rate bytes a second. The zero value of what is not exported is ready.
 type Meter struct {
-	Rate   int64
-	Window time.Duration
+	MinBytesPerSecond int64
+	Window            time.Duration
 
 	waited time.Duration
 	moved  int64
 }
 
-// Allow is how long the side may be waited for now.
-func (m *Meter) Allow() time.Duration { return m.Window - m.waited }
+// MaxWait is how long the side may be waited for now.
+func (m *Meter) MaxWait() time.Duration { return m.Window - m.waited }
 
-// Waited notes that the side was waited for, and moved n bytes. It returns false if the side is
+// Record notes that the side was waited for, and moved n bytes. It returns false if the side is
 // slow. A side that stops is told within two windows at the latest.
-func (m *Meter) Waited(d time.Duration, n int) bool {
+func (m *Meter) Record(d time.Duration, n int) bool {
 	m.waited += max(d, 0)
 	m.moved += int64(n)
 	if m.waited < m.Window {
 		return true
 	}
-	fast := float64(m.moved) >= float64(m.Rate)*m.Window.Seconds()
+	fast := float64(m.moved) >= float64(m.MinBytesPerSecond)*m.Window.Seconds()
 	m.waited, m.moved = 0, 0
 	return fast
 }
--- a/internal/transferrate/pace_test.go
+++ b/internal/transferrate/pace_test.go
@@ -14,11 +14,11 @@
 		window := time.Duration(rapid.Int64Range(int64(10*time.Millisecond), int64(10*time.Second)).Draw(t, "window"))
 		rate := rapid.Int64Range(1<<20, 1<<30).Draw(t, "rate")
 		run := func(share float64) time.Duration {
-			m := Meter{Rate: rate, Window: window}
+			m := Meter{MinBytesPerSecond: rate, Window: window}
 			for total := time.Duration(0); total < 4*window; {
-				d := min(time.Duration(rapid.Int64Range(int64(window/50), int64(window)).Draw(t, "wait")), m.Allow())
+				d := min(time.Duration(rapid.Int64Range(int64(window/50), int64(window)).Draw(t, "wait")), m.MaxWait())
 				total += d
-				if !m.Waited(d, int(share*float64(rate)*d.Seconds())) {
+				if !m.Record(d, int(share*float64(rate)*d.Seconds())) {
 					return total
 				}
 			}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,8 +18,8 @@
 
 // Why an exchange was ended from this side.
 var (
-	ErrCanceled = errors.New("canceled by the balancer")
-	ErrLeft     = errors.New("the endpoint has left service, or the request has its answer")
+	ErrCanceled       = errors.New("canceled by the balancer")
+	ErrCanceledUnsent = errors.New("the endpoint has left service, or the request has its answer")
 )
 
 // maxInterim is the most 1xx answers ahead of one.
@@ -37,16 +37,16 @@
 // End, Leave, Interrupt and Extend may be called by any. A body that is sent as it arrives has a
 // goroutine beside it, which has ended when the exchange is over.
 type Exchange struct {
-	pool  *Pool
-	to    *Route
-	until time.Time
-	out   *http1.Buffer // what is still to be written; nil once it has been
-	told  timeoutField  // within out
-	by    time.Time     // it must not begin to go out later than this; zero for no such bound
-	gone  func() bool   // whether whoever asked has gone; nil for who does not go
-	conn  *conn         // nil before there is one, and once it is over
-	fresh bool          // conn has carried nothing before
-	asked bool          // the request has begun to be written
+	pool          *Pool
+	to            *Route
+	until         time.Time
+	out           *http1.Buffer // what is still to be written; nil once it has been
+	told          timeoutField  // within out
+	startDeadline time.Time     // it must not begin to go out later than this; zero for no such bound
+	gone          func() bool   // whether whoever asked has gone; nil for who does not go
+	conn          *conn         // nil before there is one, and once it is over
+	fresh         bool          // conn has carried nothing before
+	asked         bool          // the request has begun to be written
 
 	mu          sync.Mutex
 	state       int
@@ -58,13 +58,13 @@
 	upload      upload
 
 	// The answer, as far as it has come.
-	head    http1.Answer
+	head    http1.Response
 	buf     *http1.Buffer
-	limits  Limits
+	limits  ResponseLimits
 	interim int
 	headLen int // of the final head, once it is whole
 	framing http1.Framing
-	chunks  http1.Chunks
+	chunks  http1.ChunkedDecoder
 	text    []byte // the head's, where the body is not kept behind it
 	body    []byte
 	flow    flow // of an answer that is passed on as it comes
@@ -81,36 +81,36 @@
 	length int // of the value that stands there
 }
 
-// Compose appends a request's text, and returns the offset at which the value of its X-Timeout is to
+// AppendRequestFunc appends a request's text, and returns the offset at which the value of its X-Timeout is to
 // be put in as it goes out, 0 for none.
-type Compose func(b []byte) (text []byte, timeoutAt int)
+type AppendRequestFunc func(b []byte) (text []byte, timeoutAt int)
 
-// Begin makes an exchange ready to be carried: a request that compose appends, to be sent to a
+// Prepare makes an exchange ready to be carried: a request that compose appends, to be sent to a
 // route and answered before until. What it held before is dropped.
-func (x *Exchange) Begin(p *Pool, to *Route, until time.Time, compose Compose) {
+func (x *Exchange) Prepare(p *Pool, to *Route, until time.Time, compose AppendRequestFunc) {
 	x.pool, x.to, x.until = p, to, until
 	x.state, x.cause, x.interrupted, x.left, x.bound, x.conn, x.asked = waiting, nil, false, false, nil, nil, false
-	x.interim, x.headLen, x.framing, x.text, x.body = 0, 0, http1.None, nil, nil
+	x.interim, x.headLen, x.framing, x.text, x.body = 0, 0, http1.NoBody, nil, nil
 	x.loaded, x.failed = false, nil
 	x.upload, x.flow = upload{}, flow{}
-	x.limits = p.cfg.Limits()
+	x.limits = p.cfg.ResponseLimits()
 	x.head.Limits = http1.DefaultLimits
-	x.head.Limits.Head = x.limits.Head
+	x.head.Limits.HeadBytes = x.limits.HeadBytes
 	x.head.Reset()
 	x.out = p.bufs.Get()
-	x.told, x.by, x.gone = timeoutField{}, time.Time{}, nil
-	x.out.Compose(func(b []byte) []byte {
+	x.told, x.startDeadline, x.gone = timeoutField{}, time.Time{}, nil
+	x.out.ResetWith(func(b []byte) []byte {
 		b, x.told.at = compose(b)
 		return b
 	})
 }
 
-// BeginBy bounds when the exchange may begin to go out. It is called between Begin and the first Run.
-func (x *Exchange) BeginBy(t time.Time) { x.by = t }
+// SetStartDeadline bounds when the exchange may begin to go out. It is called between Begin and the first Run.
+func (x *Exchange) SetStartDeadline(t time.Time) { x.startDeadline = t }
 
-// Unless has the exchange not go out once gone tells that whoever asked has gone. It is asked right before the
+// SkipSendIf has the exchange not go out once gone tells that whoever asked has gone. It is asked right before the
 // first byte, without a lock. It is called between Begin and the first Run.
-func (x *Exchange) Unless(gone func() bool) { x.gone = gone }
+func (x *Exchange) SkipSendIf(gone func() bool) { x.gone = gone }
 
 // mayGoOut tells whether the request may still begin to go out, and tells the endpoint its time.
 func (x *Exchange) mayGoOut() bool {
@@ -126,7 +126,7 @@
 func (x *Exchange) tellTimeout() bool {
 	now := time.Now()
 	left := x.last().Sub(now).Microseconds()
-	if left <= 0 || !x.by.IsZero() && !now.Before(x.by) {
+	if left <= 0 || !x.startDeadline.IsZero() && !now.Before(x.startDeadline) {
 		return false
 	}
 	if x.told.at > 0 {
@@ -140,8 +140,8 @@
 // maxTimeoutValue is the longest value of X-Timeout, in bytes.
 const maxTimeoutValue = 20
 
-// Ready takes a connection that stands idle, and tells whether there was one. It does not wait.
-func (x *Exchange) Ready() bool {
+// TakeIdleConn takes a connection that stands idle, and tells whether there was one. It does not wait.
+func (x *Exchange) TakeIdleConn() bool {
 	x.conn = x.pool.take(x.to)
 	x.fresh = false
 	return x.conn != nil
@@ -157,7 +157,7 @@
 	x.mu.Unlock()
 	var err error
 	if over {
-		err = ErrLeft
+		err = ErrCanceledUnsent
 	} else {
 		x.conn, err = x.pool.dial(ctx, x.to)
 	}
@@ -176,10 +176,10 @@
 
 // What Run may come to.
 const (
-	Over        Progress = iota // the exchange has ended; its connection is back in the pool or closed
-	Interrupted                 // it goes on with the next Run
-	Unsent                      // the idle connection was none any more: Ready or Dial is to find another
-	Flowing                     // the answer has begun, and is had by Next
+	Ended           Progress = iota // the exchange has ended; its connection is back in the pool or closed
+	Interrupted                     // it goes on with the next Run
+	NeedsConnection                 // the idle connection was none any more: Ready or Dial is to find another
+	Streaming                       // the answer has begun, and is had by Next
 )
 
 // Run carries the exchange on its connection.
@@ -187,18 +187,18 @@
 	if !x.bind() {
 		x.pool.put(x.conn)
 		x.conn = nil
-		x.fail(false, ErrLeft)
-		return Over
+		x.fail(false, ErrCanceledUnsent)
+		return Ended
 	}
 	if x.out != nil && !x.asked && !x.mayGoOut() {
 		x.unbind()
 		x.pool.put(x.conn) // nothing has been written on it
 		x.conn = nil
 		x.fail(false, errNoTime)
-		return Over
+		return Ended
 	}
 	if x.upload.src != nil && !x.asked {
-		if !x.conn.Quiet() {
+		if !x.conn.ReadWouldBlock() {
 			return x.stale()
 		}
 		x.asked = true
@@ -207,17 +207,17 @@
 			x.pool.put(x.conn) // nothing has been written on it
 			x.conn = nil
 			x.fail(false, unsendable{err})
-			return Over
+			return Ended
 		}
 	}
 	if x.out != nil && !x.asked {
 		x.asked = true
-		n, stale, buf, err := x.conn.Ask(x.out.Bytes())
+		n, stale, buf, err := x.conn.WriteThenRead(x.out.Bytes())
 		if stale {
 			return x.stale()
 		}
 		x.buf = buf
-		x.out.Skip(n)
+		x.out.Consume(n)
 		if x.out.Len() == 0 {
 			x.written()
 		}
@@ -228,7 +228,7 @@
 	for x.out != nil && x.upload.src == nil {
 		x.armWrite()
 		n, err := x.conn.Write(x.out.Bytes())
-		if x.out.Skip(n); err != nil {
+		if x.out.Consume(n); err != nil {
 			return x.broke(err)
 		}
 		x.written()
@@ -238,15 +238,15 @@
 		switch {
 		case whole:
 			x.complete()
-			return Over
+			return Ended
 		case err != nil:
 			x.over(true, spoilt{err})
-			return Over
+			return Ended
 		case x.flow.begun:
-			x.begin()
-			return Flowing
+			x.startStreaming()
+			return Streaming
 		}
-		if x.buf, err = x.conn.Fill(x.buf); err != nil {
+		if x.buf, err = x.conn.ReadInto(x.buf); err != nil {
 			return x.broke(err)
 		}
 	}
@@ -263,7 +263,7 @@
 	default:
 		x.over(x.out == nil || x.upload.src != nil, err)
 	}
-	return Over
+	return Ended
 }
 
 // stale ends a run on a connection on which something had come, or its end, before a byte of the
@@ -271,10 +271,10 @@
 func (x *Exchange) stale() Progress {
 	if x.fresh { // what comes ahead of the request is no answer to it
 		x.over(false, errSpokeFirst)
-		return Over
+		return Ended
 	}
 	x.unsent()
-	return Unsent
+	return NeedsConnection
 }
 
 // written notes that the last byte has been written.
@@ -289,7 +289,7 @@
 	x.bound, x.asked = nil, false
 	x.state = waiting
 	if x.left || x.cause != nil { // meanwhile
-		x.end(ErrLeft)
+		x.cancel(ErrCanceledUnsent)
 	}
 	x.mu.Unlock()
 	x.conn.Close()
@@ -341,24 +341,24 @@
 	return x.interrupted && x.cause == nil && time.Now().Before(x.until)
 }
 
-// End withdraws an exchange. If it has not begun to go out, it never will.
-func (x *Exchange) End(cause error) {
+// Cancel withdraws an exchange. If it has not begun to go out, it never will.
+func (x *Exchange) Cancel(cause error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.end(cause)
+	x.cancel(cause)
 }
 
-// Leave ends an exchange that has not begun to go out; another goes on.
-func (x *Exchange) Leave() {
+// CancelUnsent ends an exchange that has not begun to go out; another goes on.
+func (x *Exchange) CancelUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.left = true
 	if x.state == waiting {
-		x.end(ErrLeft)
+		x.cancel(ErrCanceledUnsent)
 	}
 }
 
-func (x *Exchange) end(cause error) {
+func (x *Exchange) cancel(cause error) {
 	if x.cause == nil {
 		x.cause = cause
 	}
@@ -409,7 +409,7 @@
 	switch {
 	case cause == ErrCanceled:
 		x.result = balance.Canceled
-	case !sent && (cause == ErrLeft || errors.Is(err, errNoSlot) || errors.Is(err, errNoTime) || errors.As(err, new(unsendable))): // through no fault of the endpoint
+	case !sent && (cause == ErrCanceledUnsent || errors.Is(err, errNoSlot) || errors.Is(err, errNoTime) || errors.As(err, new(unsendable))): // through no fault of the endpoint
 		x.result = balance.NotSent
 	case !sent:
 		x.result = balance.ConnectFailed
@@ -420,14 +420,16 @@
 	default:
 		x.result = balance.Reset
 	}
-	x.drop()
+	x.releaseBuffers()
 }
 
 // timedOut tells whether an endpoint was waited for in vain.
-func timedOut(err error) bool { return tcpconn.DeadlinePassed(err) || errors.Is(err, ErrSlow) }
+func timedOut(err error) bool {
+	return tcpconn.IsDeadlineExceeded(err) || errors.Is(err, ErrEndpointTooSlow)
+}
 
-// drop gives the buffers back.
-func (x *Exchange) drop() {
+// releaseBuffers gives the buffers back.
+func (x *Exchange) releaseBuffers() {
 	if x.out != nil {
 		x.pool.bufs.Put(x.out)
 		x.out = nil
@@ -440,7 +442,7 @@
 }
 
 // buffers are those that the answer's buffer is of.
-func (x *Exchange) buffers() *http1.Buffers {
+func (x *Exchange) buffers() *http1.BufferPool {
 	if x.flow.begun {
 		return &x.pool.large
 	}
@@ -468,56 +470,56 @@
 		if n == 0 || err != nil {
 			return false, err
 		}
-		if x.head.Interim() {
+		if x.head.IsInterim() {
 			if x.interim++; x.interim > maxInterim {
-				return false, http1.ErrInterim
+				return false, http1.ErrTooManyInterimResponses
 			}
-			x.buf.Skip(n)
-			x.head.Limits.Head -= n
+			x.buf.Consume(n)
+			x.head.Limits.HeadBytes -= n
 			x.head.Reset()
 			continue
 		}
 		if x.head.Status() == http.StatusSwitchingProtocols {
-			return false, http1.ErrUnasked
+			return false, http1.ErrUnexpectedUpgrade
 		}
 		if x.framing, err = x.head.Framing(false); err != nil {
 			return false, err
 		}
-		long := x.framing == http1.Length && x.head.ContentLength() > x.limits.Body
-		x.flow.may = x.head.Status() == http.StatusOK && (long || x.limits.Unknown && x.framing != http1.Length && x.framing != http1.None)
-		if length := x.head.ContentLength(); long && (!x.flow.may || length > x.limits.Long) {
+		long := x.framing == http1.FixedLength && x.head.ContentLength() > x.limits.BufferedBodyBytes
+		x.flow.may = x.head.Status() == http.StatusOK && (long || x.limits.StreamUnknownLength && x.framing != http1.FixedLength && x.framing != http1.NoBody)
+		if length := x.head.ContentLength(); long && (!x.flow.may || length > x.limits.StreamedBodyBytes) {
 			return false, fmt.Errorf("%w: %d bytes", errBodyTooLong, length)
 		}
 		x.headLen = n
 		if long || x.framing == http1.Chunked || x.framing == http1.UntilClose {
 			// It is not to be had in one piece: the head is kept apart, and the body grows by itself.
 			x.text = append([]byte(nil), x.buf.Bytes()[:n]...)
-			x.head.Moved(x.text)
-			x.buf.Skip(n)
-			x.chunks = http1.Chunks{Limits: http1.DefaultLimits, Keep: x.flow.may}
+			x.head.Rebase(x.text)
+			x.buf.Consume(n)
+			x.chunks = http1.ChunkedDecoder{Limits: http1.DefaultLimits, KeepTrailers: x.flow.may}
 		}
 	}
 	switch x.framing {
-	case http1.Length:
+	case http1.FixedLength:
 		if x.flow.may {
-			x.flow.begun = int64(x.buf.Len()) >= min(x.limits.Look, x.head.ContentLength())
+			x.flow.begun = int64(x.buf.Len()) >= min(x.limits.PrefetchBytes, x.head.ContentLength())
 			return false, nil
 		}
 		return int64(x.buf.Len()-x.headLen) >= x.head.ContentLength(), nil
 	case http1.Chunked:
 		for {
-			data, n, err := x.chunks.Next(x.buf.Bytes())
+			data, n, err := x.chunks.Decode(x.buf.Bytes())
 			x.body = append(x.body, data...)
-			x.buf.Skip(n)
+			x.buf.Consume(n)
 			switch {
 			case err != nil:
 				return false, err
 			case x.chunks.Done():
 				return true, nil
-			case x.flow.may && n == 0 && int64(len(x.body)) >= x.limits.Look && len(x.body) > 0:
+			case x.flow.may && n == 0 && int64(len(x.body)) >= x.limits.PrefetchBytes && len(x.body) > 0:
 				x.flow.begun = true
 				return false, nil
-			case !x.flow.may && int64(len(x.body)) > x.limits.Body:
+			case !x.flow.may && int64(len(x.body)) > x.limits.BufferedBodyBytes:
 				return false, errBodyTooLong
 			case n == 0:
 				return false, nil
@@ -526,8 +528,8 @@
 	case http1.UntilClose:
 		x.body = append(x.body, x.buf.Bytes()...)
 		x.buf.Reset()
-		x.flow.begun = x.flow.may && int64(len(x.body)) >= x.limits.Look && len(x.body) > 0
-		if !x.flow.may && int64(len(x.body)) > x.limits.Body {
+		x.flow.begun = x.flow.may && int64(len(x.body)) >= x.limits.PrefetchBytes && len(x.body) > 0
+		if !x.flow.may && int64(len(x.body)) > x.limits.BufferedBodyBytes {
 			return false, errBodyTooLong
 		}
 		return false, nil
@@ -540,17 +542,17 @@
 func (x *Exchange) complete() {
 	rest := x.buf.Len()
 	switch x.framing {
-	case http1.None:
+	case http1.NoBody:
 		rest -= x.headLen
-		x.head.Moved(x.buf.Bytes())
-	case http1.Length:
+		x.head.Rebase(x.buf.Bytes())
+	case http1.FixedLength:
 		text := x.buf.Bytes()
-		x.head.Moved(text)
+		x.head.Rebase(text)
 		whole := x.headLen + int(x.head.ContentLength())
 		x.body = text[x.headLen:whole]
 		rest -= whole
 	}
-	x.release(rest == 0)
+	x.releaseConn(rest == 0)
 	x.load, x.loaded = parseLoad(x.head.Value("X-Server-Load"))
 	x.result = balance.Error
 	switch x.head.Status() {
@@ -562,15 +564,15 @@
 		}
 	}
 	if x.result != balance.OK {
-		x.drop()
+		x.releaseBuffers()
 	}
 }
 
-// release gives the connection back that an answer has come whole on, if it is fit for another:
+// releaseConn gives the connection back that an answer has come whole on, if it is fit for another:
 // clean tells that nothing has come behind.
-func (x *Exchange) release(clean bool) {
+func (x *Exchange) releaseConn(clean bool) {
 	whole, _ := x.endUpload()
-	if ended := x.unbind(); ended == nil && whole && clean && !x.head.Closes() && x.framing != http1.UntilClose {
+	if ended := x.unbind(); ended == nil && whole && clean && !x.head.ClosesConnection() && x.framing != http1.UntilClose {
 		x.pool.put(x.conn)
 	} else {
 		x.conn.Close()
@@ -581,37 +583,37 @@
 // Result is how an exchange that is over has ended.
 func (x *Exchange) Result() balance.Result { return x.result }
 
-// Failed is why an exchange that is over has no usable answer, nil where an endpoint has answered.
-func (x *Exchange) Failed() error { return x.failed }
+// Err is why an exchange that is over has no usable answer, nil where an endpoint has answered.
+func (x *Exchange) Err() error { return x.failed }
 
-// Load is the load report that came with the answer, nil for none.
-func (x *Exchange) Load() *balance.Load {
+// LoadReport is the load report that came with the answer, nil for none.
+func (x *Exchange) LoadReport() *balance.Load {
 	if !x.loaded {
 		return nil
 	}
 	return &x.load
 }
 
-// Head is the head of an answer whose result is OK, until Done.
-func (x *Exchange) Head() *http1.Answer { return &x.head }
+// ResponseHead is the head of an answer whose result is OK, until Done.
+func (x *Exchange) ResponseHead() *http1.Response { return &x.head }
 
-// Body is its body, until Done.
-func (x *Exchange) Body() []byte { return x.body }
+// ResponseBody is its body, until Done.
+func (x *Exchange) ResponseBody() []byte { return x.body }
 
-// Done gives back what an answer is held in.
-func (x *Exchange) Done() { x.drop() }
+// Release gives back what an answer is held in.
+func (x *Exchange) Release() { x.releaseBuffers() }
 
-// Carry carries an exchange to its end, on whatever connection there is, or until its answer
+// ConnectAndRun carries an exchange to its end, on whatever connection there is, or until its answer
 // flows, which it tells. It waits for a connection to come up if it must, and goes on through
 // interrupts.
-func (x *Exchange) Carry() (flowing bool) {
-	for x.Ready() || x.Dial() {
+func (x *Exchange) ConnectAndRun() (flowing bool) {
+	for x.TakeIdleConn() || x.Dial() {
 		p := x.Run()
 		for p == Interrupted {
 			p = x.Run()
 		}
-		if p != Unsent {
-			return p == Flowing
+		if p != NeedsConnection {
+			return p == Streaming
 		}
 	}
 	return false
@@ -620,13 +622,13 @@
 // Probe asks a route for its load, or where there are no reports whether it is well.
 func (p *Pool) Probe(to *Route, path string, within time.Duration) (balance.Result, *balance.Load) {
 	x := new(Exchange)
-	x.Begin(p, to, time.Now().Add(within), func(b []byte) ([]byte, int) {
+	x.Prepare(p, to, time.Now().Add(within), func(b []byte) ([]byte, int) {
 		b = http1.AppendRequestLine(b, []byte(http.MethodGet), []byte(path))
-		return http1.AppendEnd(http1.AppendField(b, "Host", to.Addr)), 0
+		return http1.AppendHeadEnd(http1.AppendField(b, "Host", to.Addr)), 0
 	})
-	x.Carry()
-	defer x.Done()
-	load := x.Load()
+	x.ConnectAndRun()
+	defer x.Release()
+	load := x.LoadReport()
 	if x.result == balance.OK && load == nil {
 		if l, ok := parseLoad(x.body); ok {
 			load = &l
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -16,7 +16,7 @@
 	if !ok {
 		return l, false
 	}
-	l = balance.Load{InFlight: -1, Queue: -1, Util: -1, LatencyMS: -1, Served: -1, Failed: -1}
+	l = balance.Load{InFlight: -1, Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}
 	for more := true; more; {
 		var part []byte
 		part, text, more = bytes.Cut(text, []byte(","))
@@ -29,15 +29,15 @@
 		case "busy_reqs", "inflight":
 			l.InFlight = v
 		case "pending", "queue":
-			l.Queue = v
+			l.Queued = v
 		case "cpu_share", "util":
-			l.Util = v
+			l.Utilization = v
 		case "svc_ms", "latency_ms":
 			l.LatencyMS = v
 		case "served_ps", "qps":
-			l.Served = v
+			l.ServedPerSecond = v
 		case "failed_ps", "eps":
-			l.Failed = v
+			l.FailedPerSecond = v
 		}
 	}
 	return l, true
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -28,35 +28,35 @@
 
 // Config says how a pool is kept.
 type Config struct {
-	Connections int           // that may be open
-	ConnectTime time.Duration // a new one may take to come up
-	KeepAlive   time.Duration // one may stand idle
-	Limits      func() Limits // of answers; they may change
+	MaxConnections int                   // that may be open
+	ConnectTimeout time.Duration         // a new one may take to come up
+	IdleTimeout    time.Duration         // one may stand idle
+	ResponseLimits func() ResponseLimits // of answers; they may change
 
 	// Dial opens a connection, nil for net.Dialer's DialContext.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// Pace is what is asked of an endpoint that takes a body, or sends one, as it comes.
-	Pace func() transferrate.Meter
+	// NewRateMeter is what is asked of an endpoint that takes a body, or sends one, as it comes.
+	NewRateMeter func() transferrate.Meter
 }
 
-// Limits are what of an answer is taken.
-type Limits struct {
-	Head int   // bytes of its head, interim answers and all
-	Body int64 // bytes of its body that are held whole
+// ResponseLimits are what of an answer is taken.
+type ResponseLimits struct {
+	HeadBytes         int   // bytes of its head, interim answers and all
+	BufferedBodyBytes int64 // bytes of its body that are held whole
 
 	// An answer 200 that is longer is passed on as it comes.
-	Long    int64 // bytes of it, 0 for none
-	Look    int64 // bytes that must have come before any goes on
-	Unknown bool  // also one of unknown length, from Look bytes on
+	StreamedBodyBytes   int64 // bytes of it, 0 for none
+	PrefetchBytes       int64 // bytes that must have come before any goes on
+	StreamUnknownLength bool  // also one of unknown length, from Look bytes on
 }
 
 // Pool holds the connections to endpoints, each of which carries one exchange at a time.
 type Pool struct {
 	cfg   Config
-	bufs  http1.Buffers
-	large http1.Buffers // for answers that flow
-	slots chan struct{} // one for each connection that is open
+	bufs  http1.BufferPool
+	large http1.BufferPool // for answers that flow
+	slots chan struct{}    // one for each connection that is open
 
 	mu       sync.Mutex
 	oldest   *conn // of all that are idle
@@ -80,7 +80,7 @@
 	if cfg.Dial == nil {
 		cfg.Dial = new(net.Dialer).DialContext
 	}
-	return &Pool{cfg: cfg, large: http1.Buffers{Size: flowBuffer}, slots: make(chan struct{}, cfg.Connections)}
+	return &Pool{cfg: cfg, large: http1.BufferPool{InitialSize: flowBuffer}, slots: make(chan struct{}, cfg.MaxConnections)}
 }
 
 // Close closes a connection and gives its slot back.
@@ -147,7 +147,7 @@
 	c.to.idle = append(c.to.idle, c)
 	if !p.expiring {
 		p.expiring = true
-		time.AfterFunc(p.cfg.KeepAlive, p.expire)
+		time.AfterFunc(p.cfg.IdleTimeout, p.expire)
 	}
 }
 
@@ -170,7 +170,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := p.oldest; c != nil; c = p.oldest {
-		if left := p.cfg.KeepAlive - time.Since(c.since); left > 0 {
+		if left := p.cfg.IdleTimeout - time.Since(c.since); left > 0 {
 			time.AfterFunc(left, p.expire)
 			return
 		}
@@ -179,8 +179,8 @@
 	p.expiring = false
 }
 
-// Release closes the idle connections to a route. A route that is not kept gets no more.
-func (p *Pool) Release(to *Route, keep bool) {
+// CloseIdleConnections closes the idle connections to a route. A route that is not kept gets no more.
+func (p *Pool) CloseIdleConnections(to *Route, keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	to.closed = to.closed || !keep
@@ -191,11 +191,11 @@
 	to.idle = nil
 }
 
-// Open is how many connections are open or coming up.
-func (p *Pool) Open() int { return len(p.slots) }
+// OpenConnections is how many connections are open or coming up.
+func (p *Pool) OpenConnections() int { return len(p.slots) }
 
-// Waiting is how many exchanges wait for another's connection to be closed.
-func (p *Pool) Waiting() int {
+// WaitingExchanges is how many exchanges wait for another's connection to be closed.
+func (p *Pool) WaitingExchanges() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.waiting
@@ -203,7 +203,7 @@
 
 // dial opens a connection. With all slots taken, the one unused for longest gives way.
 func (p *Pool) dial(ctx context.Context, to *Route) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.cfg.ConnectTime)
+	ctx, cancel := context.WithTimeout(ctx, p.cfg.ConnectTimeout)
 	defer cancel()
 	select {
 	case p.slots <- struct{}{}:
@@ -215,7 +215,7 @@
 	nc, err := p.connect(ctx, to.Addr)
 	if err != nil {
 		<-p.slots
-		if tcpconn.Momentary(err) {
+		if tcpconn.IsTransientLocalError(err) {
 			err = errors.Join(errNoSlot, err)
 		}
 		return nil, err
@@ -233,7 +233,7 @@
 	pause := connectPause
 	for try := 1; ; try++ {
 		nc, err := p.cfg.Dial(ctx, "tcp", addr)
-		if err == nil || try == connectTries || !tcpconn.Momentary(err) || tcpconn.NoDescriptor(err) {
+		if err == nil || try == connectTries || !tcpconn.IsTransientLocalError(err) || tcpconn.IsOutOfDescriptors(err) {
 			return nc, err
 		}
 		select {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -15,14 +15,14 @@
 )
 
 // flowBuffer is what an answer that flows is read by.
-const flowBuffer = body.Block
+const flowBuffer = body.BlockSize
 
 // earlyAnswer is how long an answer is waited for of an endpoint that takes no more of its
 // request: one that turns a body away answers, and closes.
 const earlyAnswer = 200 * time.Millisecond
 
-// ErrSlow says that an endpoint took or sent too little for too long.
-var ErrSlow = errors.New("the endpoint is slow")
+// ErrEndpointTooSlow says that an endpoint took or sent too little for too long.
+var ErrEndpointTooSlow = errors.New("the endpoint is slow")
 
 // errTooLate says that a body would be whole at the endpoint after the time by which it must.
 var errTooLate = errors.New("the body was not whole while a repeat of it would be dropped")
@@ -42,22 +42,22 @@
 	// Under Exchange.mu.
 	reader *body.Reader
 	ended  bool      // no more of it is to be written
-	whole  time.Time // when the last byte was written
+	sentAt time.Time // when the last byte was written
 }
 
-// Upload has a body sent behind the request, as it arrives: so many bytes, or chunks where size
+// SetStreamedBody has a body sent behind the request, as it arrives: so many bytes, or chunks where size
 // is -1. Before what makes it whole at the endpoint, and so lets it run, last is asked. Upload is
 // called between Begin and the first Run.
-func (x *Exchange) Upload(src *body.Body, size int64, last func() bool) {
+func (x *Exchange) SetStreamedBody(src *body.Body, size int64, last func() bool) {
 	x.upload = upload{src: src, size: size, last: last}
 }
 
-// Whole is when the last byte of a body was written that is sent as it arrives, zero for not yet.
+// BodySentAt is when the last byte of a body was written that is sent as it arrives, zero for not yet.
 // The time that the endpoint takes begins then.
-func (x *Exchange) Whole() time.Time {
+func (x *Exchange) BodySentAt() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.upload.whole
+	return x.upload.sentAt
 }
 
 // startUpload begins to send the request.
@@ -73,7 +73,7 @@
 	}
 	x.mu.Unlock()
 	x.upload.pumped = make(chan error, 1)
-	p := &pump{x: x, conn: x.conn, reader: r, meter: x.pool.cfg.Pace(), left: x.upload.size}
+	p := &pump{x: x, conn: x.conn, reader: r, meter: x.pool.cfg.NewRateMeter(), left: x.upload.size}
 	go func() {
 		err := p.run()
 		r.Close()
@@ -91,7 +91,7 @@
 	x.upload.reader = nil
 	switch {
 	case err == nil:
-		x.upload.whole = time.Now()
+		x.upload.sentAt = time.Now()
 	case x.bound == nil || x.cause != nil:
 	case errors.As(err, new(unsendable)):
 		x.bound.SetReadDeadline(past)
@@ -168,18 +168,18 @@
 	all := net.Buffers(texts)
 	for {
 		began := time.Now()
-		if !p.x.armUpload(began.Add(p.meter.Allow())) {
+		if !p.x.armUpload(began.Add(p.meter.MaxWait())) {
 			return unsendable{body.ErrStopped}
 		}
-		n, err := p.conn.WriteAll(&all)
-		fast := p.meter.Waited(time.Since(began), int(n))
+		n, err := p.conn.WriteBuffers(&all)
+		fast := p.meter.Record(time.Since(began), int(n))
 		switch {
 		case err == nil:
 			return nil
-		case !tcpconn.DeadlinePassed(err):
+		case !tcpconn.IsDeadlineExceeded(err):
 			return err
 		case !fast || !time.Now().Before(p.x.last()):
-			return fmt.Errorf("upload: %w", ErrSlow)
+			return fmt.Errorf("upload: %w", ErrEndpointTooSlow)
 		}
 	}
 }
@@ -205,9 +205,9 @@
 	return x.until
 }
 
-// Extend moves the time by which the exchange has to end. An answer that flows has until its
+// ExtendDeadline moves the time by which the exchange has to end. An answer that flows has until its
 // caller's time is up, whatever an answer was waited for.
-func (x *Exchange) Extend(until time.Time) {
+func (x *Exchange) ExtendDeadline(until time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.until = until
@@ -223,27 +223,27 @@
 	meter transferrate.Meter
 }
 
-// begin makes an answer that flows ready for Next: what has been read moves to a larger buffer.
-func (x *Exchange) begin() {
+// startStreaming makes an answer that flows ready for Next: what has been read moves to a larger buffer.
+func (x *Exchange) startStreaming() {
 	buf := x.pool.large.Get()
-	buf.Wrote(copy(buf.Room(x.buf.Len()), x.buf.Bytes()))
+	buf.Commit(copy(buf.Reserve(x.buf.Len()), x.buf.Bytes()))
 	x.pool.bufs.Put(x.buf)
 	x.buf = buf
-	x.flow.meter = x.pool.cfg.Pace()
+	x.flow.meter = x.pool.cfg.NewRateMeter()
 	x.load, x.loaded = parseLoad(x.head.Value("X-Server-Load"))
 }
 
-// Length is how many bytes an answer that flows will have, -1 if that is not known.
-func (x *Exchange) Length() int64 {
-	if x.framing == http1.Length {
+// ResponseBodyLength is how many bytes an answer that flows will have, -1 if that is not known.
+func (x *Exchange) ResponseBodyLength() int64 {
+	if x.framing == http1.FixedLength {
 		return x.head.ContentLength()
 	}
 	return -1
 }
 
-// Next waits for more of an answer that flows, and returns it until the next call: io.EOF at its
+// NextResponseData waits for more of an answer that flows, and returns it until the next call: io.EOF at its
 // end. At any error the exchange is over.
-func (x *Exchange) Next() ([]byte, error) {
+func (x *Exchange) NextResponseData() ([]byte, error) {
 	if x.flow.over {
 		return nil, io.EOF
 	}
@@ -252,7 +252,7 @@
 		x.flow.moved += int64(len(p))
 		return p, nil
 	}
-	x.buf.Skip(x.flow.used)
+	x.buf.Consume(x.flow.used)
 	x.flow.used = 0
 	for {
 		p, end, err := x.piece()
@@ -261,7 +261,7 @@
 			return nil, x.broken(spoilt{err})
 		case len(p) > 0:
 			x.flow.moved += int64(len(p))
-			if x.flow.moved > x.limits.Long {
+			if x.flow.moved > x.limits.StreamedBodyBytes {
 				return nil, x.broken(spoilt{errBodyTooLong})
 			}
 			return p, nil
@@ -279,19 +279,19 @@
 // piece takes what is there of the body.
 func (x *Exchange) piece() (p []byte, end bool, err error) {
 	switch x.framing {
-	case http1.Length:
+	case http1.FixedLength:
 		left := x.head.ContentLength() - x.flow.moved
 		p = x.buf.Bytes()[:min(left, int64(x.buf.Len()))]
 		x.flow.used = len(p)
 		return p, left == 0, nil
 	case http1.Chunked:
 		for {
-			data, n, err := x.chunks.Next(x.buf.Bytes())
+			data, n, err := x.chunks.Decode(x.buf.Bytes())
 			if len(data) > 0 || err != nil {
 				x.flow.used = n
 				return data, false, err
 			}
-			x.buf.Skip(n)
+			x.buf.Consume(n)
 			if n == 0 || x.chunks.Done() {
 				return nil, x.chunks.Done(), nil
 			}
@@ -307,7 +307,7 @@
 		began := time.Now()
 		x.mu.Lock()
 		if x.cause == nil {
-			by := began.Add(x.flow.meter.Allow())
+			by := began.Add(x.flow.meter.MaxWait())
 			if x.until.Before(by) {
 				by = x.until
 			}
@@ -315,16 +315,16 @@
 		}
 		x.mu.Unlock()
 		had := x.buf.Len()
-		buf, err := x.conn.Fill(x.buf)
+		buf, err := x.conn.ReadInto(x.buf)
 		x.buf = buf
-		fast := x.flow.meter.Waited(time.Since(began), buf.Len()-had)
+		fast := x.flow.meter.Record(time.Since(began), buf.Len()-had)
 		switch {
 		case err == nil:
 			return nil
-		case !tcpconn.DeadlinePassed(err):
+		case !tcpconn.IsDeadlineExceeded(err):
 			return err
 		case !fast || !time.Now().Before(x.last()):
-			return fmt.Errorf("answer: %w", ErrSlow)
+			return fmt.Errorf("answer: %w", ErrEndpointTooSlow)
 		}
 		x.mu.Lock()
 		cause := x.cause
@@ -338,7 +338,7 @@
 // finish takes the end of an answer that flows and came whole.
 func (x *Exchange) finish() error {
 	x.flow.over = true
-	x.release(x.buf.Len() == 0)
+	x.releaseConn(x.buf.Len() == 0)
 	x.result = balance.OK
 	return io.EOF
 }
@@ -357,13 +357,13 @@
 	return err
 }
 
-// Abort ends an answer that flows, if it has not ended: its caller does not want the rest.
-func (x *Exchange) Abort() {
+// AbortStream ends an answer that flows, if it has not ended: its caller does not want the rest.
+func (x *Exchange) AbortStream() {
 	if !x.flow.over {
-		x.End(ErrCanceled)
+		x.Cancel(ErrCanceled)
 		x.broken(ErrCanceled)
 	}
 }
 
-// Trailers are those of an answer that flowed, whole lines, once it has ended.
-func (x *Exchange) Trailers() []byte { return x.chunks.Trailers }
+// ResponseTrailers are those of an answer that flowed, whole lines, once it has ended.
+func (x *Exchange) ResponseTrailers() []byte { return x.chunks.Trailers }
