--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -30,33 +30,33 @@
 const maxBody = 64 << 10
 
 func newPool(connections int, connect, keepAlive time.Duration) *Pool {
-	return NewPool(Config{Connections: connections, ConnectTime: connect, KeepAlive: keepAlive,
-		Limits: func() Limits { return Limits{Head: 16 << 10, Body: maxBody} }})
+	return NewPool(Config{MaxConnections: connections, ConnectTimeout: connect, IdleTimeout: keepAlive,
+		ResponseLimits: func() ResponseLimits { return ResponseLimits{HeadBytes: 16 << 10, BufferedBodyBytes: maxBody} }})
 }
 
 func usualPool() *Pool { return newPool(100, 5*time.Second, time.Hour) }
 
 // request is a request's text.
-func request(method, body string) Compose {
+func request(method, body string) AppendRequestFunc {
 	return func(b []byte) ([]byte, int) {
 		b = http1.AppendRequestLine(b, []byte(method), []byte("/"))
 		b = http1.AppendField(b, "Host", "a")
 		b = http1.AppendField(b, "Idempotency-Key", "k")
-		return append(http1.AppendEnd(http1.AppendLength(b, int64(len(body)))), body...), 0
+		return append(http1.AppendHeadEnd(http1.AppendContentLength(b, int64(len(body)))), body...), 0
 	}
 }
 
 // do carries out an exchange and returns how it ended and the body of its answer.
 func do(p *Pool, to *Route, method, body string) (balance.Result, string) {
 	x := new(Exchange)
-	x.Begin(p, to, time.Now().Add(patience), request(method, body))
+	x.Prepare(p, to, time.Now().Add(patience), request(method, body))
 	return carry(x)
 }
 
 func carry(x *Exchange) (balance.Result, string) {
-	x.Carry()
-	defer x.Done()
-	return x.Result(), string(x.Body())
+	x.ConnectAndRun()
+	defer x.Release()
+	return x.Result(), string(x.ResponseBody())
 }
 
 func ok(body string) string {
@@ -64,19 +64,19 @@
 }
 
 // timedRequest is the text of a request that tells how long it will be waited for.
-func timedRequest(body string) Compose {
+func timedRequest(body string) AppendRequestFunc {
 	return func(b []byte) ([]byte, int) {
 		b = http1.AppendRequestLine(b, []byte("POST"), []byte("/"))
 		b = http1.AppendField(b, "Host", "a")
-		b = append(http1.AppendLength(b, int64(len(body))), "X-Timeout: "...)
+		b = append(http1.AppendContentLength(b, int64(len(body))), "X-Timeout: "...)
 		at := len(b)
-		return append(http1.AppendEnd(append(b, "\r\n"...)), body...), at
+		return append(http1.AppendHeadEnd(append(b, "\r\n"...)), body...), at
 	}
 }
 
 // timeoutNode answers each request with the X-Timeout that it was told.
 func timeoutNode(t *testing.T) string {
-	return fake.TCP(t, func(c net.Conn) {
+	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
 		for {
@@ -108,10 +108,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, to := newPool(1, 5*time.Second, time.Hour), &Route{Addr: addr}
-			defer p.Release(to, false)
+			defer p.CloseIdleConnections(to, false)
 			x := new(Exchange)
 			until := time.Now().Add(patience)
-			x.Begin(p, to, until, timedRequest("body"))
+			x.Prepare(p, to, until, timedRequest("body"))
 			waits := prepare(p, to)
 			got, value := carry(x)
 			told, err := time.ParseDuration(strings.TrimSuffix(value, "u") + "us")
@@ -128,7 +128,7 @@
 // staleConn is a connection to a route whose other end has closed it.
 func staleConn(t *testing.T, p *Pool, to *Route) *conn {
 	t.Helper()
-	addr := fake.TCP(t, func(c net.Conn) { c.Close() })
+	addr := fake.StartTCPServer(t, func(c net.Conn) { c.Close() })
 	p.slots <- struct{}{}
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -138,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for s.Quiet() { // until the end has come
+	for s.ReadWouldBlock() { // until the end has come
 		time.Sleep(time.Millisecond)
 	}
 	return &conn{Conn: s, to: to, pool: p}
@@ -147,12 +147,12 @@
 func TestRequestWithNoTimeLeftIsNotSentAndBlamesNoEndpoint(t *testing.T) {
 	addr := timeoutNode(t)
 	p, to := usualPool(), &Route{Addr: addr}
-	defer p.Release(to, false)
+	defer p.CloseIdleConnections(to, false)
 	if got, _ := do(p, to, "POST", "body"); got != balance.OK { // so that a connection is at hand
 		t.Fatal(got)
 	}
 	x := new(Exchange)
-	x.Begin(p, to, time.Now(), timedRequest("body"))
+	x.Prepare(p, to, time.Now(), timedRequest("body"))
 	if got, _ := carry(x); got != balance.NotSent {
 		t.Errorf("%v, want not sent", got)
 	}
@@ -164,10 +164,10 @@
 func TestRepeatIsNotSentOnceItsKeyMayBeForgotten(t *testing.T) {
 	const wait = 200 * time.Millisecond // for a connection
 	p, to := newPool(1, 5*time.Second, time.Hour), &Route{Addr: timeoutNode(t)}
-	defer p.Release(to, false)
+	defer p.CloseIdleConnections(to, false)
 	x := new(Exchange)
-	x.Begin(p, to, time.Now().Add(patience), timedRequest("body"))
-	x.BeginBy(time.Now().Add(wait / 2))
+	x.Prepare(p, to, time.Now().Add(patience), timedRequest("body"))
+	x.SetStartDeadline(time.Now().Add(wait / 2))
 	p.slots <- struct{}{}
 	time.AfterFunc(wait, func() { <-p.slots })
 	if got, _ := carry(x); got != balance.NotSent {
@@ -191,8 +191,8 @@
 		{syscall.ETIMEDOUT, 1, balance.ConnectFailed},
 	} {
 		failures := 0
-		p := NewPool(Config{Connections: 10, ConnectTime: patience, KeepAlive: time.Hour,
-			Limits: func() Limits { return Limits{Head: 16 << 10, Body: maxBody} },
+		p := NewPool(Config{MaxConnections: 10, ConnectTimeout: patience, IdleTimeout: time.Hour,
+			ResponseLimits: func() ResponseLimits { return ResponseLimits{HeadBytes: 16 << 10, BufferedBodyBytes: maxBody} },
 			Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if failures++; failures <= c.times {
 					return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", c.errno)}
@@ -203,13 +203,13 @@
 		if got, _ := do(p, to, "POST", "body"); got != c.want {
 			t.Errorf("%v, %d times: %v, want %v", c.errno, c.times, got, c.want)
 		}
-		p.Release(to, false)
+		p.CloseIdleConnections(to, false)
 	}
 }
 
 func TestBrokenConnectionIsNoTimeOut(t *testing.T) {
 	x := new(Exchange)
-	x.Begin(usualPool(), &Route{}, time.Now().Add(patience), request("GET", ""))
+	x.Prepare(usualPool(), &Route{}, time.Now().Add(patience), request("GET", ""))
 	x.fail(true, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)})
 	if got := x.Result(); got != balance.Reset {
 		t.Errorf("%v, want a reset", got)
@@ -224,10 +224,10 @@
 	} {
 		t.Run(fmt.Sprint(c.method, len(c.body)), func(t *testing.T) {
 			var came atomic.Int32
-			addr := fake.TCP(t, func(c net.Conn) {
+			addr := fake.StartTCPServer(t, func(c net.Conn) {
 				defer c.Close()
 				in := bufio.NewReader(c)
-				for n := 0; fake.ReadRequest(in) == nil; n++ {
+				for n := 0; fake.DiscardRequest(in) == nil; n++ {
 					came.Add(1)
 					if n == 1 { // the first on this connection is answered, the second is read and dropped
 						return
@@ -236,7 +236,7 @@
 				}
 			})
 			p, to := usualPool(), &Route{Addr: addr}
-			defer p.Release(to, false)
+			defer p.CloseIdleConnections(to, false)
 			if got, body := do(p, to, c.method, c.body); got != balance.OK || body != "ok" {
 				t.Fatalf("first: %d %q", got, body)
 			}
@@ -257,14 +257,14 @@
 		for _, late := range []bool{false, true} {
 			came := make(chan struct{}, 2)
 			var conns atomic.Int32
-			addr := fake.TCP(t, func(c net.Conn) {
+			addr := fake.StartTCPServer(t, func(c net.Conn) {
 				defer c.Close()
 				body := "first"
 				if conns.Add(1) > 1 {
 					body = "second"
 				}
 				in := bufio.NewReader(c)
-				for fake.ReadRequest(in) == nil {
+				for fake.DiscardRequest(in) == nil {
 					if late {
 						io.WriteString(c, ok(body))
 						time.Sleep(time.Millisecond)
@@ -287,7 +287,7 @@
 					t.Fatal("no answer")
 				}
 			}
-			p.Release(to, false)
+			p.CloseIdleConnections(to, false)
 			if n := conns.Load(); stray == "" && n != 1 || stray != "" && n != 2 {
 				t.Errorf("%s, late %v: %d connections", name, late, n)
 			}
@@ -302,8 +302,8 @@
 	p := newPool(2, 50*time.Millisecond, time.Hour)
 	var routes [3]*Route
 	for i := range routes {
-		routes[i] = &Route{Addr: fake.HTTP(t, hello)}
-		defer p.Release(routes[i], false)
+		routes[i] = &Route{Addr: fake.StartHTTPServer(t, hello)}
+		defer p.CloseIdleConnections(routes[i], false)
 	}
 	for i, to := range routes {
 		if got, _ := do(p, to, "POST", ""); got != balance.OK {
@@ -332,7 +332,7 @@
 // fell idle later.
 func TestIdleConnectionsExpire(t *testing.T) {
 	p := newPool(100, 5*time.Second, 20*time.Millisecond)
-	to := &Route{Addr: fake.TCP(t, func(c net.Conn) { io.Copy(io.Discard, c) })}
+	to := &Route{Addr: fake.StartTCPServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })}
 	for range 3 {
 		for range 2 {
 			c, err := p.dial(context.Background(), to)
@@ -342,9 +342,9 @@
 			p.put(c)
 			time.Sleep(5 * time.Millisecond)
 		}
-		for end := time.Now().Add(patience); p.Open() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patience); p.OpenConnections() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d connections are left", p.Open())
+				t.Fatalf("%d connections are left", p.OpenConnections())
 			}
 		}
 	}
@@ -352,9 +352,9 @@
 
 // reply answers one request on each connection with a text and closes it.
 func reply(t *testing.T, text string) string {
-	return fake.TCP(t, func(c net.Conn) {
+	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
-		if fake.ReadRequest(bufio.NewReader(c)) == nil {
+		if fake.DiscardRequest(bufio.NewReader(c)) == nil {
 			io.WriteString(c, text)
 		}
 	})
@@ -362,9 +362,9 @@
 
 // endless answers with a start and more without end, and its connection stays open.
 func endless(t *testing.T, start, more string) string {
-	return fake.TCP(t, func(c net.Conn) {
+	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
-		if fake.ReadRequest(bufio.NewReader(c)) != nil {
+		if fake.DiscardRequest(bufio.NewReader(c)) != nil {
 			return
 		}
 		more := []byte(strings.Repeat(more, 1000))
@@ -378,9 +378,9 @@
 func TestOutcomes(t *testing.T) {
 	came := make(chan struct{}, 1)
 	stops := func(text string, came chan struct{}) string { // and its connection stays open
-		return fake.TCP(t, func(c net.Conn) {
+		return fake.StartTCPServer(t, func(c net.Conn) {
 			in := bufio.NewReader(c)
-			if fake.ReadRequest(in) == nil {
+			if fake.DiscardRequest(in) == nil {
 				io.WriteString(c, text)
 				if came != nil {
 					came <- struct{}{}
@@ -448,23 +448,23 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			p, x := usualPool(), new(Exchange)
-			x.Begin(p, &Route{Addr: c.addr}, time.Now().Add(patience), request("POST", "body"))
+			x.Prepare(p, &Route{Addr: c.addr}, time.Now().Add(patience), request("POST", "body"))
 			switch name {
 			case "barred at start":
-				x.Leave()
+				x.CancelUnsent()
 			case "silent", "silent half way":
 				x.until = time.Now().Add(50 * time.Millisecond)
 			case "canceled":
 				go func() {
 					<-came
-					x.End(ErrCanceled)
+					x.Cancel(ErrCanceled)
 				}()
 			}
 			got, body := carry(x)
 			if got != c.want || got == balance.OK && body != "ok" && name != "empty" {
 				t.Errorf("result %d, want %d; body %q", got, c.want, body)
 			}
-			if n := p.Open(); got != balance.OK && n != 0 && name[0] != '5' && name != "error" && name != "204" {
+			if n := p.OpenConnections(); got != balance.OK && n != 0 && name[0] != '5' && name != "error" && name != "204" {
 				t.Errorf("%d connections are left", n)
 			}
 		})
@@ -474,21 +474,21 @@
 // Once barred, a request does not go out on whatever connection there is for it.
 func TestBarredWritesNothing(t *testing.T) {
 	got := make(chan int, 1)
-	addr := fake.TCP(t, func(c net.Conn) {
+	addr := fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
 	})
 	p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
-	x.Begin(p, to, time.Now().Add(patience), request("POST", "body"))
+	x.Prepare(p, to, time.Now().Add(patience), request("POST", "body"))
 	if !x.Dial() {
 		t.Fatal(x.Result())
 	}
-	x.Leave()
+	x.CancelUnsent()
 	if x.Run(); x.Result() != balance.NotSent {
 		t.Errorf("result %d, want %d", x.Result(), balance.NotSent)
 	}
-	p.Release(to, false)
+	p.CloseIdleConnections(to, false)
 	if n := <-got; n != 0 {
 		t.Error("it went out")
 	}
@@ -497,23 +497,23 @@
 // An endpoint that leaves while an idle connection to it turns out to be none any more gets
 // nothing on another.
 func TestLeavesOnStaleConnection(t *testing.T) {
-	addr := fake.HTTP(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > 0 {
 			t.Error("it went out late")
 		}
 	})
 	p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
-	defer p.Release(to, false)
+	defer p.CloseIdleConnections(to, false)
 	if got, _ := do(p, to, "POST", ""); got != balance.OK {
 		t.Fatal(got)
 	}
-	x.Begin(p, to, time.Now().Add(patience), request("POST", "body"))
-	if !x.Ready() || !x.bind() {
+	x.Prepare(p, to, time.Now().Add(patience), request("POST", "body"))
+	if !x.TakeIdleConn() || !x.bind() {
 		t.Fatal("no idle connection")
 	}
-	x.Leave() // as the connection is found to be stale
+	x.CancelUnsent() // as the connection is found to be stale
 	x.unsent()
-	if x.Carry(); x.Result() != balance.NotSent {
+	if x.ConnectAndRun(); x.Result() != balance.NotSent {
 		t.Errorf("result %d, want %d", x.Result(), balance.NotSent)
 	}
 }
@@ -522,7 +522,7 @@
 // answer has come by then: it can't be to the whole request.
 func TestBreakWhileWriting(t *testing.T) {
 	for name, early := range map[string]string{"nothing": "", "an answer": ok("early")} {
-		addr := fake.TCP(t, func(c net.Conn) {
+		addr := fake.StartTCPServer(t, func(c net.Conn) {
 			c.Read(make([]byte, 10))
 			io.WriteString(c, early)
 			c.(*net.TCPConn).SetLinger(0)
@@ -531,7 +531,7 @@
 		p := usualPool()
 		x := new(Exchange)
 		// More than the buffers of two sockets hold.
-		x.Begin(p, &Route{Addr: addr}, time.Now().Add(patience), request("POST", strings.Repeat("x", 16<<20)))
+		x.Prepare(p, &Route{Addr: addr}, time.Now().Add(patience), request("POST", strings.Repeat("x", 16<<20)))
 		if got, _ := carry(x); got != balance.ConnectFailed {
 			t.Errorf("%s: result %d, want %d", name, got, balance.ConnectFailed)
 		}
@@ -540,14 +540,14 @@
 
 // An answer that comes before the request has been read is the answer, if the rest is read.
 func TestAnswersBeforeReading(t *testing.T) {
-	addr := fake.TCP(t, func(c net.Conn) {
+	addr := fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		c.Read(make([]byte, 10))
 		io.WriteString(c, ok("ok"))
 		io.Copy(io.Discard, c)
 	})
 	p, to := usualPool(), &Route{Addr: addr}
-	defer p.Release(to, false)
+	defer p.CloseIdleConnections(to, false)
 	if got, body := do(p, to, "POST", strings.Repeat("x", 4<<20)); got != balance.OK || body != "ok" {
 		t.Errorf("result %d %q", got, body)
 	}
@@ -558,7 +558,7 @@
 func TestSpeaksFirst(t *testing.T) {
 	for name, text := range map[string]string{"an answer": ok("stray"), "nothing": ""} {
 		said := make(chan struct{})
-		addr := fake.TCP(t, func(c net.Conn) {
+		addr := fake.StartTCPServer(t, func(c net.Conn) {
 			defer c.Close()
 			if io.WriteString(c, text); text == "" {
 				c.(*net.TCPConn).CloseWrite()
@@ -567,12 +567,12 @@
 			io.Copy(io.Discard, c)
 		})
 		x := new(Exchange)
-		x.Begin(usualPool(), &Route{Addr: addr}, time.Now().Add(patience), request("POST", "x"))
+		x.Prepare(usualPool(), &Route{Addr: addr}, time.Now().Add(patience), request("POST", "x"))
 		if !x.Dial() {
 			t.Fatal(x.Result())
 		}
 		<-said
-		for x.conn.Quiet() { // until it is here
+		for x.conn.ReadWouldBlock() { // until it is here
 			time.Sleep(time.Millisecond)
 		}
 		if x.Run(); x.Result() != balance.ConnectFailed {
@@ -590,16 +590,16 @@
 	} {
 		for cut := range len(text) + 1 {
 			more := make(chan struct{})
-			addr := fake.TCP(t, func(c net.Conn) {
+			addr := fake.StartTCPServer(t, func(c net.Conn) {
 				defer c.Close()
-				if fake.ReadRequest(bufio.NewReader(c)) == nil {
+				if fake.DiscardRequest(bufio.NewReader(c)) == nil {
 					io.WriteString(c, text[:cut])
 					<-more
 					io.WriteString(c, text[cut:])
 				}
 			})
 			p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
-			x.Begin(p, to, time.Now().Add(patience), request("POST", "x"))
+			x.Prepare(p, to, time.Now().Add(patience), request("POST", "x"))
 			if !x.Dial() {
 				t.Fatal(x.Result())
 			}
@@ -607,12 +607,12 @@
 				x.Interrupt() // at whatever point it has come to
 				close(more)
 			}()
-			for x.Run() != Over {
+			for x.Run() != Ended {
 			}
-			if got := string(x.Body()); x.Result() != balance.OK || got != "0123456789" {
+			if got := string(x.ResponseBody()); x.Result() != balance.OK || got != "0123456789" {
 				t.Fatalf("%s, cut at %d: %d %q", name, cut, x.Result(), got)
 			}
-			p.Release(to, false)
+			p.CloseIdleConnections(to, false)
 		}
 	}
 }
@@ -621,16 +621,16 @@
 func TestInterruptWhileWriting(t *testing.T) {
 	const size = 16 << 20
 	read := make(chan struct{})
-	addr := fake.TCP(t, func(c net.Conn) {
+	addr := fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		<-read
-		if fake.ReadRequest(bufio.NewReader(c)) == nil {
+		if fake.DiscardRequest(bufio.NewReader(c)) == nil {
 			io.WriteString(c, ok("ok"))
 		}
 	})
 	p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
-	defer p.Release(to, false)
-	x.Begin(p, to, time.Now().Add(patience), request("POST", strings.Repeat("x", size)))
+	defer p.CloseIdleConnections(to, false)
+	x.Prepare(p, to, time.Now().Add(patience), request("POST", strings.Repeat("x", size)))
 	if !x.Dial() {
 		t.Fatal(x.Result())
 	}
@@ -647,9 +647,9 @@
 		}
 	}
 	close(read)
-	for x.Run() != Over {
+	for x.Run() != Ended {
 	}
-	if got := string(x.Body()); x.Result() != balance.OK || got != "ok" {
+	if got := string(x.ResponseBody()); x.Result() != balance.OK || got != "ok" {
 		t.Errorf("%d %q", x.Result(), got)
 	}
 }
@@ -658,9 +658,9 @@
 func TestClosesWithAnswer(t *testing.T) {
 	var conns atomic.Int32
 	closed := make(chan struct{}, 2)
-	addr := fake.TCP(t, func(c net.Conn) {
+	addr := fake.StartTCPServer(t, func(c net.Conn) {
 		conns.Add(1)
-		if fake.ReadRequest(bufio.NewReader(c)) == nil {
+		if fake.DiscardRequest(bufio.NewReader(c)) == nil {
 			io.WriteString(c, ok("ok"))
 		}
 		c.Close()
@@ -732,7 +732,7 @@
 			"release": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(routes)-1).Draw(t, "route")
 				keep := rapid.Bool().Draw(t, "keep")
-				p.Release(routes[i], keep)
+				p.CloseIdleConnections(routes[i], keep)
 				model = slices.DeleteFunc(model, func(c *conn) bool { return c.to == routes[i] })
 				if !keep { // a new process has a route of its own
 					routes[i] = &Route{Addr: routes[i].Addr}
@@ -746,8 +746,8 @@
 				for c := p.oldest; c != nil; c = c.next {
 					idle++
 				}
-				if idle != len(model) || sum != len(model) || p.Open() != len(model) {
-					t.Fatalf("%d idle, %d by route, %d slots, want %d", idle, sum, p.Open(), len(model))
+				if idle != len(model) || sum != len(model) || p.OpenConnections() != len(model) {
+					t.Fatalf("%d idle, %d by route, %d slots, want %d", idle, sum, p.OpenConnections(), len(model))
 				}
 			},
 		})
@@ -775,7 +775,7 @@
 				return
 			}
 			defer c.Close()
-			if fake.ReadRequest(bufio.NewReader(c)) == nil {
+			if fake.DiscardRequest(bufio.NewReader(c)) == nil {
 				c.Write(text)
 			}
 		}()
@@ -785,8 +785,8 @@
 			got == balance.OK && !strings.Contains(string(text), " 200") {
 			t.Errorf("%q: result %d, %d bytes", text, got, len(body))
 		}
-		p.Release(to, false)
-		if p.Open() > 0 {
+		p.CloseIdleConnections(to, false)
+		if p.OpenConnections() > 0 {
 			t.Errorf("%q: the connection is left open", text)
 		}
 	})
@@ -796,7 +796,7 @@
 	f.Add("TEXT busy_reqs=7, pending=2, cpu_share=0.61")
 	f.Add("TEXT inflight=")
 	f.Fuzz(func(t *testing.T, text string) {
-		if l, ok := parseLoad([]byte(text)); ok && !(l.InFlight >= -1 && l.Queue >= -1 && l.Util >= -1) {
+		if l, ok := parseLoad([]byte(text)); ok && !(l.InFlight >= -1 && l.Queued >= -1 && l.Utilization >= -1) {
 			t.Errorf("%q: %+v", text, l)
 		}
 	})
@@ -806,7 +806,7 @@
 func TestParseLoad(t *testing.T) {
 	for _, text := range []string{"TEXT busy_reqs=7, pending=2, cpu_share=0.61", "TEXT inflight=7, queue=2, util=0.61\r\n"} {
 		l, ok := parseLoad([]byte(text))
-		if !ok || l.InFlight != 7 || l.Queue != 2 || l.Util != 0.61 || l.Served != -1 {
+		if !ok || l.InFlight != 7 || l.Queued != 2 || l.Utilization != 0.61 || l.ServedPerSecond != -1 {
 			t.Errorf("%q: %+v", text, l)
 		}
 	}
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -8,45 +8,45 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// Config reads an instance's settings, and the fields of its load reports in
+// ParseConfig reads an instance's settings, and the fields of its load reports in
 // order. Unknown keys are skipped.
-func Config(text []byte) (balance.Config, []LoadField, error) {
+func ParseConfig(text []byte) (balance.Config, []LoadField, error) {
 	var s settings
 	s.Limits.Cancel, s.Limits.MaxStreams = true, 1
 	if err := json.Unmarshal(text, &s); err != nil {
 		return balance.Config{}, nil, fmt.Errorf("config: %w", err)
 	}
 	c := balance.Config{
-		Me: s.Me, Balancers: s.Balancers, Tier: s.Tier, Zone: s.Zone,
-		OverQuotaWorth: s.OverShareWorth,
-		MarksRepeats:   s.Clients.MarksRetry,
-		PassesBudget:   s.Specifics.PassesDeadline,
-		AskDiscovery:   s.Discovery == "ask",
-		AskWithin:      s.Rules.AskWithin,
-		Costs:          s.Costs,
+		SidecarIndex: s.Me, SidecarCount: s.Balancers, Tier: s.Tier, Zone: s.Zone,
+		OverQuotaValue:             s.OverShareWorth,
+		ClientsMarkRetries:         s.Clients.MarksRetry,
+		EndpointsPropagateDeadline: s.Specifics.PassesDeadline,
+		MustSubscribe:              s.Discovery == "ask",
+		MaxSubscribeDelay:          s.Rules.AskWithin,
+		Costs:                      s.Costs,
 		Limits: balance.Limits{
-			MaxAttempts: s.Limits.AttemptsCap, SecondCopies: s.Limits.SecondCopies,
-			Probes: s.Limits.Probes, Cancel: s.Limits.Cancel, Peers: s.Limits.Peers, MaxRetryAfter: s.Limits.MaxRetryAfter,
+			MaxAttempts: s.Limits.AttemptsCap, Hedging: s.Limits.SecondCopies,
+			Probes: s.Limits.Probes, Cancel: s.Limits.Cancel, PeerMessages: s.Limits.Peers, MaxRetryAfter: s.Limits.MaxRetryAfter,
 			ConnectTimeout: s.Limits.ConnectTimeout, KeepAlive: s.Limits.KeepAlive,
 			MaxStreams: s.Limits.MaxStreams,
 		},
-		ColdShare: s.Rules.ColdShare, ColdFor: s.Rules.Cold,
-		FallMultiple: s.Rules.FallMultiple, FallAfter: s.Rules.TipAfter,
-		DrainGrace: s.Rules.DrainGrace, ReleaseWithin: s.Rules.ReleaseWithin,
-		Goal: balance.GoalWeights{
-			Whole: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
-			WorstTenant: s.Goal.WorstTenant, Nines: s.Goal.LogLossPart, NinesFull: s.Goal.NinesFull,
+		ColdCapacityShare: s.Rules.ColdShare, WarmupTime: s.Rules.Cold,
+		ColdOverloadMultiple: s.Rules.FallMultiple, ColdOverloadTime: s.Rules.TipAfter,
+		DrainGrace: s.Rules.DrainGrace, MaxDrainIdleTime: s.Rules.ReleaseWithin,
+		Objective: balance.ObjectiveWeights{
+			Overall: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
+			WorstTenant: s.Goal.WorstTenant, Nines: s.Goal.LogLossPart, NinesTarget: s.Goal.NinesFull,
 		},
-		WorthByWork: s.CountedBy == "work",
-		Step:        s.Step,
+		ValueScalesWithWork: s.CountedBy == "work",
+		ClockResolution:     s.Step,
 	}
 	if !s.Limits.RetryAfter {
 		c.Limits.MaxRetryAfter = 0
 	}
 	for i, k := range s.Classes {
 		class := balance.Class{
-			Name: k.Name, Goal: k.Goal, Deadline: k.Deadline, Worth: k.Importance,
-			LateShare: k.LateShare, GoalStretch: k.AimStretch, RepeatWindow: k.RepeatWindow, Stream: k.Stream,
+			Name: k.Name, TargetLatency: k.Goal, Deadline: k.Deadline, Value: k.Importance,
+			LateValueShare: k.LateShare, TargetWorkFactor: k.AimStretch, RepeatWindow: k.RepeatWindow, Streaming: k.Stream,
 		}
 		var ok bool
 		if class.Semantics, ok = semantics[k.Semantics]; !ok {
@@ -61,7 +61,7 @@
 		c.Tenants = append(c.Tenants, balance.Tenant(t))
 	}
 	var ok bool
-	if c.Weights, ok = weights[s.Weights]; !ok {
+	if c.WeightMeaning, ok = weights[s.Weights]; !ok {
 		return c, nil, fmt.Errorf("config: weights: unknown value %q", s.Weights)
 	}
 	if c.Reporting, ok = reporting[s.LoadInfo.How]; !ok {
@@ -136,16 +136,16 @@
 	scopes = map[string]balance.Scope{
 		"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 	}
-	weights = map[string]balance.Weights{
-		"": balance.WeightsSilent, "silent": balance.WeightsSilent, "nominal": balance.WeightsNominal,
-		"rough": balance.WeightsRough, "live": balance.WeightsLive,
+	weights = map[string]balance.WeightMeaning{
+		"": balance.WeightNone, "silent": balance.WeightNone, "nominal": balance.WeightCapacity,
+		"rough": balance.WeightCapacityEstimate, "live": balance.WeightCapacityPerLoad,
 	}
 	reporting = map[string]balance.Reporting{
-		"": balance.ReportsNone, "silent": balance.ReportsNone, "pull": balance.ReportsProbe,
-		"piggyback": balance.ReportsInAnswer,
+		"": balance.ReportsNone, "silent": balance.ReportsNone, "pull": balance.ReportsInProbe,
+		"piggyback": balance.ReportsInResponse,
 	}
 	loadFields = map[string]LoadField{
-		"busy_reqs": FieldInFlight, "pending": FieldQueue, "cpu_share": FieldUtil,
+		"busy_reqs": FieldInFlight, "pending": FieldQueued, "cpu_share": FieldUtilization,
 		"svc_ms": FieldLatency, "served_ps": FieldServed, "failed_ps": FieldFailed,
 	}
 )
--- a/internal/wire/parse.go
+++ b/internal/wire/parse.go
@@ -179,17 +179,17 @@
 	}
 }
 
-func (p *parser) state() balance.State {
+func (p *parser) state() balance.EndpointState {
 	switch w := p.word(); string(w) {
 	case "in_service":
 		return balance.InService
 	case "terminating":
 		return balance.Draining
 	case "terminated":
-		return balance.Gone
+		return balance.Removed
 	default:
 		p.fail("unknown status %.40q", w)
-		return balance.Gone
+		return balance.Removed
 	}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,47 +14,47 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// Kind is the kind of an [Event].
-type Kind uint8
+// EventKind is the kind of an [Event].
+type EventKind uint8
 
 // The kinds of event.
 const (
-	NewInstance Kind = iota
-	PowerOff
-	Endpoints
-	Query
-	Head
-	Reply
-	Aborted
-	Ring
-	ProbeResult
-	Inbox
+	InstanceCreated EventKind = iota
+	InstanceStopped
+	EndpointsUpdated
+	RequestArrived
+	ResponseStarted
+	AttemptEnded
+	RequestAbandoned
+	TimerFired
+	ProbeEnded
+	PeerMessage
 )
 
 // Event is one event of a batch. Only the fields of its kind are set.
 type Event struct {
-	Kind     Kind
+	Kind     EventKind
 	Instance uint32
 	Line     int // its line in the input, from 1
 
-	Seed    uint64
-	Config  []byte // of NewInstance, valid until the next batch
-	List    balance.ListKind
-	Entries []balance.Endpoint // shared between events; valid until the next batch
-	Request balance.Request    // Query; its ID for all events about a request
-	Outcome balance.Outcome    // Reply, and ProbeResult as far as it goes; Load is not set
-	Timer   balance.Timer      // zero for a cookie that no reply has set
+	Seed       uint64
+	ConfigJSON []byte // of NewInstance, valid until the next batch
+	ListKind   balance.ListKind
+	Endpoints  []balance.Endpoint // shared between events; valid until the next batch
+	Request    balance.Request    // Query; its ID for all events about a request
+	Outcome    balance.Outcome    // Reply, and ProbeResult as far as it goes; Load is not set
+	Timer      balance.Timer      // zero for a cookie that no reply has set
 
-	report [MaxFields]float64
+	report [MaxLoadFields]float64
 	values int // of report; -1 without one
 	load   balance.Load
 }
 
 // Batch is what has come in at one time.
 type Batch struct {
-	Now    time.Duration
-	Serial uint64
-	Events []Event
+	Now            time.Duration
+	SequenceNumber uint64
+	Events         []Event
 }
 
 // Reader reads batches.
@@ -72,18 +72,18 @@
 	entries []balance.Endpoint
 }
 
-// MaxFields is the most values that a load report has.
-const MaxFields = 4
+// MaxLoadFields is the most values that a load report has.
+const MaxLoadFields = 4
 
 // LoadField is a value of a load report.
 type LoadField uint8
 
 // The values of a load report.
 const (
-	FieldOther LoadField = iota
+	FieldUnknown LoadField = iota
 	FieldInFlight
-	FieldQueue
-	FieldUtil
+	FieldQueued
+	FieldUtilization
 	FieldLatency
 	FieldServed
 	FieldFailed
@@ -115,14 +115,14 @@
 		return r.wrong(name, fmt.Errorf("a batch starts with TICK"))
 	}
 	b.Now = time.Duration(p.int())
-	b.Serial = p.uint(64)
+	b.SequenceNumber = p.uint(64)
 	if err := p.end(); err != nil {
 		return r.wrong(name, err)
 	}
 	for {
 		if err := r.next(); err != nil {
 			if errors.Is(err, io.EOF) {
-				return fmt.Errorf("line %d: batch %d is cut off: no EOB", r.line, b.Serial)
+				return fmt.Errorf("line %d: batch %d is cut off: no EOB", r.line, b.SequenceNumber)
 			}
 			return fmt.Errorf("line %d: %w", r.line, err)
 		}
@@ -176,49 +176,49 @@
 	e.Instance = p.instance()
 	switch string(name) {
 	case "NEW_INSTANCE":
-		e.Kind = NewInstance
+		e.Kind = InstanceCreated
 		e.Seed = p.uint(64)
 		from := len(r.arena)
 		r.arena = append(r.arena, p.text()...)
-		e.Config = r.arena[from:len(r.arena):len(r.arena)]
+		e.ConfigJSON = r.arena[from:len(r.arena):len(r.arena)]
 	case "POWER_OFF":
-		e.Kind = PowerOff
+		e.Kind = InstanceStopped
 	case "ENDPOINTS":
-		e.Kind = Endpoints
+		e.Kind = EndpointsUpdated
 		return r.endpoints(e, p)
 	case "QUERY":
-		e.Kind = Query
+		e.Kind = RequestArrived
 		e.query(p)
 	case "HEAD_RECEIVED":
-		e.Kind = Head
+		e.Kind = ResponseStarted
 		e.Request.ID = p.request()
 		e.Outcome.Attempt = p.small()
 		e.Outcome.Elapsed = time.Duration(p.int())
 		e.Outcome.Endpoint = p.endpoint()
 	case "REPLY":
-		e.Kind = Reply
+		e.Kind = AttemptEnded
 		e.Request.ID = p.request()
 		e.Outcome.Request = e.Request.ID
 		e.Outcome.Result = p.result()
-		e.Outcome.Closed = p.bool()
+		e.Outcome.RequestFinished = p.bool()
 		e.Outcome.Endpoint = p.endpoint()
 		e.Outcome.Attempt = p.small()
 		e.Outcome.Elapsed = time.Duration(p.int())
 		e.readLoad(p)
 	case "ABORTED":
-		e.Kind = Aborted
+		e.Kind = RequestAbandoned
 		e.Request.ID = p.request()
 	case "RING":
-		e.Kind = Ring
+		e.Kind = TimerFired
 		e.Timer = p.cookie()
 	case "PROBE_RESULT":
-		e.Kind = ProbeResult
+		e.Kind = ProbeEnded
 		e.Outcome.Endpoint = p.endpoint()
 		e.Outcome.Result = p.result()
 		e.Outcome.Elapsed = time.Duration(p.int())
 		e.readLoad(p)
 	case "INBOX":
-		e.Kind = Inbox
+		e.Kind = PeerMessage
 		p.uint(31)
 		p.base64()
 	default:
@@ -233,13 +233,13 @@
 	marks := p.optional(32)
 	q.Tenant = int(p.optional(16))
 	p.optional(53)
-	q.Budget = time.Duration(p.int())
+	q.Timeout = time.Duration(p.int())
 	q.Class = p.small()
 	hint := p.optional(62)
 	if marks&1 != 0 {
-		q.Work = time.Duration(hint)
+		q.ExpectedWork = time.Duration(hint)
 	}
-	q.Repeat = marks&2 != 0
+	q.ClientRetry = marks&2 != 0
 }
 
 func (r *Reader) endpoints(e *Event, p *parser) error {
@@ -247,13 +247,13 @@
 	p.optional(64)
 	switch string(kind) {
 	case "changes":
-		e.List = balance.ListChanges
+		e.ListKind = balance.ListChanges
 	case "all":
-		e.List = balance.ListFull
+		e.ListKind = balance.ListFull
 	case "remembered":
-		e.List = balance.ListRemember
+		e.ListKind = balance.ListLastKnown
 	case "refused":
-		e.List = balance.ListRefused
+		e.ListKind = balance.ListUnavailable
 		p.word()
 		return p.end()
 	default:
@@ -266,7 +266,7 @@
 	if n >= uint64(len(r.banks)) || !r.banks[n].set {
 		return fmt.Errorf("no list has the number %d", n)
 	}
-	e.Entries = r.banks[n].entries
+	e.Endpoints = r.banks[n].entries
 	return nil
 }
 
@@ -296,7 +296,7 @@
 		e.Cell = int(p.optional(31))
 		e.State = p.state()
 		e.Weight = p.float(1)
-		e.Started = time.Duration(p.optional(63))
+		e.StartedAt = time.Duration(p.optional(63))
 		if err := p.end(); err != nil {
 			return fmt.Errorf("ENTRY: %w", err)
 		}
@@ -316,8 +316,8 @@
 	for e.values = 0; len(row) > 0; e.values++ {
 		part, rest, _ := bytes.Cut(row, []byte{','})
 		row = rest
-		if e.values == MaxFields {
-			p.fail("a load report of over %d values", MaxFields)
+		if e.values == MaxLoadFields {
+			p.fail("a load report of over %d values", MaxLoadFields)
 			return
 		}
 		v := -1.0
@@ -341,21 +341,21 @@
 	if e.values != len(fields) {
 		return nil, fmt.Errorf("a load report of %d values, not %d", e.values, len(fields))
 	}
-	e.load = balance.Load{InFlight: -1, Queue: -1, Util: -1, LatencyMS: -1, Served: -1, Failed: -1}
+	e.load = balance.Load{InFlight: -1, Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}
 	for i, f := range fields {
 		switch v := e.report[i]; f {
 		case FieldInFlight:
 			e.load.InFlight = v
-		case FieldQueue:
-			e.load.Queue = v
-		case FieldUtil:
-			e.load.Util = v
+		case FieldQueued:
+			e.load.Queued = v
+		case FieldUtilization:
+			e.load.Utilization = v
 		case FieldLatency:
 			e.load.LatencyMS = v
 		case FieldServed:
-			e.load.Served = v
+			e.load.ServedPerSecond = v
 		case FieldFailed:
-			e.load.Failed = v
+			e.load.FailedPerSecond = v
 		}
 	}
 	return &e.load, nil
@@ -381,7 +381,7 @@
 		line("TRY")
 		request()
 		num(int64(a.Endpoint))
-		num(int64(a.Until))
+		num(int64(a.Deadline))
 	case balance.Cancel:
 		line("WITHDRAW")
 		request()
@@ -403,7 +403,7 @@
 	case balance.Probe:
 		line("TEST")
 		num(int64(a.Endpoint))
-	case balance.Release:
+	case balance.CloseIdle:
 		line("RELEASE")
 		num(int64(a.Endpoint))
 	case balance.Subscribe:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -28,27 +28,27 @@
 
 func TestEvents(t *testing.T) {
 	e := one(t, "QUERY sidecar_3 51fdf2bc5d3a91c4 3 2 4569004829183723 240000000 1 12000000")
-	want := balance.Request{ID: 0x51fdf2bc5d3a91c4, Class: 1, Tenant: 2, Budget: 240 * time.Millisecond,
-		Repeat: true, Work: 12 * time.Millisecond}
-	if e.Kind != Query || e.Instance != 3 || e.Request != want {
+	want := balance.Request{ID: 0x51fdf2bc5d3a91c4, Class: 1, Tenant: 2, Timeout: 240 * time.Millisecond,
+		ClientRetry: true, ExpectedWork: 12 * time.Millisecond}
+	if e.Kind != RequestArrived || e.Instance != 3 || e.Request != want {
 		t.Errorf("QUERY: %+v", e)
 	}
-	if e = one(t, "QUERY sidecar_3 51fdf2bc5d3a91c4 0 - - 240000000 0 -"); e.Request.Work != 0 || e.Request.Repeat {
+	if e = one(t, "QUERY sidecar_3 51fdf2bc5d3a91c4 0 - - 240000000 0 -"); e.Request.ExpectedWork != 0 || e.Request.ClientRetry {
 		t.Errorf("QUERY without optional values: %+v", e.Request)
 	}
 	e = one(t, "REPLY sidecar_3 51fdf2bc5d3a91c4 completed 1 51530247 0 18500000 2,-,0.5")
-	if o := e.Outcome; e.Kind != Reply || o.Result != balance.OK || !o.Closed || o.Endpoint != 51530247 ||
+	if o := e.Outcome; e.Kind != AttemptEnded || o.Result != balance.OK || !o.RequestFinished || o.Endpoint != 51530247 ||
 		o.Elapsed != 18500*time.Microsecond {
 		t.Errorf("REPLY: %+v", o)
 	}
-	load, err := e.Load([]LoadField{FieldInFlight, FieldQueue, FieldUtil})
-	if err != nil || load.InFlight != 2 || load.Queue != -1 || load.Util != 0.5 || load.Served != -1 {
+	load, err := e.Load([]LoadField{FieldInFlight, FieldQueued, FieldUtilization})
+	if err != nil || load.InFlight != 2 || load.Queued != -1 || load.Utilization != 0.5 || load.ServedPerSecond != -1 {
 		t.Errorf("load %+v, %v", load, err)
 	}
 	if _, err := e.Load([]LoadField{FieldInFlight}); err == nil {
 		t.Error("a report with too many values was taken")
 	}
-	if e = one(t, "PROBE_RESULT sidecar_3 7 overdue 50000000 -"); e.Kind != ProbeResult ||
+	if e = one(t, "PROBE_RESULT sidecar_3 7 overdue 50000000 -"); e.Kind != ProbeEnded ||
 		e.Outcome.Result != balance.Timeout || e.Outcome.Endpoint != 7 {
 		t.Errorf("PROBE_RESULT: %+v", e)
 	}
@@ -61,17 +61,17 @@
 	if e = one(t, "RING sidecar_3 sweep"); e.Timer != (balance.Timer{}) {
 		t.Errorf("RING of a foreign cookie: %+v", e.Timer)
 	}
-	if e = one(t, "HEAD_RECEIVED sidecar_3 67c3e1570e6f2b19 1 5 9"); e.Kind != Head || e.Outcome.Attempt != 1 {
+	if e = one(t, "HEAD_RECEIVED sidecar_3 67c3e1570e6f2b19 1 5 9"); e.Kind != ResponseStarted || e.Outcome.Attempt != 1 {
 		t.Errorf("HEAD_RECEIVED: %+v", e)
 	}
-	for line, kind := range map[string]Kind{
-		"ABORTED sidecar_5 67c3e1570e6f2b19":  Aborted,
-		"POWER_OFF sidecar_5":                 PowerOff,
-		"INBOX sidecar_5 3 aGkgNw==":          Inbox,
-		"INBOX sidecar_5 3 -":                 Inbox,
-		`NEW_INSTANCE sidecar_5 77 {"me": 1}`: NewInstance,
-		"ENDPOINTS sidecar_5 refused 41 0":    Endpoints,
-		"ENDPOINTS sidecar_5 refused - -":     Endpoints,
+	for line, kind := range map[string]EventKind{
+		"ABORTED sidecar_5 67c3e1570e6f2b19":  RequestAbandoned,
+		"POWER_OFF sidecar_5":                 InstanceStopped,
+		"INBOX sidecar_5 3 aGkgNw==":          PeerMessage,
+		"INBOX sidecar_5 3 -":                 PeerMessage,
+		`NEW_INSTANCE sidecar_5 77 {"me": 1}`: InstanceCreated,
+		"ENDPOINTS sidecar_5 refused 41 0":    EndpointsUpdated,
+		"ENDPOINTS sidecar_5 refused - -":     EndpointsUpdated,
 	} {
 		if e := one(t, line); e.Kind != kind || e.Instance != 5 {
 			t.Errorf("%s: %+v", line, e)
@@ -95,13 +95,13 @@
 	}
 	first := []balance.Endpoint{
 		{ID: 51530247, Weight: 1},
-		{ID: 747639282, Zone: 1, Cell: 4, State: balance.Draining, Weight: 1.5, Started: 6100 * time.Millisecond},
+		{ID: 747639282, Zone: 1, Cell: 4, State: balance.Draining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
-	if !reflect.DeepEqual(b.Events[0].Entries, first) || b.Events[0].List != balance.ListRemember {
+	if !reflect.DeepEqual(b.Events[0].Endpoints, first) || b.Events[0].ListKind != balance.ListLastKnown {
 		t.Errorf("first list %+v", b.Events[0])
 	}
-	second := []balance.Endpoint{{ID: 9, Weight: 1, State: balance.Gone}}
-	if !reflect.DeepEqual(b.Events[1].Entries, second) || b.Events[1].List != balance.ListChanges {
+	second := []balance.Endpoint{{ID: 9, Weight: 1, State: balance.Removed}}
+	if !reflect.DeepEqual(b.Events[1].Endpoints, second) || b.Events[1].ListKind != balance.ListChanges {
 		t.Errorf("second list %+v", b.Events[1])
 	}
 }
@@ -145,13 +145,13 @@
 		a    balance.Action
 		want string
 	}{
-		{balance.Action{Kind: balance.Send, Request: 0x51fdf2bc5d3a91c4, Endpoint: 51530247, Until: 8492250000},
+		{balance.Action{Kind: balance.Send, Request: 0x51fdf2bc5d3a91c4, Endpoint: 51530247, Deadline: 8492250000},
 			"TRY sidecar_3 51fdf2bc5d3a91c4 51530247 8492250000"},
 		{balance.Action{Kind: balance.Cancel, Request: 1, Attempt: 2}, "WITHDRAW sidecar_3 0000000000000001 2"},
 		{balance.Action{Kind: balance.Shed, Request: 1, Delay: 5}, "SHED sidecar_3 0000000000000001 5"},
 		{balance.Action{Kind: balance.Fail, Request: 1}, "RESPOND_ERROR sidecar_3 0000000000000001"},
 		{balance.Action{Kind: balance.Probe, Endpoint: 7}, "TEST sidecar_3 7"},
-		{balance.Action{Kind: balance.Release, Endpoint: 7}, "RELEASE sidecar_3 7"},
+		{balance.Action{Kind: balance.CloseIdle, Endpoint: 7}, "RELEASE sidecar_3 7"},
 		{balance.Action{Kind: balance.Subscribe}, "STREAM_CHANGES sidecar_3 1"},
 	} {
 		if got := string(AppendAction(nil, 3, &c.a)); got != c.want+"\n" {
@@ -181,30 +181,30 @@
 "costs": {"connection": 1, "crossZone": 2, "handshake": 3, "lateFail": 4, "peer": 5, "probe": 6, "waste": 7, "moves": 8}, "stepNs": 1000000, "tier": 1, "weights": "nominal", "zone": 1}`
 
 func TestConfig(t *testing.T) {
-	c, fields, err := Config([]byte(settingsText))
+	c, fields, err := ParseConfig([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	k := c.Classes[0]
-	if k.Goal != 1540*time.Millisecond || k.Semantics != balance.Keyed || k.Scope != balance.ScopeZone ||
-		k.LateShare != 0.5 || k.RepeatWindow != 10*time.Second {
+	if k.TargetLatency != 1540*time.Millisecond || k.Semantics != balance.Keyed || k.Scope != balance.ScopeZone ||
+		k.LateValueShare != 0.5 || k.RepeatWindow != 10*time.Second {
 		t.Errorf("class %+v", k)
 	}
-	if c.Me != 3 || c.Tier != 1 || !c.AskDiscovery || c.Weights != balance.WeightsNominal ||
-		c.Reporting != balance.ReportsProbe || c.ColdFor != 22*time.Second || c.Limits.MaxAttempts != 6 {
+	if c.SidecarIndex != 3 || c.Tier != 1 || !c.MustSubscribe || c.WeightMeaning != balance.WeightCapacity ||
+		c.Reporting != balance.ReportsInProbe || c.WarmupTime != 22*time.Second || c.Limits.MaxAttempts != 6 {
 		t.Errorf("config %+v", c)
 	}
 	for name, got := range map[string]bool{
 		"rules.drainGraceNs":     c.DrainGrace == 500*time.Millisecond,
-		"rules.releaseWithinNs":  c.ReleaseWithin == 800*time.Millisecond,
-		"rules.askWithinNs":      c.AskWithin == 9*time.Second,
-		"rules.fallMultiple":     c.FallMultiple == 4,
-		"rules.tipAfterNs":       c.FallAfter == 1500*time.Millisecond,
-		"countedBy":              c.WorthByWork,
-		"goal":                   c.Goal == balance.GoalWeights{Whole: 0.6, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.4, Nines: 0.3, NinesFull: 2},
+		"rules.releaseWithinNs":  c.MaxDrainIdleTime == 800*time.Millisecond,
+		"rules.askWithinNs":      c.MaxSubscribeDelay == 9*time.Second,
+		"rules.fallMultiple":     c.ColdOverloadMultiple == 4,
+		"rules.tipAfterNs":       c.ColdOverloadTime == 1500*time.Millisecond,
+		"countedBy":              c.ValueScalesWithWork,
+		"goal":                   c.Objective == balance.ObjectiveWeights{Overall: 0.6, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.4, Nines: 0.3, NinesTarget: 2},
 		"costs":                  c.Costs == balance.Costs{Connection: 1, CrossZone: 2, Handshake: 3, LateFail: 4, Peer: 5, Probe: 6, Waste: 7},
-		"limits.peers":           c.Limits.Peers,
-		"limits.secondCopies":    c.Limits.SecondCopies,
+		"limits.peers":           c.Limits.PeerMessages,
+		"limits.secondCopies":    c.Limits.Hedging,
 		"limits.maxRetryAfterNs": c.Limits.MaxRetryAfter == 2*time.Second,
 		"limits.keepaliveNs":     c.Limits.KeepAlive == 30*time.Second,
 		"limits.maxStreams":      c.Limits.MaxStreams == 100,
@@ -213,14 +213,14 @@
 			t.Errorf("%s does not reach the module: %+v", name, c)
 		}
 	}
-	if want := []LoadField{FieldInFlight, FieldOther, FieldUtil}; !reflect.DeepEqual(fields, want) {
+	if want := []LoadField{FieldInFlight, FieldUnknown, FieldUtilization}; !reflect.DeepEqual(fields, want) {
 		t.Errorf("fields %v, want %v", fields, want)
 	}
 	for _, spoil := range [][2]string{
 		{`"keyed"`, `"maybe"`}, {`"zone", "late`, `"room", "late`}, {`"nominal"`, `"heavy"`}, {`"pull"`, `"push"`},
 		{`{"balancers"`, `{"balancers`},
 	} {
-		if _, _, err := Config([]byte(strings.Replace(settingsText, spoil[0], spoil[1], 1))); err == nil {
+		if _, _, err := ParseConfig([]byte(strings.Replace(settingsText, spoil[0], spoil[1], 1))); err == nil {
 			t.Errorf("%s in place of %s was taken", spoil[1], spoil[0])
 		}
 	}
