--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -53,25 +53,25 @@
 
 // Pool holds the connections to endpoints, each of which carries one exchange at a time.
 type Pool struct {
-	cfg   Config
-	bufs  http1.BufferPool
-	large http1.BufferPool // for answers that flow
-	slots chan struct{}    // one for each connection that is open
+	cfg        Config
+	bufs       http1.BufferPool
+	streamBufs http1.BufferPool // for answers that flow
+	slots      chan struct{}    // one for each connection that is open
 
-	mu       sync.Mutex
-	oldest   *conn // of all that are idle
-	newest   *conn
-	expiring bool // a timer will look for those to close
-	waiting  int  // exchanges that wait for a slot
+	mu              sync.Mutex
+	oldestIdle      *conn // of all that are idle
+	newestIdle      *conn
+	expiryScheduled bool // a timer will look for those to close
+	slotWaiters     int  // exchanges that wait for a slot
 }
 
 // conn is a connection to an endpoint.
 type conn struct {
 	*tcpconn.Conn
-	to         *Route
-	since      time.Time // when it fell idle
+	route      *Route
+	idleSince  time.Time // when it fell idle
 	prev, next *conn     // by that, while it is idle
-	once       sync.Once
+	closeOnce  sync.Once
 	pool       *Pool
 }
 
@@ -80,13 +80,13 @@
 	if cfg.Dial == nil {
 		cfg.Dial = new(net.Dialer).DialContext
 	}
-	return &Pool{cfg: cfg, large: http1.BufferPool{InitialSize: flowBuffer}, slots: make(chan struct{}, cfg.MaxConnections)}
+	return &Pool{cfg: cfg, streamBufs: http1.BufferPool{InitialSize: streamBufferBytes}, slots: make(chan struct{}, cfg.MaxConnections)}
 }
 
 // Close closes a connection and gives its slot back.
 func (c *conn) Close() error {
 	var err error
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		err = c.Conn.Close()
 		<-c.pool.slots
 	})
@@ -99,12 +99,12 @@
 // How often a connection is tried that can't be made for a moment, and the first pause between two tries,
 // which doubles.
 const (
-	connectTries = 5
-	connectPause = time.Millisecond
+	maxDialTries        = 5
+	firstDialRetryDelay = time.Millisecond
 )
 
-// take removes and returns the idle connection to a route that was used last, or nil.
-func (p *Pool) take(to *Route) *conn {
+// takeIdle removes and returns the idle connection to a route that was used last, or nil.
+func (p *Pool) takeIdle(to *Route) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := len(to.idle)
@@ -117,15 +117,15 @@
 	return c
 }
 
-// yield removes and returns the connection that has been idle for longest, or nil. It is the
+// takeOldestIdle removes and returns the connection that has been idle for longest, or nil. It is the
 // first of its route as well.
-func (p *Pool) yield() *conn {
-	c := p.oldest
+func (p *Pool) takeOldestIdle() *conn {
+	c := p.oldestIdle
 	if c == nil {
 		return nil
 	}
 	p.unlink(c)
-	c.to.idle = slices.Delete(c.to.idle, 0, 1)
+	c.route.idle = slices.Delete(c.route.idle, 0, 1)
 	return c
 }
 
@@ -133,21 +133,21 @@
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.to.closed || p.waiting > 0 {
+	if c.route.closed || p.slotWaiters > 0 {
 		c.Close()
 		return
 	}
-	c.since = time.Now()
-	if c.prev = p.newest; c.prev != nil {
+	c.idleSince = time.Now()
+	if c.prev = p.newestIdle; c.prev != nil {
 		c.prev.next = c
 	} else {
-		p.oldest = c
+		p.oldestIdle = c
 	}
-	p.newest = c
-	c.to.idle = append(c.to.idle, c)
-	if !p.expiring {
-		p.expiring = true
-		time.AfterFunc(p.cfg.IdleTimeout, p.expire)
+	p.newestIdle = c
+	c.route.idle = append(c.route.idle, c)
+	if !p.expiryScheduled {
+		p.expiryScheduled = true
+		time.AfterFunc(p.cfg.IdleTimeout, p.closeExpired)
 	}
 }
 
@@ -155,28 +155,28 @@
 	if c.prev != nil {
 		c.prev.next = c.next
 	} else {
-		p.oldest = c.next
+		p.oldestIdle = c.next
 	}
 	if c.next != nil {
 		c.next.prev = c.prev
 	} else {
-		p.newest = c.prev
+		p.newestIdle = c.prev
 	}
 	c.prev, c.next = nil, nil
 }
 
-// expire closes the connections that have stood idle for long enough.
-func (p *Pool) expire() {
+// closeExpired closes the connections that have stood idle for long enough.
+func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := p.oldest; c != nil; c = p.oldest {
-		if left := p.cfg.IdleTimeout - time.Since(c.since); left > 0 {
-			time.AfterFunc(left, p.expire)
+	for c := p.oldestIdle; c != nil; c = p.oldestIdle {
+		if left := p.cfg.IdleTimeout - time.Since(c.idleSince); left > 0 {
+			time.AfterFunc(left, p.closeExpired)
 			return
 		}
-		p.yield().Close()
+		p.takeOldestIdle().Close()
 	}
-	p.expiring = false
+	p.expiryScheduled = false
 }
 
 // CloseIdleConnections closes the idle connections to a route. A route that is not kept gets no more.
@@ -198,7 +198,7 @@
 func (p *Pool) WaitingExchanges() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.waiting
+	return p.slotWaiters
 }
 
 // dial opens a connection. With all slots taken, the one unused for longest gives way.
@@ -208,11 +208,11 @@
 	select {
 	case p.slots <- struct{}{}:
 	default:
-		if err := p.wait(ctx); err != nil {
+		if err := p.waitForSlot(ctx); err != nil {
 			return nil, err
 		}
 	}
-	nc, err := p.connect(ctx, to.Addr)
+	nc, err := p.dialWithRetry(ctx, to.Addr)
 	if err != nil {
 		<-p.slots
 		if tcpconn.IsTransientLocalError(err) {
@@ -225,15 +225,15 @@
 		<-p.slots
 		return nil, errors.Join(err, nc.Close())
 	}
-	return &conn{Conn: s, to: to, pool: p}, nil
+	return &conn{Conn: s, route: to, pool: p}, nil
 }
 
-// connect opens a connection. What lies on this machine and may pass is tried again, for a moment.
-func (p *Pool) connect(ctx context.Context, addr string) (net.Conn, error) {
-	pause := connectPause
+// dialWithRetry opens a connection. What lies on this machine and may pass is tried again, for a moment.
+func (p *Pool) dialWithRetry(ctx context.Context, addr string) (net.Conn, error) {
+	pause := firstDialRetryDelay
 	for try := 1; ; try++ {
 		nc, err := p.cfg.Dial(ctx, "tcp", addr)
-		if err == nil || try == connectTries || !tcpconn.IsTransientLocalError(err) || tcpconn.IsOutOfDescriptors(err) {
+		if err == nil || try == maxDialTries || !tcpconn.IsTransientLocalError(err) || tcpconn.IsOutOfDescriptors(err) {
 			return nc, err
 		}
 		select {
@@ -245,17 +245,17 @@
 	}
 }
 
-// wait waits for a slot.
-func (p *Pool) wait(ctx context.Context) error {
+// waitForSlot waits for a slot.
+func (p *Pool) waitForSlot(ctx context.Context) error {
 	p.mu.Lock()
-	if c := p.yield(); c != nil {
+	if c := p.takeOldestIdle(); c != nil {
 		c.Close()
 	}
-	p.waiting++
+	p.slotWaiters++
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		p.waiting--
+		p.slotWaiters--
 		p.mu.Unlock()
 	}()
 	select {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -23,21 +23,21 @@
 	"barleydrum.example/barleydrum/internal/tcpconn"
 )
 
-// patience is how long a test waits for what must happen: no verdict leans on it being short.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must happen: no verdict leans on it being short.
+const testTimeout = 20 * time.Second
 
-// maxBody is the longest body of an answer here.
-const maxBody = 64 << 10
+// maxBodyBytes is the longest body of an answer here.
+const maxBodyBytes = 64 << 10
 
 func newPool(connections int, connect, keepAlive time.Duration) *Pool {
 	return NewPool(Config{MaxConnections: connections, ConnectTimeout: connect, IdleTimeout: keepAlive,
-		ResponseLimits: func() ResponseLimits { return ResponseLimits{HeadBytes: 16 << 10, BufferedBodyBytes: maxBody} }})
+		ResponseLimits: func() ResponseLimits { return ResponseLimits{HeadBytes: 16 << 10, BufferedBodyBytes: maxBodyBytes} }})
 }
 
-func usualPool() *Pool { return newPool(100, 5*time.Second, time.Hour) }
+func newDefaultPool() *Pool { return newPool(100, 5*time.Second, time.Hour) }
 
-// request is a request's text.
-func request(method, body string) AppendRequestFunc {
+// appendRequest is a request's text.
+func appendRequest(method, body string) AppendRequestFunc {
 	return func(b []byte) ([]byte, int) {
 		b = http1.AppendRequestLine(b, []byte(method), []byte("/"))
 		b = http1.AppendField(b, "Host", "a")
@@ -46,25 +46,25 @@
 	}
 }
 
-// do carries out an exchange and returns how it ended and the body of its answer.
-func do(p *Pool, to *Route, method, body string) (balance.Result, string) {
+// doExchange carries out an exchange and returns how it ended and the body of its answer.
+func doExchange(p *Pool, to *Route, method, body string) (balance.Result, string) {
 	x := new(Exchange)
-	x.Prepare(p, to, time.Now().Add(patience), request(method, body))
-	return carry(x)
+	x.Prepare(p, to, time.Now().Add(testTimeout), appendRequest(method, body))
+	return runExchange(x)
 }
 
-func carry(x *Exchange) (balance.Result, string) {
+func runExchange(x *Exchange) (balance.Result, string) {
 	x.ConnectAndRun()
 	defer x.Release()
 	return x.Result(), string(x.ResponseBody())
 }
 
-func ok(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// timedRequest is the text of a request that tells how long it will be waited for.
-func timedRequest(body string) AppendRequestFunc {
+// appendRequestWithTimeout is the text of a request that tells how long it will be waited for.
+func appendRequestWithTimeout(body string) AppendRequestFunc {
 	return func(b []byte) ([]byte, int) {
 		b = http1.AppendRequestLine(b, []byte("POST"), []byte("/"))
 		b = http1.AppendField(b, "Host", "a")
@@ -74,8 +74,8 @@
 	}
 }
 
-// timeoutNode answers each request with the X-Timeout that it was told.
-func timeoutNode(t *testing.T) string {
+// startTimeoutEchoNode answers each request with the X-Timeout that it was told.
+func startTimeoutEchoNode(t *testing.T) string {
 	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		in := bufio.NewReader(c)
@@ -87,14 +87,14 @@
 			if body, err := io.ReadAll(req.Body); err != nil || string(body) != "body" {
 				t.Errorf("body %q, %v", body, err)
 			}
-			io.WriteString(c, ok(req.Header.Get("X-Timeout")))
+			io.WriteString(c, okResponse(req.Header.Get("X-Timeout")))
 		}
 	})
 }
 
-func TestToldTimeoutIsWhatIsLeftAsTheRequestGoesOut(t *testing.T) {
+func TestTimeoutFieldIsTimeLeftAtSend(t *testing.T) {
 	const patience, delay = 5 * time.Second, 400 * time.Millisecond
-	addr := timeoutNode(t)
+	addr := startTimeoutEchoNode(t)
 	for name, prepare := range map[string]func(p *Pool, to *Route) (waits time.Duration){
 		"a connection is waited for": func(p *Pool, _ *Route) time.Duration {
 			p.slots <- struct{}{}
@@ -102,7 +102,7 @@
 			return delay
 		},
 		"the first connection is stale": func(p *Pool, to *Route) time.Duration {
-			p.put(staleConn(t, p, to))
+			p.put(newStaleConn(t, p, to))
 			return 0
 		},
 	} {
@@ -111,9 +111,9 @@
 			defer p.CloseIdleConnections(to, false)
 			x := new(Exchange)
 			until := time.Now().Add(patience)
-			x.Prepare(p, to, until, timedRequest("body"))
+			x.Prepare(p, to, until, appendRequestWithTimeout("body"))
 			waits := prepare(p, to)
-			got, value := carry(x)
+			got, value := runExchange(x)
 			told, err := time.ParseDuration(strings.TrimSuffix(value, "u") + "us")
 			if got != balance.OK || err != nil {
 				t.Fatalf("%v %q %v", got, value, err)
@@ -125,8 +125,8 @@
 	}
 }
 
-// staleConn is a connection to a route whose other end has closed it.
-func staleConn(t *testing.T, p *Pool, to *Route) *conn {
+// newStaleConn is a connection to a route whose other end has closed it.
+func newStaleConn(t *testing.T, p *Pool, to *Route) *conn {
 	t.Helper()
 	addr := fake.StartTCPServer(t, func(c net.Conn) { c.Close() })
 	p.slots <- struct{}{}
@@ -141,42 +141,42 @@
 	for s.ReadWouldBlock() { // until the end has come
 		time.Sleep(time.Millisecond)
 	}
-	return &conn{Conn: s, to: to, pool: p}
+	return &conn{Conn: s, route: to, pool: p}
 }
 
-func TestRequestWithNoTimeLeftIsNotSentAndBlamesNoEndpoint(t *testing.T) {
-	addr := timeoutNode(t)
-	p, to := usualPool(), &Route{Addr: addr}
+func TestRequestWithNoTimeLeftIsNotSent(t *testing.T) {
+	addr := startTimeoutEchoNode(t)
+	p, to := newDefaultPool(), &Route{Addr: addr}
 	defer p.CloseIdleConnections(to, false)
-	if got, _ := do(p, to, "POST", "body"); got != balance.OK { // so that a connection is at hand
+	if got, _ := doExchange(p, to, "POST", "body"); got != balance.OK { // so that a connection is at hand
 		t.Fatal(got)
 	}
 	x := new(Exchange)
-	x.Prepare(p, to, time.Now(), timedRequest("body"))
-	if got, _ := carry(x); got != balance.NotSent {
+	x.Prepare(p, to, time.Now(), appendRequestWithTimeout("body"))
+	if got, _ := runExchange(x); got != balance.NotSent {
 		t.Errorf("%v, want not sent", got)
 	}
-	if got, _ := do(p, to, "POST", "body"); got != balance.OK {
+	if got, _ := doExchange(p, to, "POST", "body"); got != balance.OK {
 		t.Errorf("the connection is of no more use: %v", got)
 	}
 }
 
-func TestRepeatIsNotSentOnceItsKeyMayBeForgotten(t *testing.T) {
+func TestRequestIsNotSentAfterStartDeadline(t *testing.T) {
 	const wait = 200 * time.Millisecond // for a connection
-	p, to := newPool(1, 5*time.Second, time.Hour), &Route{Addr: timeoutNode(t)}
+	p, to := newPool(1, 5*time.Second, time.Hour), &Route{Addr: startTimeoutEchoNode(t)}
 	defer p.CloseIdleConnections(to, false)
 	x := new(Exchange)
-	x.Prepare(p, to, time.Now().Add(patience), timedRequest("body"))
+	x.Prepare(p, to, time.Now().Add(testTimeout), appendRequestWithTimeout("body"))
 	x.SetStartDeadline(time.Now().Add(wait / 2))
 	p.slots <- struct{}{}
 	time.AfterFunc(wait, func() { <-p.slots })
-	if got, _ := carry(x); got != balance.NotSent {
+	if got, _ := runExchange(x); got != balance.NotSent {
 		t.Errorf("%v, want not sent", got)
 	}
 }
 
-func TestConnectFailuresOfThisMachineBlameNoEndpoint(t *testing.T) {
-	addr := timeoutNode(t)
+func TestLocalDialErrorsAreNotConnectFailed(t *testing.T) {
+	addr := startTimeoutEchoNode(t)
 	for _, c := range []struct {
 		errno syscall.Errno
 		times int
@@ -191,8 +191,8 @@
 		{syscall.ETIMEDOUT, 1, balance.ConnectFailed},
 	} {
 		failures := 0
-		p := NewPool(Config{MaxConnections: 10, ConnectTimeout: patience, IdleTimeout: time.Hour,
-			ResponseLimits: func() ResponseLimits { return ResponseLimits{HeadBytes: 16 << 10, BufferedBodyBytes: maxBody} },
+		p := NewPool(Config{MaxConnections: 10, ConnectTimeout: testTimeout, IdleTimeout: time.Hour,
+			ResponseLimits: func() ResponseLimits { return ResponseLimits{HeadBytes: 16 << 10, BufferedBodyBytes: maxBodyBytes} },
 			Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if failures++; failures <= c.times {
 					return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", c.errno)}
@@ -200,16 +200,16 @@
 				return new(net.Dialer).DialContext(ctx, network, addr)
 			}})
 		to := &Route{Addr: addr}
-		if got, _ := do(p, to, "POST", "body"); got != c.want {
+		if got, _ := doExchange(p, to, "POST", "body"); got != c.want {
 			t.Errorf("%v, %d times: %v, want %v", c.errno, c.times, got, c.want)
 		}
 		p.CloseIdleConnections(to, false)
 	}
 }
 
-func TestBrokenConnectionIsNoTimeOut(t *testing.T) {
+func TestETIMEDOUTIsResetNotTimeout(t *testing.T) {
 	x := new(Exchange)
-	x.Prepare(usualPool(), &Route{}, time.Now().Add(patience), request("GET", ""))
+	x.Prepare(newDefaultPool(), &Route{}, time.Now().Add(testTimeout), appendRequest("GET", ""))
 	x.fail(true, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)})
 	if got := x.Result(); got != balance.Reset {
 		t.Errorf("%v, want a reset", got)
@@ -218,9 +218,9 @@
 
 // Libraries repeat by themselves a request that fails on a reused connection, also
 // a POST with an Idempotency-Key. Each repeat must be the balancer's.
-func TestNoHiddenResend(t *testing.T) {
+func TestFailedRequestIsNotResent(t *testing.T) {
 	for _, c := range []struct{ method, body string }{
-		{"GET", ""}, {"POST", ""}, {"POST", "x"}, {"POST", strings.Repeat("x", maxBody)},
+		{"GET", ""}, {"POST", ""}, {"POST", "x"}, {"POST", strings.Repeat("x", maxBodyBytes)},
 	} {
 		t.Run(fmt.Sprint(c.method, len(c.body)), func(t *testing.T) {
 			var came atomic.Int32
@@ -232,15 +232,15 @@
 					if n == 1 { // the first on this connection is answered, the second is read and dropped
 						return
 					}
-					io.WriteString(c, ok("ok"))
+					io.WriteString(c, okResponse("ok"))
 				}
 			})
-			p, to := usualPool(), &Route{Addr: addr}
+			p, to := newDefaultPool(), &Route{Addr: addr}
 			defer p.CloseIdleConnections(to, false)
-			if got, body := do(p, to, c.method, c.body); got != balance.OK || body != "ok" {
+			if got, body := doExchange(p, to, c.method, c.body); got != balance.OK || body != "ok" {
 				t.Fatalf("first: %d %q", got, body)
 			}
-			if got, _ := do(p, to, c.method, c.body); got != balance.Reset {
+			if got, _ := doExchange(p, to, c.method, c.body); got != balance.Reset {
 				t.Errorf("second: %d, want a reset", got)
 			}
 			if n := came.Load(); n != 2 {
@@ -252,8 +252,8 @@
 
 // What comes on a connection behind an answer, or while it is idle, was read as the answer
 // to the next request. The second request here must have an answer of its own.
-func TestNoStrayAnswers(t *testing.T) {
-	for name, stray := range map[string]string{"copy": ok("first"), "noise": "\x00\xff", "none": ""} {
+func TestUnsolicitedDataIsNotTakenAsResponse(t *testing.T) {
+	for name, stray := range map[string]string{"copy": okResponse("first"), "noise": "\x00\xff", "none": ""} {
 		for _, late := range []bool{false, true} {
 			came := make(chan struct{}, 2)
 			var conns atomic.Int32
@@ -266,24 +266,24 @@
 				in := bufio.NewReader(c)
 				for fake.DiscardRequest(in) == nil {
 					if late {
-						io.WriteString(c, ok(body))
+						io.WriteString(c, okResponse(body))
 						time.Sleep(time.Millisecond)
 						io.WriteString(c, stray)
 					} else {
-						io.WriteString(c, ok(body)+stray)
+						io.WriteString(c, okResponse(body)+stray)
 					}
 					came <- struct{}{}
 					body = "second"
 				}
 			})
-			p, to := usualPool(), &Route{Addr: addr}
+			p, to := newDefaultPool(), &Route{Addr: addr}
 			for _, want := range []string{"first", "second"} {
-				if got, body := do(p, to, "POST", "x"); got != balance.OK || body != want {
+				if got, body := doExchange(p, to, "POST", "x"); got != balance.OK || body != want {
 					t.Errorf("%s, late %v: %d %q, want %q", name, late, got, body, want)
 				}
 				select {
 				case <-came:
-				case <-time.After(patience):
+				case <-time.After(testTimeout):
 					t.Fatal("no answer")
 				}
 			}
@@ -297,7 +297,7 @@
 
 // With all slots taken, the connection that was unused for longest gives way, and no
 // endpoint is to blame where none does.
-func TestConnectionsGiveWay(t *testing.T) {
+func TestDialEvictsLongestIdleConnection(t *testing.T) {
 	hello := func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }
 	p := newPool(2, 50*time.Millisecond, time.Hour)
 	var routes [3]*Route
@@ -306,24 +306,24 @@
 		defer p.CloseIdleConnections(routes[i], false)
 	}
 	for i, to := range routes {
-		if got, _ := do(p, to, "POST", ""); got != balance.OK {
+		if got, _ := doExchange(p, to, "POST", ""); got != balance.OK {
 			t.Errorf("endpoint %d: result %d", i, got)
 		}
 	}
-	if c := p.take(routes[0]); c != nil {
+	if c := p.takeIdle(routes[0]); c != nil {
 		t.Error("the connection unused for longest is still there")
 	}
-	held := []*conn{p.take(routes[1]), p.take(routes[2])}
+	held := []*conn{p.takeIdle(routes[1]), p.takeIdle(routes[2])}
 	if held[0] == nil || held[1] == nil {
 		t.Fatal("the others are not")
 	}
-	if got, _ := do(p, routes[0], "POST", ""); got != balance.NotSent {
+	if got, _ := doExchange(p, routes[0], "POST", ""); got != balance.NotSent {
 		t.Errorf("result %d with no slot left, want %d", got, balance.NotSent)
 	}
 	for _, c := range held {
 		c.Close()
 	}
-	if got, _ := do(p, routes[0], "POST", ""); got != balance.OK {
+	if got, _ := doExchange(p, routes[0], "POST", ""); got != balance.OK {
 		t.Errorf("result %d with slots left", got)
 	}
 }
@@ -342,7 +342,7 @@
 			p.put(c)
 			time.Sleep(5 * time.Millisecond)
 		}
-		for end := time.Now().Add(patience); p.OpenConnections() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); p.OpenConnections() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%d connections are left", p.OpenConnections())
 			}
@@ -350,8 +350,8 @@
 	}
 }
 
-// reply answers one request on each connection with a text and closes it.
-func reply(t *testing.T, text string) string {
+// startReplyNode answers one request on each connection with a text and closes it.
+func startReplyNode(t *testing.T, text string) string {
 	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		if fake.DiscardRequest(bufio.NewReader(c)) == nil {
@@ -360,8 +360,8 @@
 	})
 }
 
-// endless answers with a start and more without end, and its connection stays open.
-func endless(t *testing.T, start, more string) string {
+// startEndlessNode answers with a start and more without end, and its connection stays open.
+func startEndlessNode(t *testing.T, start, more string) string {
 	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		if fake.DiscardRequest(bufio.NewReader(c)) != nil {
@@ -375,7 +375,7 @@
 }
 
 // An outcome that proves a request never ran lets it be sent again; in doubt, it may have run.
-func TestOutcomes(t *testing.T) {
+func TestExchangeResults(t *testing.T) {
 	came := make(chan struct{}, 1)
 	stops := func(text string, came chan struct{}) string { // and its connection stays open
 		return fake.StartTCPServer(t, func(c net.Conn) {
@@ -394,42 +394,42 @@
 		addr string
 		want balance.Result
 	}{
-		"served":          {reply(t, ok("ok")), balance.OK},
-		"empty":           {reply(t, ok("")), balance.OK},
-		"chunks":          {reply(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;a=b\r\no\r\n1\r\nk\r\n0\r\nX: y\r\n\r\n"), balance.OK},
-		"error":           {reply(t, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balance.Error},
-		"204":             {reply(t, "HTTP/1.1 204 No\r\n\r\n"), balance.Error},
-		"503":             {reply(t, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), balance.Error},
-		"503 not run":     {reply(t, "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balance.Rejected},
-		"504 not run":     {reply(t, "HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balance.Rejected},
-		"500 not run":     {reply(t, "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balance.Error},
-		"no answer":       {reply(t, ""), balance.Reset},
-		"half a header":   {reply(t, "HTTP/1.1 200 OK\r\nContent-Le"), balance.Reset},
-		"short body":      {reply(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), balance.Reset},
-		"short chunk":     {reply(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok"), balance.Reset},
-		"no last chunk":   {reply(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"), balance.Reset},
-		"bad chunk":       {reply(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\nok"), balance.Error},
-		"bad trailer":     {reply(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 5\r\n\r\n"), balance.Error},
-		"no HTTP":         {reply(t, "hello\r\n"), balance.Error},
-		"oversized":       {reply(t, "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"+strings.Repeat("x", 70000)), balance.Error},
-		"3 GB":            {endless(t, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "x"), balance.Error},
-		"endless header":  {endless(t, "HTTP/1.1 200 OK\r\n", "X-A: b\r\n"), balance.Error},
-		"endless line":    {endless(t, "HTTP/1.1 200 OK\r\nX: ", "x"), balance.Error},
-		"endless chunks":  {endless(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"), balance.Error},
-		"endless trailer": {endless(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n"), balance.Error},
-		"endless size":    {endless(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0;", "x"), balance.Error},
-		"endless 1xx":     {endless(t, "", "HTTP/1.1 102 Wait\r\n\r\n"), balance.Error},
-		"endless noise":   {endless(t, "", "\x00\xff"), balance.Error},
-		"endless body":    {endless(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "x"), balance.Error},
-		"some 1xx":        {reply(t, strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3)+ok("ok")), balance.OK},
-		"100 1xx":         {reply(t, strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)+ok("ok")), balance.Error},
-		"protocol change": {reply(t, "HTTP/1.1 101 Switching\r\n\r\nok"), balance.Error},
-		"two lengths":     {reply(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok"), balance.Error},
-		"both lengths":    {reply(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), balance.Error},
-		"negative length": {reply(t, "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), balance.Error},
-		"no length":       {reply(t, "HTTP/1.1 200 OK\r\n\r\nok"), balance.Error},
-		"until the close": {reply(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok"), balance.OK},
-		"bad report":      {reply(t, "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=?\r\nContent-Length: 2\r\n\r\nok"), balance.OK},
+		"served":          {startReplyNode(t, okResponse("ok")), balance.OK},
+		"empty":           {startReplyNode(t, okResponse("")), balance.OK},
+		"chunks":          {startReplyNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;a=b\r\no\r\n1\r\nk\r\n0\r\nX: y\r\n\r\n"), balance.OK},
+		"error":           {startReplyNode(t, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balance.Error},
+		"204":             {startReplyNode(t, "HTTP/1.1 204 No\r\n\r\n"), balance.Error},
+		"503":             {startReplyNode(t, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), balance.Error},
+		"503 not run":     {startReplyNode(t, "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balance.Rejected},
+		"504 not run":     {startReplyNode(t, "HTTP/1.1 504 Late\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balance.Rejected},
+		"500 not run":     {startReplyNode(t, "HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balance.Error},
+		"no answer":       {startReplyNode(t, ""), balance.Reset},
+		"half a header":   {startReplyNode(t, "HTTP/1.1 200 OK\r\nContent-Le"), balance.Reset},
+		"short body":      {startReplyNode(t, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), balance.Reset},
+		"short chunk":     {startReplyNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nok"), balance.Reset},
+		"no last chunk":   {startReplyNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"), balance.Reset},
+		"bad chunk":       {startReplyNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\nok"), balance.Error},
+		"bad trailer":     {startReplyNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nContent-Length: 5\r\n\r\n"), balance.Error},
+		"no HTTP":         {startReplyNode(t, "hello\r\n"), balance.Error},
+		"oversized":       {startReplyNode(t, "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n"+strings.Repeat("x", 70000)), balance.Error},
+		"3 GB":            {startEndlessNode(t, "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "x"), balance.Error},
+		"endless header":  {startEndlessNode(t, "HTTP/1.1 200 OK\r\n", "X-A: b\r\n"), balance.Error},
+		"endless line":    {startEndlessNode(t, "HTTP/1.1 200 OK\r\nX: ", "x"), balance.Error},
+		"endless chunks":  {startEndlessNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"), balance.Error},
+		"endless trailer": {startEndlessNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X: y\r\n"), balance.Error},
+		"endless size":    {startEndlessNode(t, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0;", "x"), balance.Error},
+		"endless 1xx":     {startEndlessNode(t, "", "HTTP/1.1 102 Wait\r\n\r\n"), balance.Error},
+		"endless noise":   {startEndlessNode(t, "", "\x00\xff"), balance.Error},
+		"endless body":    {startEndlessNode(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n", "x"), balance.Error},
+		"some 1xx":        {startReplyNode(t, strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3)+okResponse("ok")), balance.OK},
+		"100 1xx":         {startReplyNode(t, strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 100)+okResponse("ok")), balance.Error},
+		"protocol change": {startReplyNode(t, "HTTP/1.1 101 Switching\r\n\r\nok"), balance.Error},
+		"two lengths":     {startReplyNode(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok"), balance.Error},
+		"both lengths":    {startReplyNode(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), balance.Error},
+		"negative length": {startReplyNode(t, "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), balance.Error},
+		"no length":       {startReplyNode(t, "HTTP/1.1 200 OK\r\n\r\nok"), balance.Error},
+		"until the close": {startReplyNode(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok"), balance.OK},
+		"bad report":      {startReplyNode(t, "HTTP/1.1 200 OK\r\nX-Server-Load: TEXT inflight=?\r\nContent-Length: 2\r\n\r\nok"), balance.OK},
 		"silent":          {silent, balance.Timeout},
 		"silent half way": {half, balance.Timeout},
 		"canceled":        {stops("", came), balance.Canceled},
@@ -447,20 +447,20 @@
 	}{closed, balance.ConnectFailed}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			p, x := usualPool(), new(Exchange)
-			x.Prepare(p, &Route{Addr: c.addr}, time.Now().Add(patience), request("POST", "body"))
+			p, x := newDefaultPool(), new(Exchange)
+			x.Prepare(p, &Route{Addr: c.addr}, time.Now().Add(testTimeout), appendRequest("POST", "body"))
 			switch name {
 			case "barred at start":
 				x.CancelUnsent()
 			case "silent", "silent half way":
-				x.until = time.Now().Add(50 * time.Millisecond)
+				x.deadline = time.Now().Add(50 * time.Millisecond)
 			case "canceled":
 				go func() {
 					<-came
 					x.Cancel(ErrCanceled)
 				}()
 			}
-			got, body := carry(x)
+			got, body := runExchange(x)
 			if got != c.want || got == balance.OK && body != "ok" && name != "empty" {
 				t.Errorf("result %d, want %d; body %q", got, c.want, body)
 			}
@@ -472,15 +472,15 @@
 }
 
 // Once barred, a request does not go out on whatever connection there is for it.
-func TestBarredWritesNothing(t *testing.T) {
+func TestCanceledUnsentRequestWritesNothing(t *testing.T) {
 	got := make(chan int, 1)
 	addr := fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		n, _ := c.Read(make([]byte, 1))
 		got <- n
 	})
-	p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
-	x.Prepare(p, to, time.Now().Add(patience), request("POST", "body"))
+	p, to, x := newDefaultPool(), &Route{Addr: addr}, new(Exchange)
+	x.Prepare(p, to, time.Now().Add(testTimeout), appendRequest("POST", "body"))
 	if !x.Dial() {
 		t.Fatal(x.Result())
 	}
@@ -496,23 +496,23 @@
 
 // An endpoint that leaves while an idle connection to it turns out to be none any more gets
 // nothing on another.
-func TestLeavesOnStaleConnection(t *testing.T) {
+func TestCancelUnsentOnStaleConnection(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength > 0 {
 			t.Error("it went out late")
 		}
 	})
-	p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
+	p, to, x := newDefaultPool(), &Route{Addr: addr}, new(Exchange)
 	defer p.CloseIdleConnections(to, false)
-	if got, _ := do(p, to, "POST", ""); got != balance.OK {
+	if got, _ := doExchange(p, to, "POST", ""); got != balance.OK {
 		t.Fatal(got)
 	}
-	x.Prepare(p, to, time.Now().Add(patience), request("POST", "body"))
-	if !x.TakeIdleConn() || !x.bind() {
+	x.Prepare(p, to, time.Now().Add(testTimeout), appendRequest("POST", "body"))
+	if !x.TakeIdleConn() || !x.bindConn() {
 		t.Fatal("no idle connection")
 	}
 	x.CancelUnsent() // as the connection is found to be stale
-	x.unsent()
+	x.dropStaleConn()
 	if x.ConnectAndRun(); x.Result() != balance.NotSent {
 		t.Errorf("result %d, want %d", x.Result(), balance.NotSent)
 	}
@@ -520,43 +520,43 @@
 
 // A break before the request's last byte is written proves that it never ran, also where an
 // answer has come by then: it can't be to the whole request.
-func TestBreakWhileWriting(t *testing.T) {
-	for name, early := range map[string]string{"nothing": "", "an answer": ok("early")} {
+func TestConnectionResetWhileWriting(t *testing.T) {
+	for name, early := range map[string]string{"nothing": "", "an answer": okResponse("early")} {
 		addr := fake.StartTCPServer(t, func(c net.Conn) {
 			c.Read(make([]byte, 10))
 			io.WriteString(c, early)
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		})
-		p := usualPool()
+		p := newDefaultPool()
 		x := new(Exchange)
 		// More than the buffers of two sockets hold.
-		x.Prepare(p, &Route{Addr: addr}, time.Now().Add(patience), request("POST", strings.Repeat("x", 16<<20)))
-		if got, _ := carry(x); got != balance.ConnectFailed {
+		x.Prepare(p, &Route{Addr: addr}, time.Now().Add(testTimeout), appendRequest("POST", strings.Repeat("x", 16<<20)))
+		if got, _ := runExchange(x); got != balance.ConnectFailed {
 			t.Errorf("%s: result %d, want %d", name, got, balance.ConnectFailed)
 		}
 	}
 }
 
 // An answer that comes before the request has been read is the answer, if the rest is read.
-func TestAnswersBeforeReading(t *testing.T) {
+func TestResponseBeforeRequestIsRead(t *testing.T) {
 	addr := fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		c.Read(make([]byte, 10))
-		io.WriteString(c, ok("ok"))
+		io.WriteString(c, okResponse("ok"))
 		io.Copy(io.Discard, c)
 	})
-	p, to := usualPool(), &Route{Addr: addr}
+	p, to := newDefaultPool(), &Route{Addr: addr}
 	defer p.CloseIdleConnections(to, false)
-	if got, body := do(p, to, "POST", strings.Repeat("x", 4<<20)); got != balance.OK || body != "ok" {
+	if got, body := doExchange(p, to, "POST", strings.Repeat("x", 4<<20)); got != balance.OK || body != "ok" {
 		t.Errorf("result %d %q", got, body)
 	}
 }
 
 // What an endpoint says, or closes with, on a new connection before anything was sent is no
 // answer to a request, which has not run.
-func TestSpeaksFirst(t *testing.T) {
-	for name, text := range map[string]string{"an answer": ok("stray"), "nothing": ""} {
+func TestDataBeforeRequestOnNewConnection(t *testing.T) {
+	for name, text := range map[string]string{"an answer": okResponse("stray"), "nothing": ""} {
 		said := make(chan struct{})
 		addr := fake.StartTCPServer(t, func(c net.Conn) {
 			defer c.Close()
@@ -567,7 +567,7 @@
 			io.Copy(io.Discard, c)
 		})
 		x := new(Exchange)
-		x.Prepare(usualPool(), &Route{Addr: addr}, time.Now().Add(patience), request("POST", "x"))
+		x.Prepare(newDefaultPool(), &Route{Addr: addr}, time.Now().Add(testTimeout), appendRequest("POST", "x"))
 		if !x.Dial() {
 			t.Fatal(x.Result())
 		}
@@ -582,9 +582,9 @@
 }
 
 // An answer may be cut anywhere, and be read on by another goroutine after an interrupt.
-func TestInterruptAnywhere(t *testing.T) {
+func TestInterruptAtAnyOffset(t *testing.T) {
 	for name, text := range map[string]string{
-		"length": "HTTP/1.1 103 Hints\r\n\r\n" + ok("0123456789"),
+		"length": "HTTP/1.1 103 Hints\r\n\r\n" + okResponse("0123456789"),
 		"chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n012\r\n7\r\n3456789\r\n0\r\n\r\n",
 		"close":  "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n0123456789",
 	} {
@@ -598,8 +598,8 @@
 					io.WriteString(c, text[cut:])
 				}
 			})
-			p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
-			x.Prepare(p, to, time.Now().Add(patience), request("POST", "x"))
+			p, to, x := newDefaultPool(), &Route{Addr: addr}, new(Exchange)
+			x.Prepare(p, to, time.Now().Add(testTimeout), appendRequest("POST", "x"))
 			if !x.Dial() {
 				t.Fatal(x.Result())
 			}
@@ -625,12 +625,12 @@
 		defer c.Close()
 		<-read
 		if fake.DiscardRequest(bufio.NewReader(c)) == nil {
-			io.WriteString(c, ok("ok"))
+			io.WriteString(c, okResponse("ok"))
 		}
 	})
-	p, to, x := usualPool(), &Route{Addr: addr}, new(Exchange)
+	p, to, x := newDefaultPool(), &Route{Addr: addr}, new(Exchange)
 	defer p.CloseIdleConnections(to, false)
-	x.Prepare(p, to, time.Now().Add(patience), request("POST", strings.Repeat("x", size)))
+	x.Prepare(p, to, time.Now().Add(testTimeout), appendRequest("POST", strings.Repeat("x", size)))
 	if !x.Dial() {
 		t.Fatal(x.Result())
 	}
@@ -655,20 +655,20 @@
 }
 
 // A connection on which the endpoint closes with its answer is not used again.
-func TestClosesWithAnswer(t *testing.T) {
+func TestConnectionClosedAfterResponseIsNotReused(t *testing.T) {
 	var conns atomic.Int32
 	closed := make(chan struct{}, 2)
 	addr := fake.StartTCPServer(t, func(c net.Conn) {
 		conns.Add(1)
 		if fake.DiscardRequest(bufio.NewReader(c)) == nil {
-			io.WriteString(c, ok("ok"))
+			io.WriteString(c, okResponse("ok"))
 		}
 		c.Close()
 		closed <- struct{}{}
 	})
-	p, to := usualPool(), &Route{Addr: addr}
+	p, to := newDefaultPool(), &Route{Addr: addr}
 	for range 2 {
-		if got, _ := do(p, to, "POST", "x"); got != balance.OK {
+		if got, _ := doExchange(p, to, "POST", "x"); got != balance.OK {
 			t.Errorf("result %d", got)
 		}
 		<-closed
@@ -678,10 +678,10 @@
 	}
 }
 
-// discard is a connection that is nobody's.
-type discard struct{ net.Conn }
+// nopConn is a connection that is nobody's.
+type nopConn struct{ net.Conn }
 
-func (discard) Close() error { return nil }
+func (nopConn) Close() error { return nil }
 
 // The pool of idle connections against a plain list of them: the one used last of a route is
 // taken, the one unused for longest of all gives way, and both views of the pool agree.
@@ -693,9 +693,9 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				p.slots <- struct{}{}
-				c := &conn{Conn: &tcpconn.Conn{Conn: discard{}}, to: rapid.SampledFrom(routes).Draw(t, "route"), pool: p}
+				c := &conn{Conn: &tcpconn.Conn{Conn: nopConn{}}, route: rapid.SampledFrom(routes).Draw(t, "route"), pool: p}
 				p.put(c)
-				if !c.to.closed {
+				if !c.route.closed {
 					model = append(model, c)
 				}
 			},
@@ -703,12 +703,12 @@
 				to := rapid.SampledFrom(routes).Draw(t, "route")
 				var want *conn
 				for i := len(model) - 1; i >= 0 && want == nil; i-- {
-					if model[i].to == to {
+					if model[i].route == to {
 						want = model[i]
 						model = slices.Delete(model, i, i+1)
 					}
 				}
-				got := p.take(to)
+				got := p.takeIdle(to)
 				if got != want {
 					t.Fatalf("took %p, want %p", got, want)
 				}
@@ -721,7 +721,7 @@
 				if len(model) > 0 {
 					want, model = model[0], model[1:]
 				}
-				got := p.yield()
+				got := p.takeOldestIdle()
 				if got != want {
 					t.Fatalf("gave way: %p, want %p", got, want)
 				}
@@ -733,7 +733,7 @@
 				i := rapid.IntRange(0, len(routes)-1).Draw(t, "route")
 				keep := rapid.Bool().Draw(t, "keep")
 				p.CloseIdleConnections(routes[i], keep)
-				model = slices.DeleteFunc(model, func(c *conn) bool { return c.to == routes[i] })
+				model = slices.DeleteFunc(model, func(c *conn) bool { return c.route == routes[i] })
 				if !keep { // a new process has a route of its own
 					routes[i] = &Route{Addr: routes[i].Addr}
 				}
@@ -743,7 +743,7 @@
 				for _, to := range routes {
 					sum += len(to.idle)
 				}
-				for c := p.oldest; c != nil; c = c.next {
+				for c := p.oldestIdle; c != nil; c = c.next {
 					idle++
 				}
 				if idle != len(model) || sum != len(model) || p.OpenConnections() != len(model) {
@@ -757,7 +757,7 @@
 // Whatever an endpoint sends, the exchange ends, and what is served has a 200 and an end.
 func FuzzExchange(f *testing.F) {
 	for _, text := range []string{
-		ok("ok"), "HTTP/1.1 100 Go\r\n\r\n" + ok(""), "HTTP/1.0 200\r\n\r\nx",
+		okResponse("ok"), "HTTP/1.1 100 Go\r\n\r\n" + okResponse(""), "HTTP/1.0 200\r\n\r\nx",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
 		"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\n\r\n", "", "\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
 	} {
@@ -779,9 +779,9 @@
 				c.Write(text)
 			}
 		}()
-		p, to := usualPool(), &Route{Addr: l.Addr().String()}
-		got, body := do(p, to, "POST", "x")
-		if len(body) > maxBody || got == balance.ConnectFailed || got == balance.NotSent ||
+		p, to := newDefaultPool(), &Route{Addr: l.Addr().String()}
+		got, body := doExchange(p, to, "POST", "x")
+		if len(body) > maxBodyBytes || got == balance.ConnectFailed || got == balance.NotSent ||
 			got == balance.OK && !strings.Contains(string(text), " 200") {
 			t.Errorf("%q: result %d, %d bytes", text, got, len(body))
 		}
