--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -16,103 +16,109 @@
 	"barleydrum.example/barleydrum/internal/tcpconn"
 )
 
-// Why an exchange was ended from this side.
+// The causes for which this side cancels an exchange.
 var (
 	ErrCanceled       = errors.New("canceled by the balancer")
-	ErrCanceledUnsent = errors.New("the endpoint has left service, or the request has its answer")
+	ErrCanceledUnsent = errors.New("the endpoint has left service, or the request already has a response")
 )
 
-// maxInterimResponses is the most 1xx answers ahead of one.
+// maxInterimResponses is the maximum number of interim (1xx) responses before a final one.
 const maxInterimResponses = 8
 
-// The states of an exchange's sending.
+// The values of Exchange.sendState.
 const (
-	sendPending  = iota // for a connection
-	sendStarted         // or written
-	sendCanceled        // before it began to be written
+	sendPending  = iota // the request is not bound to a connection yet
+	sendStarted         // the request is bound to a connection and may have been written, in part or completely
+	sendCanceled        // the exchange was canceled before the first byte of the request was written
 )
 
-// Exchange is one request to an endpoint and its answer. One goroutine at a time carries it, by
-// Ready or Dial and then Run, as Run says, and Next where its answer is passed on as it comes;
-// End, Leave, Interrupt and Extend may be called by any. A body that is sent as it arrives has a
-// goroutine beside it, which has ended when the exchange is over.
+// Exchange is one request to an endpoint and its response.
+//
+// One goroutine at a time runs the exchange: it calls TakeIdleConn or Dial and then Run, goes on as
+// the Progress returned by Run says, and calls NextResponseData if the response is streamed. Any
+// goroutine may call Cancel, CancelUnsent, Interrupt and ExtendDeadline. A streamed request body is
+// sent by a goroutine of its own, which has ended when the exchange has ended.
 type Exchange struct {
 	pool          *Pool
 	route         *Route
-	deadline      time.Time
-	requestBuf    *http1.Buffer // what is still to be written; nil once it has been
-	timeoutField  timeoutField  // within out
-	startDeadline time.Time     // it must not begin to go out later than this; zero for no such bound
-	skipSend      func() bool   // whether whoever asked has gone; nil for who does not go
-	conn          *conn         // nil before there is one, and once it is over
-	connIsNew     bool          // conn has carried nothing before
-	writeStarted  bool          // the request has begun to be written
-
+	deadline      time.Time     // when the exchange must have ended; ExtendDeadline changes it under mu
+	requestBuf    *http1.Buffer // the part of the request that is not yet written; nil once all is written
+	timeoutField  timeoutField  // in requestBuf
+	startDeadline time.Time     // the request must not start to be sent at or after this time; zero for no limit
+	skipSend      func() bool   // reports whether the caller has disconnected; nil if the caller can't disconnect
+	conn          *conn         // nil before the exchange has a connection, and after it has ended
+	connIsNew     bool          // no exchange has used conn before
+	writeStarted  bool          // the request has started to be written
+
+	// mu guards the fields of this group. In upload it guards only those that upload lists.
 	mu                 sync.Mutex
 	sendState          int
-	cancelCause        error              // why it was ended from this side
-	cancelDial         context.CancelFunc // while it is
-	boundConn          *conn              // that Interrupt and End may touch
-	interrupted        bool
-	cancelUnsentCalled bool // Leave was called
+	cancelCause        error              // why this side canceled the exchange; nil if it did not
+	cancelDial         context.CancelFunc // cancels Dial; nil while Dial is not running
+	boundConn          *conn              // the connection on which Interrupt and Cancel may set deadlines
+	interrupted        bool               // Interrupt was called during the current Run
+	cancelUnsentCalled bool
 	upload             upload
 
-	// The answer, as far as it has come.
+	// The response, as far as it has been received.
 	head         http1.Response
 	readBuf      *http1.Buffer
 	limits       ResponseLimits
-	interimCount int
-	headLen      int // of the final head, once it is whole
+	interimCount int // interim responses received
+	headLen      int // bytes of the final head; 0 until it is complete
 	framing      http1.Framing
 	chunkDecoder http1.ChunkedDecoder
-	headCopy     []byte // the head's, where the body is not kept behind it
+	headCopy     []byte // the bytes of the head, if the body does not follow it in readBuf
 	body         []byte
-	stream       responseStream // of an answer that is passed on as it comes
+	stream       responseStream
 
 	result        balance.Result
-	err           error // why there is no usable answer
+	err           error // why there is no usable response
 	loadReport    balance.Load
 	hasLoadReport bool
 }
 
-// timeoutField is where a request tells the endpoint how long it will be waited for.
+// timeoutField locates the value of the request's X-Timeout field, the time that this side waits for
+// the endpoint.
 type timeoutField struct {
-	offset int // offset of the value, 0 for none
-	length int // of the value that stands there
+	offset int // of the value, in bytes; 0 if the request has no such field
+	length int // of the current value, in bytes
 }
 
-// AppendRequestFunc appends a request's text, and returns the offset at which the value of its X-Timeout is to
-// be put in as it goes out, 0 for none.
-type AppendRequestFunc func(b []byte) (text []byte, timeoutAt int)
+// AppendRequestFunc appends the text of a request. It returns the extended slice and the offset at which the
+// value of X-Timeout must be inserted when the request is sent, 0 for a request without that field.
+type AppendRequestFunc func(b []byte) (text []byte, timeoutOffset int)
 
-// Prepare makes an exchange ready to be carried: a request that compose appends, to be sent to a
-// route and answered before until. What it held before is dropped.
-func (x *Exchange) Prepare(p *Pool, to *Route, until time.Time, compose AppendRequestFunc) {
-	x.pool, x.route, x.deadline = p, to, until
+// Prepare initializes an exchange that sends the request that appendRequest appends to a route and
+// waits for its response until the deadline. It discards the state of an earlier exchange.
+func (x *Exchange) Prepare(pool *Pool, route *Route, deadline time.Time, appendRequest AppendRequestFunc) {
+	x.pool, x.route, x.deadline = pool, route, deadline
 	x.sendState, x.cancelCause, x.interrupted, x.cancelUnsentCalled, x.boundConn, x.conn, x.writeStarted = sendPending, nil, false, false, nil, nil, false
 	x.interimCount, x.headLen, x.framing, x.headCopy, x.body = 0, 0, http1.NoBody, nil, nil
 	x.hasLoadReport, x.err = false, nil
 	x.upload, x.stream = upload{}, responseStream{}
-	x.limits = p.cfg.ResponseLimits()
+	x.limits = pool.cfg.ResponseLimits()
 	x.head.Limits = http1.DefaultLimits
 	x.head.Limits.HeadBytes = x.limits.HeadBytes
 	x.head.Reset()
-	x.requestBuf = p.bufs.Get()
+	x.requestBuf = pool.bufs.Get()
 	x.timeoutField, x.startDeadline, x.skipSend = timeoutField{}, time.Time{}, nil
 	x.requestBuf.ResetWith(func(b []byte) []byte {
-		b, x.timeoutField.offset = compose(b)
+		b, x.timeoutField.offset = appendRequest(b)
 		return b
 	})
 }
 
-// SetStartDeadline bounds when the exchange may begin to go out. It is called between Begin and the first Run.
+// SetStartDeadline sets the time from which on the request must not start to be sent. Callers must call it
+// between Prepare and the first Run.
 func (x *Exchange) SetStartDeadline(t time.Time) { x.startDeadline = t }
 
-// SkipSendIf has the exchange not go out once gone tells that whoever asked has gone. It is asked right before the
-// first byte, without a lock. It is called between Begin and the first Run.
-func (x *Exchange) SkipSendIf(gone func() bool) { x.skipSend = gone }
+// SkipSendIf sets a function that reports whether the caller has disconnected; the request is then not sent.
+// The function is called right before the first byte is written, with no lock held. Callers must call
+// SkipSendIf between Prepare and the first Run.
+func (x *Exchange) SkipSendIf(disconnected func() bool) { x.skipSend = disconnected }
 
-// prepareSend tells whether the request may still begin to go out, and tells the endpoint its time.
+// prepareSend reports whether the request may still start to be sent. If so, it updates X-Timeout.
 func (x *Exchange) prepareSend() bool {
 	if x.skipSend != nil && x.skipSend() {
 		return false
@@ -120,43 +126,44 @@
 	return x.updateTimeoutField()
 }
 
-// updateTimeoutField puts into the request how long the endpoint has from now on, which may be less than when
-// the request was composed: a connection may have been waited for. It tells whether the request may still
-// go out.
+// updateTimeoutField sets X-Timeout to the time left until the deadline. That may be less than when the
+// request was composed, since the exchange may have waited for a connection. It reports whether the
+// request may still start to be sent: time is left, and the start deadline has not passed.
 func (x *Exchange) updateTimeoutField() bool {
 	now := time.Now()
-	left := x.currentDeadline().Sub(now).Microseconds()
-	if left <= 0 || !x.startDeadline.IsZero() && !now.Before(x.startDeadline) {
+	leftMicros := x.currentDeadline().Sub(now).Microseconds()
+	if leftMicros <= 0 || !x.startDeadline.IsZero() && !now.Before(x.startDeadline) {
 		return false
 	}
 	if x.timeoutField.offset > 0 {
-		value := append(strconv.AppendInt(make([]byte, 0, maxTimeoutValueBytes), left, 10), 'u')
+		value := append(strconv.AppendInt(make([]byte, 0, maxTimeoutValueBytes), leftMicros, 10), 'u')
 		x.requestBuf.Replace(x.timeoutField.offset, x.timeoutField.length, value)
 		x.timeoutField.length = len(value)
 	}
 	return true
 }
 
-// maxTimeoutValueBytes is the longest value of X-Timeout, in bytes.
+// maxTimeoutValueBytes is the length of the longest value of X-Timeout.
 const maxTimeoutValueBytes = 20
 
-// TakeIdleConn takes a connection that stands idle, and tells whether there was one. It does not wait.
+// TakeIdleConn takes an idle connection to the route from the pool and reports whether there was one. It does
+// not wait.
 func (x *Exchange) TakeIdleConn() bool {
 	x.conn = x.pool.takeIdle(x.route)
 	x.connIsNew = false
 	return x.conn != nil
 }
 
-// Dial opens a connection, and tells whether there is one. If not, the exchange is over.
+// Dial opens a connection and reports whether it succeeded. If not, the exchange has ended.
 func (x *Exchange) Dial() bool {
 	ctx, cancel := context.WithDeadline(context.Background(), x.deadline)
 	defer cancel()
 	x.mu.Lock()
 	x.cancelDial = cancel
-	over := x.sendState == sendCanceled
+	canceled := x.sendState == sendCanceled
 	x.mu.Unlock()
 	var err error
-	if over {
+	if canceled {
 		err = ErrCanceledUnsent
 	} else {
 		x.conn, err = x.pool.dial(ctx, x.route)
@@ -171,18 +178,19 @@
 	return err == nil
 }
 
-// Progress is what Run has come to.
+// Progress says why Run returned.
 type Progress int
 
-// What Run may come to.
+// The results of Run.
 const (
 	Ended           Progress = iota // the exchange has ended; its connection is back in the pool or closed
-	Interrupted                     // it goes on with the next Run
-	NeedsConnection                 // the idle connection was none any more: Ready or Dial is to find another
-	Streaming                       // the answer has begun, and is had by Next
+	Interrupted                     // Interrupt was called; the next Run continues
+	NeedsConnection                 // the idle connection was stale; callers must call TakeIdleConn or Dial, and Run again
+	Streaming                       // the response has started; callers must call NextResponseData to read its body
 )
 
-// Run carries the exchange on its connection.
+// Run sends the request on the connection that TakeIdleConn or Dial obtained and receives the response. After
+// Interrupted it continues on the same connection, in whichever goroutine calls it.
 func (x *Exchange) Run() Progress {
 	if !x.bindConn() {
 		x.pool.put(x.conn)
@@ -192,7 +200,7 @@
 	}
 	if x.requestBuf != nil && !x.writeStarted && !x.prepareSend() {
 		x.unbindConn()
-		x.pool.put(x.conn) // nothing has been written on it
+		x.pool.put(x.conn) // nothing has been written to it
 		x.conn = nil
 		x.fail(false, errNoTimeLeft)
 		return Ended
@@ -204,7 +212,7 @@
 		x.writeStarted = true
 		if err := x.startUpload(); err != nil {
 			x.unbindConn()
-			x.pool.put(x.conn) // nothing has been written on it
+			x.pool.put(x.conn) // nothing has been written to it
 			x.conn = nil
 			x.fail(false, unsendableBodyError{err})
 			return Ended
@@ -234,9 +242,9 @@
 		x.requestWritten()
 	}
 	for {
-		whole, err := x.parseResponse()
+		complete, err := x.parseResponse()
 		switch {
-		case whole:
+		case complete:
 			x.completeResponse()
 			return Ended
 		case err != nil:
@@ -252,8 +260,8 @@
 	}
 }
 
-// handleIOError takes the end of a read or write: an interrupt, the end of a body that ends so, or a
-// failure. What has not been written whole has not run.
+// handleIOError handles an error of a read or write: an interrupt, the end of a body that extends to the
+// close of the connection, or a failure. A request that was not completely written has not run.
 func (x *Exchange) handleIOError(err error) Progress {
 	switch {
 	case x.wasInterrupted():
@@ -266,10 +274,10 @@
 	return Ended
 }
 
-// handleStaleConn ends a run on a connection on which something had come, or its end, before a byte of the
-// request was written.
+// handleStaleConn ends a Run whose connection had data to read, or was closed by the endpoint, before a
+// byte of the request was written.
 func (x *Exchange) handleStaleConn() Progress {
-	if x.connIsNew { // what comes ahead of the request is no answer to it
+	if x.connIsNew { // data that arrived before the request was sent is no response to it
 		x.closeAndFail(false, errDataBeforeRequest)
 		return Ended
 	}
@@ -277,18 +285,18 @@
 	return NeedsConnection
 }
 
-// requestWritten notes that the last byte has been written.
+// requestWritten records that the last byte of the request has been written.
 func (x *Exchange) requestWritten() {
 	x.pool.bufs.Put(x.requestBuf)
 	x.requestBuf = nil
 }
 
-// dropStaleConn gives a connection up, for another to be found.
+// dropStaleConn closes the connection, so that the exchange can use another one.
 func (x *Exchange) dropStaleConn() {
 	x.mu.Lock()
 	x.boundConn, x.writeStarted = nil, false
 	x.sendState = sendPending
-	if x.cancelUnsentCalled || x.cancelCause != nil { // meanwhile
+	if x.cancelUnsentCalled || x.cancelCause != nil { // since bindConn
 		x.cancel(ErrCanceledUnsent)
 	}
 	x.mu.Unlock()
@@ -296,8 +304,9 @@
 	x.conn = nil
 }
 
-// bindConn makes the connection the exchange's, unless it has been barred or ended. It is what a
-// request has to pass before its first byte goes out.
+// bindConn binds the connection to the exchange, so that Interrupt and Cancel can act on it. It returns
+// false if the exchange was canceled before its request was sent. It is called before the first byte of
+// every request is written.
 func (x *Exchange) bindConn() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -311,7 +320,7 @@
 	return true
 }
 
-// armWriteDeadline bounds the writing of a request that can't be written at once.
+// armWriteDeadline sets the write deadline for a request that can't be written without waiting.
 func (x *Exchange) armWriteDeadline() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -320,11 +329,11 @@
 	}
 }
 
-// expiredDeadline is a deadline that has passed.
+// expiredDeadline is a time in the past. As a deadline it ends pending reads and writes at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// Interrupt has Run return soon, to be called again by another goroutine. The request must have
-// begun to go out, or been barred.
+// Interrupt makes Run return soon, so that another goroutine can call it again. The request must have
+// started to be sent, or have been canceled before that.
 func (x *Exchange) Interrupt() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -334,21 +343,24 @@
 	}
 }
 
-// wasInterrupted tells whether a read or write has ended for an Interrupt.
+// wasInterrupted reports whether a read or write ended because of Interrupt, rather than Cancel or the
+// exchange's deadline.
 func (x *Exchange) wasInterrupted() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.interrupted && x.cancelCause == nil && time.Now().Before(x.deadline)
 }
 
-// Cancel withdraws an exchange. If it has not begun to go out, it never will.
+// Cancel cancels the exchange. If its request has not started to be sent, it never will be. The first cause
+// given is kept.
 func (x *Exchange) Cancel(cause error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.cancel(cause)
 }
 
-// CancelUnsent ends an exchange that has not begun to go out; another goes on.
+// CancelUnsent cancels the exchange if its request has not started to be sent. Otherwise the exchange goes
+// on, unless its idle connection turns out to be stale: then it is canceled too.
 func (x *Exchange) CancelUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -358,6 +370,7 @@
 	}
 }
 
+// cancel is Cancel for callers that hold x.mu.
 func (x *Exchange) cancel(cause error) {
 	if x.cancelCause == nil {
 		x.cancelCause = cause
@@ -376,31 +389,36 @@
 	}
 }
 
-// unbindConn takes the connection from those that may touch it.
-func (x *Exchange) unbindConn() (ended error) {
+// unbindConn ends the access of Interrupt and Cancel to the connection. It returns the cause if the exchange
+// was canceled before, else nil.
+func (x *Exchange) unbindConn() (cause error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.boundConn = nil
 	return x.cancelCause
 }
 
-// closeAndFail ends an exchange that has no usable answer.
+// closeAndFail ends an exchange without a usable response and closes its connection. sent says whether the
+// request was completely sent. It is ignored if the upload of a streamed body did not complete: then the
+// request counts as sent only if its response was unusable.
 func (x *Exchange) closeAndFail(sent bool, err error) {
-	whole, cause := x.stopUpload()
+	uploadComplete, uploadErr := x.stopUpload()
 	x.unbindConn()
 	x.conn.Close()
 	x.conn = nil
-	if !whole {
-		// What broke is told by the upload, unless that was only ended here, for the endpoint's end.
-		if errors.Is(cause, body.ErrStopped) && !isTimeout(err) {
-			cause = err
+	if !uploadComplete {
+		// The upload's error says what failed. But if the upload was only stopped above, because the
+		// endpoint ended the exchange (not because of a timeout), err says it.
+		if errors.Is(uploadErr, body.ErrStopped) && !isTimeout(err) {
+			uploadErr = err
 		}
-		sent, err = errors.As(err, new(unusableResponseError)), cause
+		sent, err = errors.As(err, new(unusableResponseError)), uploadErr
 	}
 	x.fail(sent, err)
 }
 
-// fail sets the result of an exchange without a usable answer. What was sent whole may have run.
+// fail sets the result of an exchange without a usable response. A request that was completely sent may have
+// run; one that was not can't have.
 func (x *Exchange) fail(sent bool, err error) {
 	x.mu.Lock()
 	cause := x.cancelCause
@@ -409,7 +427,7 @@
 	switch {
 	case cause == ErrCanceled:
 		x.result = balance.Canceled
-	case !sent && (cause == ErrCanceledUnsent || errors.Is(err, errNoSlot) || errors.Is(err, errNoTimeLeft) || errors.As(err, new(unsendableBodyError))): // through no fault of the endpoint
+	case !sent && (cause == ErrCanceledUnsent || errors.Is(err, errNoSlot) || errors.Is(err, errNoTimeLeft) || errors.As(err, new(unsendableBodyError))): // not the endpoint's fault
 		x.result = balance.NotSent
 	case !sent:
 		x.result = balance.ConnectFailed
@@ -423,12 +441,12 @@
 	x.releaseBuffers()
 }
 
-// isTimeout tells whether an endpoint was waited for in vain.
+// isTimeout reports whether an error is that the endpoint took too long.
 func isTimeout(err error) bool {
 	return tcpconn.IsDeadlineExceeded(err) || errors.Is(err, ErrEndpointTooSlow)
 }
 
-// releaseBuffers gives the buffers back.
+// releaseBuffers returns the buffers to their pools.
 func (x *Exchange) releaseBuffers() {
 	if x.requestBuf != nil {
 		x.pool.bufs.Put(x.requestBuf)
@@ -441,7 +459,7 @@
 	x.body = nil
 }
 
-// responseBufs are those that the answer's buffer is of.
+// responseBufs returns the pool that readBuf comes from.
 func (x *Exchange) responseBufs() *http1.BufferPool {
 	if x.stream.started {
 		return &x.pool.streamBufs
@@ -449,19 +467,23 @@
 	return &x.pool.bufs
 }
 
-// unusableResponseError is the fault of an answer that came and can't be used. The request has run.
+// unusableResponseError reports that a response arrived but can't be used. The request has run.
 type unusableResponseError struct{ error }
 
-func (s unusableResponseError) Unwrap() error { return s.error }
+func (e unusableResponseError) Unwrap() error { return e.error }
 
-var errNoTimeLeft = errors.New("no time was left for the request as it was to go out")
+// errNoTimeLeft reports that the request was not sent because its deadline or start deadline had passed, or
+// its caller had disconnected.
+var errNoTimeLeft = errors.New("no time was left when the request was about to be sent")
 
-var errDataBeforeRequest = errors.New("the endpoint spoke, or closed, before the request was sent")
+// errDataBeforeRequest reports that a new connection can't be used: data that arrives before the request is
+// sent is no response to it. The request was not sent.
+var errDataBeforeRequest = errors.New("the endpoint sent data, or closed the connection, before the request was sent")
 
 var errBodyTooLong = errors.New("body too long")
 
-// parseResponse takes what has come of the answer, and tells whether it is whole.
-func (x *Exchange) parseResponse() (whole bool, err error) {
+// parseResponse parses what has been received of the response and reports whether the response is complete.
+func (x *Exchange) parseResponse() (complete bool, err error) {
 	if x.readBuf == nil {
 		return false, nil
 	}
@@ -485,14 +507,14 @@
 		if x.framing, err = x.head.Framing(false); err != nil {
 			return false, err
 		}
-		long := x.framing == http1.FixedLength && x.head.ContentLength() > x.limits.BufferedBodyBytes
-		x.stream.eligible = x.head.Status() == http.StatusOK && (long || x.limits.StreamUnknownLength && x.framing != http1.FixedLength && x.framing != http1.NoBody)
-		if length := x.head.ContentLength(); long && (!x.stream.eligible || length > x.limits.StreamedBodyBytes) {
+		exceedsBuffer := x.framing == http1.FixedLength && x.head.ContentLength() > x.limits.BufferedBodyBytes
+		x.stream.eligible = x.head.Status() == http.StatusOK && (exceedsBuffer || x.limits.StreamUnknownLength && x.framing != http1.FixedLength && x.framing != http1.NoBody)
+		if length := x.head.ContentLength(); exceedsBuffer && (!x.stream.eligible || length > x.limits.StreamedBodyBytes) {
 			return false, fmt.Errorf("%w: %d bytes", errBodyTooLong, length)
 		}
 		x.headLen = n
-		if long || x.framing == http1.Chunked || x.framing == http1.UntilClose {
-			// It is not to be had in one piece: the head is kept apart, and the body grows by itself.
+		if exceedsBuffer || x.framing == http1.Chunked || x.framing == http1.UntilClose {
+			// Head and body will not be contiguous in readBuf: copy the head, and collect the body separately.
 			x.headCopy = append([]byte(nil), x.readBuf.Bytes()[:n]...)
 			x.head.Rebase(x.headCopy)
 			x.readBuf.Consume(n)
@@ -537,22 +559,22 @@
 	return true, nil
 }
 
-// completeResponse takes an answer that is whole. Its connection may be used again if the answer does
-// not end it and nothing has come behind.
+// completeResponse ends an exchange whose response is complete. The connection may be reused if the response
+// does not close it and no data has arrived after the response.
 func (x *Exchange) completeResponse() {
-	rest := x.readBuf.Len()
+	extraBytes := x.readBuf.Len()
 	switch x.framing {
 	case http1.NoBody:
-		rest -= x.headLen
+		extraBytes -= x.headLen
 		x.head.Rebase(x.readBuf.Bytes())
 	case http1.FixedLength:
 		text := x.readBuf.Bytes()
 		x.head.Rebase(text)
-		whole := x.headLen + int(x.head.ContentLength())
-		x.body = text[x.headLen:whole]
-		rest -= whole
+		responseLen := x.headLen + int(x.head.ContentLength())
+		x.body = text[x.headLen:responseLen]
+		extraBytes -= responseLen
 	}
-	x.releaseConn(rest == 0)
+	x.releaseConn(extraBytes == 0)
 	x.loadReport, x.hasLoadReport = parseLoad(x.head.Value("X-Server-Load"))
 	x.result = balance.Error
 	switch x.head.Status() {
@@ -568,11 +590,11 @@
 	}
 }
 
-// releaseConn gives the connection back that an answer has come whole on, if it is fit for another:
-// clean tells that nothing has come behind.
-func (x *Exchange) releaseConn(clean bool) {
-	whole, _ := x.stopUpload()
-	if ended := x.unbindConn(); ended == nil && whole && clean && !x.head.ClosesConnection() && x.framing != http1.UntilClose {
+// releaseConn gives up the connection after a complete response: it returns it to the pool if another exchange
+// can use it, and closes it otherwise. noExtraData reports that no data has arrived after the response.
+func (x *Exchange) releaseConn(noExtraData bool) {
+	uploadComplete, _ := x.stopUpload()
+	if cause := x.unbindConn(); cause == nil && uploadComplete && noExtraData && !x.head.ClosesConnection() && x.framing != http1.UntilClose {
 		x.pool.put(x.conn)
 	} else {
 		x.conn.Close()
@@ -580,13 +602,13 @@
 	x.conn = nil
 }
 
-// Result is how an exchange that is over has ended.
+// Result returns how the exchange ended. It is valid once the exchange has ended.
 func (x *Exchange) Result() balance.Result { return x.result }
 
-// Err is why an exchange that is over has no usable answer, nil where an endpoint has answered.
+// Err returns why an exchange that has ended has no usable response, nil if the endpoint responded.
 func (x *Exchange) Err() error { return x.err }
 
-// LoadReport is the load report that came with the answer, nil for none.
+// LoadReport returns the load report that came with the response, nil if there was none.
 func (x *Exchange) LoadReport() *balance.Load {
 	if !x.hasLoadReport {
 		return nil
@@ -594,37 +616,38 @@
 	return &x.loadReport
 }
 
-// ResponseHead is the head of an answer whose result is OK, until Done.
+// ResponseHead returns the head of a response whose result is OK. It is valid until Release.
 func (x *Exchange) ResponseHead() *http1.Response { return &x.head }
 
-// ResponseBody is its body, until Done.
+// ResponseBody returns the body of a response whose result is OK. It is valid until Release.
 func (x *Exchange) ResponseBody() []byte { return x.body }
 
-// Release gives back what an answer is held in.
+// Release returns the buffers that hold the response to their pools.
 func (x *Exchange) Release() { x.releaseBuffers() }
 
-// ConnectAndRun carries an exchange to its end, on whatever connection there is, or until its answer
-// flows, which it tells. It waits for a connection to come up if it must, and goes on through
-// interrupts.
-func (x *Exchange) ConnectAndRun() (flowing bool) {
+// ConnectAndRun runs the exchange to its end, or until its response is streamed, and reports whether it is. It
+// uses an idle connection if there is one, else waits until a new one is open. It continues after interrupts.
+func (x *Exchange) ConnectAndRun() (streaming bool) {
 	for x.TakeIdleConn() || x.Dial() {
-		p := x.Run()
-		for p == Interrupted {
-			p = x.Run()
+		progress := x.Run()
+		for progress == Interrupted {
+			progress = x.Run()
 		}
-		if p != NeedsConnection {
-			return p == Streaming
+		if progress != NeedsConnection {
+			return progress == Streaming
 		}
 	}
 	return false
 }
 
-// Probe asks a route for its load, or where there are no reports whether it is well.
-func (p *Pool) Probe(to *Route, path string, within time.Duration) (balance.Result, *balance.Load) {
+// Probe requests path from an endpoint, to obtain its load report or, where endpoints send none, to check
+// that it responds. It waits for at most the timeout. The load report comes from X-Server-Load or else from
+// the body of a response whose result is OK; it is nil if there is none.
+func (p *Pool) Probe(route *Route, path string, timeout time.Duration) (balance.Result, *balance.Load) {
 	x := new(Exchange)
-	x.Prepare(p, to, time.Now().Add(within), func(b []byte) ([]byte, int) {
+	x.Prepare(p, route, time.Now().Add(timeout), func(b []byte) ([]byte, int) {
 		b = http1.AppendRequestLine(b, []byte(http.MethodGet), []byte(path))
-		return http1.AppendHeadEnd(http1.AppendField(b, "Host", to.Addr)), 0
+		return http1.AppendHeadEnd(http1.AppendField(b, "Host", route.Addr)), 0
 	})
 	x.ConnectAndRun()
 	defer x.Release()
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -8,9 +8,10 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// parseLoad reads a load report, such as "TEXT busy_reqs=7, pending=2". There is none, or
-// one that is malformed, where it returns false. A field has the name that the settings give
-// it, or the protocol's own; taking only the latter left every report empty.
+// parseLoad parses a load report, such as "TEXT busy_reqs=7, pending=2". It returns false if
+// text is no load report, or a malformed one. A field has the name that the settings give it, or
+// the protocol's own name. Both are accepted: with the latter alone every report was empty.
+// A field that the report does not have is -1.
 func parseLoad(text []byte) (l balance.Load, ok bool) {
 	text, ok = bytes.CutPrefix(bytes.TrimSpace(text), []byte("TEXT "))
 	if !ok {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,7 @@
-// Package upstream carries requests to endpoints: routes, the pool of connections, and
-// exchanges of one request for one answer. An exchange goes out at most once, on a connection
-// that nothing is left to read on, and not at all once its endpoint has left; it tells what
-// can't have run from what may have.
+// Package upstream sends requests to endpoints. It provides routes, a pool of connections, and
+// exchanges of one request for one response. The request of an exchange is sent at most once, on a
+// connection with no data left to read, and not at all once its endpoint has left service. The
+// result distinguishes requests that can't have run from those that may have run.
 package upstream
 
 import (
@@ -17,65 +17,68 @@
 	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
-// Route is the way to one process of an endpoint. Its connections are of no use to another
-// process, also where that has its id or its address: each has a route of its own.
+// Route leads to one process of an endpoint. Its connections can't be used for another process, even
+// if that has the same ID or address: each process has a route of its own.
 type Route struct {
-	Addr string
+	Addr string // host and port
 
-	closed bool    // no connection is kept; under Pool.mu
-	idle   []*conn // those that lead there, the one unused for longest first; under Pool.mu
+	closed bool    // connections to it are closed rather than kept idle; guarded by Pool.mu
+	idle   []*conn // idle connections to it, the longest idle first; guarded by Pool.mu
 }
 
-// Config says how a pool is kept.
+// Config configures a Pool.
 type Config struct {
-	MaxConnections int                   // that may be open
-	ConnectTimeout time.Duration         // a new one may take to come up
-	IdleTimeout    time.Duration         // one may stand idle
-	ResponseLimits func() ResponseLimits // of answers; they may change
+	MaxConnections int                   // open at the same time, including those that are being opened
+	ConnectTimeout time.Duration         // for opening a connection, including the wait for a free slot
+	IdleTimeout    time.Duration         // after which an idle connection is closed
+	ResponseLimits func() ResponseLimits // called for each exchange, since the limits may change
 
-	// Dial opens a connection, nil for net.Dialer's DialContext.
+	// Dial opens a connection. If it is nil, net.Dialer's DialContext is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// NewRateMeter is what is asked of an endpoint that takes a body, or sends one, as it comes.
+	// NewRateMeter returns a meter with the minimum transfer rate of an endpoint that receives a streamed
+	// request body or sends a streamed response body.
 	NewRateMeter func() transferrate.Meter
 }
 
-// ResponseLimits are what of an answer is taken.
+// ResponseLimits bound the responses that are accepted.
 type ResponseLimits struct {
-	HeadBytes         int   // bytes of its head, interim answers and all
-	BufferedBodyBytes int64 // bytes of its body that are held whole
+	HeadBytes         int   // bytes of the head, including interim responses
+	BufferedBodyBytes int64 // bytes of a body that is buffered completely
 
-	// An answer 200 that is longer is passed on as it comes.
-	StreamedBodyBytes   int64 // bytes of it, 0 for none
-	PrefetchBytes       int64 // bytes that must have come before any goes on
-	StreamUnknownLength bool  // also one of unknown length, from Look bytes on
+	// A 200 response with a longer body is streamed.
+	StreamedBodyBytes   int64 // bytes of a streamed body; 0 disables streaming
+	PrefetchBytes       int64 // bytes that must have been received before any is passed on
+	StreamUnknownLength bool  // also stream a body of unknown length once PrefetchBytes have been received
 }
 
-// Pool holds the connections to endpoints, each of which carries one exchange at a time.
+// Pool holds the connections to endpoints. Each connection serves one exchange at a time.
 type Pool struct {
 	cfg        Config
 	bufs       http1.BufferPool
-	streamBufs http1.BufferPool // for answers that flow
-	slots      chan struct{}    // one for each connection that is open
+	streamBufs http1.BufferPool // for streamed responses
+	slots      chan struct{}    // holds one element for each connection that is open or being opened
 
+	// mu guards the fields below, the unexported fields of routes, and idleSince, prev and next of
+	// connections.
 	mu              sync.Mutex
-	oldestIdle      *conn // of all that are idle
+	oldestIdle      *conn // the ends of the list of all idle connections, ordered by idleSince
 	newestIdle      *conn
-	expiryScheduled bool // a timer will look for those to close
+	expiryScheduled bool // a timer will call closeExpired
 	slotWaiters     int  // exchanges that wait for a slot
 }
 
-// conn is a connection to an endpoint.
+// conn is a connection to an endpoint. It occupies a slot of its pool until Close.
 type conn struct {
 	*tcpconn.Conn
 	route      *Route
-	idleSince  time.Time // when it fell idle
-	prev, next *conn     // by that, while it is idle
+	idleSince  time.Time // when the connection became idle
+	prev, next *conn     // neighbors in the list of idle connections, while the connection is idle
 	closeOnce  sync.Once
 	pool       *Pool
 }
 
-// NewPool returns a Pool.
+// NewPool returns a Pool without connections.
 func NewPool(cfg Config) *Pool {
 	if cfg.Dial == nil {
 		cfg.Dial = new(net.Dialer).DialContext
@@ -83,7 +86,7 @@
 	return &Pool{cfg: cfg, streamBufs: http1.BufferPool{InitialSize: streamBufferBytes}, slots: make(chan struct{}, cfg.MaxConnections)}
 }
 
-// Close closes a connection and gives its slot back.
+// Close closes the connection and frees its slot. Further calls have no effect.
 func (c *conn) Close() error {
 	var err error
 	c.closeOnce.Do(func() {
@@ -93,32 +96,33 @@
 	return err
 }
 
-// errNoSlot says that a connection can't be opened for a reason that lies on this side.
-var errNoSlot = errors.New("this machine has no room for a connection")
+// errNoSlot reports that a connection can't be opened for a reason on this side: all slots are in use, or
+// this machine can't open one for the moment.
+var errNoSlot = errors.New("this machine can't open another connection")
 
-// How often a connection is tried that can't be made for a moment, and the first pause between two tries,
-// which doubles.
+// Dialing is tried up to maxDialTries times if this machine can't open a connection for the moment. The first
+// delay between two tries is firstDialRetryDelay; each further one is twice as long.
 const (
 	maxDialTries        = 5
 	firstDialRetryDelay = time.Millisecond
 )
 
-// takeIdle removes and returns the idle connection to a route that was used last, or nil.
-func (p *Pool) takeIdle(to *Route) *conn {
+// takeIdle removes and returns the most recently used idle connection to a route, or nil if there is none.
+func (p *Pool) takeIdle(route *Route) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := len(to.idle)
+	n := len(route.idle)
 	if n == 0 {
 		return nil
 	}
-	c := to.idle[n-1]
-	to.idle[n-1], to.idle = nil, to.idle[:n-1]
+	c := route.idle[n-1]
+	route.idle[n-1], route.idle = nil, route.idle[:n-1]
 	p.unlink(c)
 	return c
 }
 
-// takeOldestIdle removes and returns the connection that has been idle for longest, or nil. It is the
-// first of its route as well.
+// takeOldestIdle removes and returns the longest idle connection of all routes, or nil if there is none. That
+// connection is also the first of its route's. The caller holds p.mu.
 func (p *Pool) takeOldestIdle() *conn {
 	c := p.oldestIdle
 	if c == nil {
@@ -129,7 +133,8 @@
 	return c
 }
 
-// put takes a connection back that is whole, with nothing left to read.
+// put returns a connection to the pool, which must be usable with no data left to read. The connection is
+// closed instead if its route is closed or an exchange waits for a slot.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,6 +156,8 @@
 	}
 }
 
+// unlink removes a connection from the list of all idle connections, but not from its route's. The caller
+// holds p.mu.
 func (p *Pool) unlink(c *conn) {
 	if c.prev != nil {
 		c.prev.next = c.next
@@ -165,7 +172,8 @@
 	c.prev, c.next = nil, nil
 }
 
-// closeExpired closes the connections that have stood idle for long enough.
+// closeExpired closes the connections that have been idle for the idle timeout. While others are idle, it
+// schedules its next call.
 func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,30 +187,31 @@
 	p.expiryScheduled = false
 }
 
-// CloseIdleConnections closes the idle connections to a route. A route that is not kept gets no more.
-func (p *Pool) CloseIdleConnections(to *Route, keep bool) {
+// CloseIdleConnections closes the idle connections to a route. Unless keepRoute is set, it also closes the
+// route: from then on connections to it are closed when they become idle.
+func (p *Pool) CloseIdleConnections(route *Route, keepRoute bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.closed = to.closed || !keep
-	for _, c := range to.idle {
+	route.closed = route.closed || !keepRoute
+	for _, c := range route.idle {
 		p.unlink(c)
 		c.Close()
 	}
-	to.idle = nil
+	route.idle = nil
 }
 
-// OpenConnections is how many connections are open or coming up.
+// OpenConnections returns how many connections are open or being opened.
 func (p *Pool) OpenConnections() int { return len(p.slots) }
 
-// WaitingExchanges is how many exchanges wait for another's connection to be closed.
+// WaitingExchanges returns how many exchanges wait for the connection of another one to be closed.
 func (p *Pool) WaitingExchanges() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.slotWaiters
 }
 
-// dial opens a connection. With all slots taken, the one unused for longest gives way.
-func (p *Pool) dial(ctx context.Context, to *Route) (*conn, error) {
+// dial opens a connection. If all slots are in use, the longest idle connection is closed to free one.
+func (p *Pool) dial(ctx context.Context, route *Route) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.ConnectTimeout)
 	defer cancel()
 	select {
@@ -212,7 +221,7 @@
 			return nil, err
 		}
 	}
-	nc, err := p.dialWithRetry(ctx, to.Addr)
+	netConn, err := p.dialWithRetry(ctx, route.Addr)
 	if err != nil {
 		<-p.slots
 		if tcpconn.IsTransientLocalError(err) {
@@ -220,32 +229,34 @@
 		}
 		return nil, err
 	}
-	s, err := tcpconn.New(nc, &p.bufs)
+	tcpConn, err := tcpconn.New(netConn, &p.bufs)
 	if err != nil {
 		<-p.slots
-		return nil, errors.Join(err, nc.Close())
+		return nil, errors.Join(err, netConn.Close())
 	}
-	return &conn{Conn: s, route: to, pool: p}, nil
+	return &conn{Conn: tcpConn, route: route, pool: p}, nil
 }
 
-// dialWithRetry opens a connection. What lies on this machine and may pass is tried again, for a moment.
+// dialWithRetry opens a connection. It tries again a few times after an error of this machine that may be
+// transient, but not after one that descriptors have run out.
 func (p *Pool) dialWithRetry(ctx context.Context, addr string) (net.Conn, error) {
-	pause := firstDialRetryDelay
+	delay := firstDialRetryDelay
 	for try := 1; ; try++ {
-		nc, err := p.cfg.Dial(ctx, "tcp", addr)
+		netConn, err := p.cfg.Dial(ctx, "tcp", addr)
 		if err == nil || try == maxDialTries || !tcpconn.IsTransientLocalError(err) || tcpconn.IsOutOfDescriptors(err) {
-			return nc, err
+			return netConn, err
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, err
 		}
-		pause *= 2
+		delay *= 2
 	}
 }
 
-// waitForSlot waits for a slot.
+// waitForSlot takes a slot as soon as one is free, and returns errNoSlot if ctx ends before. To free one, it
+// closes the longest idle connection; while it waits, put closes the connections that it is given.
 func (p *Pool) waitForSlot(ctx context.Context) error {
 	p.mu.Lock()
 	if c := p.takeOldestIdle(); c != nil {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -14,53 +14,56 @@
 	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
-// streamBufferBytes is what an answer that flows is read by.
+// streamBufferBytes is the size of the buffers into which streamed responses are read.
 const streamBufferBytes = body.BlockSize
 
-// earlyResponseWait is how long an answer is waited for of an endpoint that takes no more of its
-// request: one that turns a body away answers, and closes.
+// earlyResponseWait is how long to wait for the response of an endpoint that has stopped accepting the
+// request body. An endpoint that rejects a body responds and closes the connection.
 const earlyResponseWait = 200 * time.Millisecond
 
-// ErrEndpointTooSlow says that an endpoint took or sent too little for too long.
+// ErrEndpointTooSlow reports that an endpoint received or sent a streamed body below the minimum transfer
+// rate, or that the exchange's deadline passed while it did.
 var ErrEndpointTooSlow = errors.New("the endpoint is slow")
 
-// errBodyTooLate says that a body would be whole at the endpoint after the time by which it must.
-var errBodyTooLate = errors.New("the body was not whole while a repeat of it would be dropped")
+// errBodyTooLate reports that the request body would be complete at the endpoint only after the time limit
+// for it. The endpoint might run the request again instead of dropping it as a repeat.
+var errBodyTooLate = errors.New("the body was not complete while endpoints would still drop the request as a repeat")
 
-// unsendableBodyError is why a body can't be sent on, which is no fault of the endpoint's.
+// unsendableBodyError reports that a request body can't be sent. It is not the endpoint's fault.
 type unsendableBodyError struct{ error }
 
-func (u unsendableBodyError) Unwrap() error { return u.error }
+func (e unsendableBodyError) Unwrap() error { return e.error }
 
-// upload is the body of a request that is sent as it arrives.
+// upload is a streamed request body: one that is sent as it arrives. The zero value is no upload.
 type upload struct {
 	src           *body.Body
-	contentLength int64       // -1 for chunks
-	tryComplete   func() bool // whether the last byte may go out now
-	done          chan error  // what came of it, once
+	contentLength int64       // in bytes; -1 for a chunked body
+	tryComplete   func() bool // reports whether the last byte may be sent now
+	done          chan error  // receives the result once; nil before startUpload and after stopUpload
 
-	// Under Exchange.mu.
-	reader  *body.Reader
-	stopped bool      // no more of it is to be written
-	sentAt  time.Time // when the last byte was written
+	// Guarded by Exchange.mu.
+	reader  *body.Reader // of src; nil while no goroutine sends the body
+	stopped bool         // no more of the body must be written
+	sentAt  time.Time    // when the last byte was written; zero before
 }
 
-// SetStreamedBody has a body sent behind the request, as it arrives: so many bytes, or chunks where size
-// is -1. Before what makes it whole at the endpoint, and so lets it run, last is asked. Upload is
-// called between Begin and the first Run.
-func (x *Exchange) SetStreamedBody(src *body.Body, size int64, last func() bool) {
-	x.upload = upload{src: src, contentLength: size, tryComplete: last}
+// SetStreamedBody sets a body that is sent after the head of the request, as it arrives: contentLength bytes,
+// or a chunked body if contentLength is -1. The goroutine that sends the body calls tryComplete, with no lock
+// held, before it writes what completes the request at the endpoint and so lets it run. If tryComplete returns
+// false, the request remains incomplete. Callers must call SetStreamedBody between Prepare and the first Run.
+func (x *Exchange) SetStreamedBody(src *body.Body, contentLength int64, tryComplete func() bool) {
+	x.upload = upload{src: src, contentLength: contentLength, tryComplete: tryComplete}
 }
 
-// BodySentAt is when the last byte of a body was written that is sent as it arrives, zero for not yet.
-// The time that the endpoint takes begins then.
+// BodySentAt returns when the last byte of a streamed request body was written, the zero time if it has not
+// been. The time that the endpoint takes for the request starts then.
 func (x *Exchange) BodySentAt() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.upload.sentAt
 }
 
-// startUpload begins to send the request.
+// startUpload starts the goroutine that sends the request and its streamed body.
 func (x *Exchange) startUpload() error {
 	r, err := x.upload.src.Reader()
 	if err != nil {
@@ -73,9 +76,9 @@
 	}
 	x.mu.Unlock()
 	x.upload.done = make(chan error, 1)
-	p := &uploader{x: x, conn: x.conn, reader: r, meter: x.pool.cfg.NewRateMeter(), remaining: x.upload.contentLength}
+	u := &uploader{x: x, conn: x.conn, reader: r, meter: x.pool.cfg.NewRateMeter(), remaining: x.upload.contentLength}
 	go func() {
-		err := p.run()
+		err := u.run()
 		r.Close()
 		x.recordUploadEnd(err)
 		x.upload.done <- err
@@ -83,8 +86,9 @@
 	return nil
 }
 
-// recordUploadEnd notes what came of an upload. Whoever reads the answer is not let wait for it long if
-// the request can't be whole any more.
+// recordUploadEnd records the result of an upload. If the request can't be completed any more, it shortens
+// the time for which Run waits for the response: to zero if the body can't be sent, to earlyResponseWait if
+// writing to the endpoint failed. If the exchange was canceled, the deadline has already been set.
 func (x *Exchange) recordUploadEnd(err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -100,8 +104,9 @@
 	}
 }
 
-// stopUpload ends what is still being sent. It tells whether the request is whole, and if not why.
-func (x *Exchange) stopUpload() (whole bool, cause error) {
+// stopUpload stops the upload, if there is one, and waits until its goroutine is done. It reports whether the
+// request was completely sent, and if not, why.
+func (x *Exchange) stopUpload() (complete bool, err error) {
 	if x.upload.done == nil {
 		return true, nil
 	}
@@ -112,118 +117,123 @@
 		x.conn.SetWriteDeadline(expiredDeadline)
 	}
 	x.mu.Unlock()
-	cause = <-x.upload.done
+	err = <-x.upload.done
 	x.upload.done = nil
-	return cause == nil, cause
+	return err == nil, err
 }
 
-// uploader sends one request whose body arrives by and by.
+// uploader sends one request whose body is still arriving. It is used by a single goroutine.
 type uploader struct {
 	x         *Exchange
 	conn      *conn
 	reader    *body.Reader
 	meter     transferrate.Meter
-	remaining int64 // of the body, or -1
-	scratch   []byte
+	remaining int64  // bytes of the body that are not yet sent; -1 for a chunked body
+	scratch   []byte // holds a chunk's size line, or the last chunk with the trailers
 }
 
-func (p *uploader) run() error {
-	if err := p.write(p.x.requestBuf.Bytes()); err != nil {
+// run sends the request and its body. Its error is an unsendableBodyError if the body can't be sent, else the
+// connection's, or ErrEndpointTooSlow.
+func (u *uploader) run() error {
+	if err := u.write(u.x.requestBuf.Bytes()); err != nil {
 		return err
 	}
-	for p.remaining != 0 {
-		data, err := p.reader.Next()
+	for u.remaining != 0 {
+		data, err := u.reader.Next()
 		switch {
-		case err == io.EOF && p.remaining > 0:
+		case err == io.EOF && u.remaining > 0:
 			return unsendableBodyError{io.ErrUnexpectedEOF}
 		case err == io.EOF:
-			if !p.x.upload.tryComplete() {
+			if !u.x.upload.tryComplete() {
 				return unsendableBodyError{errBodyTooLate}
 			}
-			p.scratch = http1.AppendLastChunk(p.scratch[:0], p.reader.Trailers())
-			return p.write(p.scratch)
+			u.scratch = http1.AppendLastChunk(u.scratch[:0], u.reader.Trailers())
+			return u.write(u.scratch)
 		case err != nil:
 			return unsendableBodyError{err}
 		}
-		if p.remaining >= 0 {
-			data = data[:min(int64(len(data)), p.remaining)]
-			if p.remaining -= int64(len(data)); p.remaining == 0 && !p.x.upload.tryComplete() {
+		if u.remaining >= 0 {
+			data = data[:min(int64(len(data)), u.remaining)]
+			if u.remaining -= int64(len(data)); u.remaining == 0 && !u.x.upload.tryComplete() {
 				return unsendableBodyError{errBodyTooLate}
 			}
-			err = p.write(data)
+			err = u.write(data)
 		} else {
-			p.scratch = http1.AppendChunkSize(p.scratch[:0], len(data))
-			err = p.write(p.scratch, data, []byte("\r\n"))
+			u.scratch = http1.AppendChunkSize(u.scratch[:0], len(data))
+			err = u.write(u.scratch, data, []byte("\r\n"))
 		}
 		if err != nil {
 			return err
 		}
-		p.reader.Advance(len(data))
+		u.reader.Advance(len(data))
 	}
 	return nil
 }
 
-// write writes all, for as long as the endpoint keeps its pace.
-func (p *uploader) write(texts ...[]byte) error {
-	all := net.Buffers(texts)
+// write writes all parts, as long as the endpoint accepts them at the minimum transfer rate and the exchange's
+// deadline has not passed.
+func (u *uploader) write(parts ...[]byte) error {
+	unwritten := net.Buffers(parts)
 	for {
-		began := time.Now()
-		if !p.x.armUploadDeadline(began.Add(p.meter.MaxWait())) {
+		startedAt := time.Now()
+		if !u.x.armUploadDeadline(startedAt.Add(u.meter.MaxWait())) {
 			return unsendableBodyError{body.ErrStopped}
 		}
-		n, err := p.conn.WriteBuffers(&all)
-		fast := p.meter.Record(time.Since(began), int(n))
+		n, err := u.conn.WriteBuffers(&unwritten)
+		fastEnough := u.meter.Record(time.Since(startedAt), int(n))
 		switch {
 		case err == nil:
 			return nil
 		case !tcpconn.IsDeadlineExceeded(err):
 			return err
-		case !fast || !time.Now().Before(p.x.currentDeadline()):
+		case !fastEnough || !time.Now().Before(u.x.currentDeadline()):
 			return fmt.Errorf("upload: %w", ErrEndpointTooSlow)
 		}
 	}
 }
 
-// armUploadDeadline sets a time by which a write has to come back, and tells whether the exchange goes on.
-func (x *Exchange) armUploadDeadline(by time.Time) bool {
+// armUploadDeadline sets the write deadline of the next write of an upload, at most the exchange's. It reports
+// whether the upload may go on: the exchange was not canceled and the upload not stopped.
+func (x *Exchange) armUploadDeadline(deadline time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.cancelCause != nil || x.upload.stopped {
 		return false
 	}
-	if x.deadline.Before(by) {
-		by = x.deadline
+	if x.deadline.Before(deadline) {
+		deadline = x.deadline
 	}
-	x.boundConn.SetWriteDeadline(by)
+	x.boundConn.SetWriteDeadline(deadline)
 	return true
 }
 
-// currentDeadline is when the exchange's time is up.
+// currentDeadline returns the exchange's deadline, which ExtendDeadline may change at any time.
 func (x *Exchange) currentDeadline() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.deadline
 }
 
-// ExtendDeadline moves the time by which the exchange has to end. An answer that flows has until its
-// caller's time is up, whatever an answer was waited for.
-func (x *Exchange) ExtendDeadline(until time.Time) {
+// ExtendDeadline changes the time when the exchange must have ended. A streamed response may take until its
+// caller's deadline, whatever the deadline for its start was.
+func (x *Exchange) ExtendDeadline(deadline time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.deadline = until
+	x.deadline = deadline
 }
 
-// responseStream is an answer that is passed on as it comes.
+// responseStream is the state of a response that may be streamed: passed on as it arrives.
 type responseStream struct {
-	eligible       bool // by its head
-	started        bool // it is had by Next
-	ended          bool
-	lastPieceBytes int   // bytes of buf that were handed out last
-	deliveredBytes int64 // bytes of the body that were handed out
+	eligible       bool  // the head permits streaming
+	started        bool  // the body is read by NextResponseData
+	ended          bool  // the exchange has ended, with the response complete or not
+	lastPieceBytes int   // bytes of readBuf that the last result of NextResponseData takes up, framing included
+	deliveredBytes int64 // bytes of the body that NextResponseData has returned
 	meter          transferrate.Meter
 }
 
-// startStreaming makes an answer that flows ready for Next: what has been read moves to a larger buffer.
+// startStreaming prepares a streamed response for NextResponseData: it moves what has been read to a larger
+// buffer.
 func (x *Exchange) startStreaming() {
 	buf := x.pool.streamBufs.Get()
 	buf.Commit(copy(buf.Reserve(x.readBuf.Len()), x.readBuf.Bytes()))
@@ -233,7 +243,7 @@
 	x.loadReport, x.hasLoadReport = parseLoad(x.head.Value("X-Server-Load"))
 }
 
-// ResponseBodyLength is how many bytes an answer that flows will have, -1 if that is not known.
+// ResponseBodyLength returns how many bytes the body of a streamed response will have, -1 if that is not known.
 func (x *Exchange) ResponseBodyLength() int64 {
 	if x.framing == http1.FixedLength {
 		return x.head.ContentLength()
@@ -241,8 +251,9 @@
 	return -1
 }
 
-// NextResponseData waits for more of an answer that flows, and returns it until the next call: io.EOF at its
-// end. At any error the exchange is over.
+// NextResponseData waits for more of the body of a streamed response and returns it, io.EOF at the end of the
+// body. The data is valid until the next call. At any error, io.EOF included, the exchange has ended. Only the
+// goroutine that runs the exchange may call it.
 func (x *Exchange) NextResponseData() ([]byte, error) {
 	if x.stream.ended {
 		return nil, io.EOF
@@ -276,7 +287,8 @@
 	}
 }
 
-// nextPiece takes what is there of the body.
+// nextPiece returns what has been received of the body and not yet returned, and reports whether the body ends
+// there. It does not read.
 func (x *Exchange) nextPiece() (p []byte, end bool, err error) {
 	switch x.framing {
 	case http1.FixedLength:
@@ -301,30 +313,31 @@
 	return x.readBuf.Bytes(), false, nil
 }
 
-// readMore reads more of an answer that flows, for as long as the endpoint keeps its pace.
+// readMore reads more of a streamed response, as long as the endpoint sends it at the minimum transfer rate and
+// the exchange's deadline has not passed.
 func (x *Exchange) readMore() error {
 	for {
-		began := time.Now()
+		startedAt := time.Now()
 		x.mu.Lock()
 		if x.cancelCause == nil {
-			by := began.Add(x.stream.meter.MaxWait())
-			if x.deadline.Before(by) {
-				by = x.deadline
+			deadline := startedAt.Add(x.stream.meter.MaxWait())
+			if x.deadline.Before(deadline) {
+				deadline = x.deadline
 			}
-			x.boundConn.SetReadDeadline(by)
+			x.boundConn.SetReadDeadline(deadline)
 		}
 		x.mu.Unlock()
-		had := x.readBuf.Len()
+		lenBefore := x.readBuf.Len()
 		buf, err := x.conn.ReadInto(x.readBuf)
 		x.readBuf = buf
-		fast := x.stream.meter.Record(time.Since(began), buf.Len()-had)
+		fastEnough := x.stream.meter.Record(time.Since(startedAt), buf.Len()-lenBefore)
 		switch {
 		case err == nil:
 			return nil
 		case !tcpconn.IsDeadlineExceeded(err):
 			return err
-		case !fast || !time.Now().Before(x.currentDeadline()):
-			return fmt.Errorf("answer: %w", ErrEndpointTooSlow)
+		case !fastEnough || !time.Now().Before(x.currentDeadline()):
+			return fmt.Errorf("response: %w", ErrEndpointTooSlow)
 		}
 		x.mu.Lock()
 		cause := x.cancelCause
@@ -335,7 +348,7 @@
 	}
 }
 
-// finishStream takes the end of an answer that flows and came whole.
+// finishStream ends an exchange whose streamed response is complete.
 func (x *Exchange) finishStream() error {
 	x.stream.ended = true
 	x.releaseConn(x.readBuf.Len() == 0)
@@ -343,21 +356,23 @@
 	return io.EOF
 }
 
-// failStream ends an answer that flows and came not whole.
+// failStream ends an exchange whose streamed response is incomplete. It returns the error for the caller of
+// NextResponseData.
 func (x *Exchange) failStream(err error) error {
 	x.stream.ended = true
-	x.stopUpload() // whose end makes no difference any more: it has run
+	x.stopUpload() // its result makes no difference any more: the request has run
 	x.unbindConn()
 	x.conn.Close()
 	x.conn = nil
 	x.fail(true, err)
-	if err == io.EOF { // which is what an answer that came whole ends with
+	if err == io.EOF { // io.EOF would mean that the response is complete
 		err = io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// AbortStream ends an answer that flows, if it has not ended: its caller does not want the rest.
+// AbortStream ends a streamed response, if it has not ended, when its caller does not need the rest. Only the
+// goroutine that runs the exchange may call it.
 func (x *Exchange) AbortStream() {
 	if !x.stream.ended {
 		x.Cancel(ErrCanceled)
@@ -365,5 +380,5 @@
 	}
 }
 
-// ResponseTrailers are those of an answer that flowed, whole lines, once it has ended.
+// ResponseTrailers returns the trailers of a streamed response that has ended, as complete lines.
 func (x *Exchange) ResponseTrailers() []byte { return x.chunkDecoder.Trailers }
