--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -351,8 +351,8 @@
 	return x.interrupted && x.cancelCause == nil && time.Now().Before(x.deadline)
 }
 
-// Cancel cancels the exchange. If its request has not started to be sent, it never will be. The first cause
-// given is kept.
+// Cancel cancels the exchange: Dial, reads and writes end at once. If the request has not started to be sent,
+// it never will be. Of several causes the first is kept.
 func (x *Exchange) Cancel(cause error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -407,8 +407,8 @@
 	x.conn.Close()
 	x.conn = nil
 	if !uploadComplete {
-		// The upload's error says what failed. But if the upload was only stopped above, because the
-		// endpoint ended the exchange (not because of a timeout), err says it.
+		// uploadErr says what failed, unless the upload was only stopped above because the endpoint had
+		// ended the exchange: then err says it. After a timeout, the endpoint has not ended it.
 		if errors.Is(uploadErr, body.ErrStopped) && !isTimeout(err) {
 			uploadErr = err
 		}
@@ -605,10 +605,11 @@
 // Result returns how the exchange ended. It is valid once the exchange has ended.
 func (x *Exchange) Result() balance.Result { return x.result }
 
-// Err returns why an exchange that has ended has no usable response, nil if the endpoint responded.
+// Err returns why an exchange that has ended has no usable response, nil if it has one.
 func (x *Exchange) Err() error { return x.err }
 
-// LoadReport returns the load report that came with the response, nil if there was none.
+// LoadReport returns the load report that came with the response, nil if there was none. It is valid until the
+// next Prepare.
 func (x *Exchange) LoadReport() *balance.Load {
 	if !x.hasLoadReport {
 		return nil
@@ -616,7 +617,7 @@
 	return &x.loadReport
 }
 
-// ResponseHead returns the head of a response whose result is OK. It is valid until Release.
+// ResponseHead returns the head of a response that is streamed or whose result is OK. It is valid until Release.
 func (x *Exchange) ResponseHead() *http1.Response { return &x.head }
 
 // ResponseBody returns the body of a response whose result is OK. It is valid until Release.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -43,11 +43,11 @@
 
 // ResponseLimits bound the responses that are accepted.
 type ResponseLimits struct {
-	HeadBytes         int   // bytes of the head, including interim responses
-	BufferedBodyBytes int64 // bytes of a body that is buffered completely
+	HeadBytes         int   // maximum length of the head, including all interim responses
+	BufferedBodyBytes int64 // maximum length of a body that is buffered completely
 
 	// A 200 response with a longer body is streamed.
-	StreamedBodyBytes   int64 // bytes of a streamed body; 0 disables streaming
+	StreamedBodyBytes   int64 // maximum length of a streamed body; 0 for none
 	PrefetchBytes       int64 // bytes that must have been received before any is passed on
 	StreamUnknownLength bool  // also stream a body of unknown length once PrefetchBytes have been received
 }
@@ -133,7 +133,7 @@
 	return c
 }
 
-// put returns a connection to the pool, which must be usable with no data left to read. The connection is
+// put returns a connection to the pool. The connection must be usable and have no data left to read. It is
 // closed instead if its route is closed or an exchange waits for a slot.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
@@ -238,7 +238,7 @@
 }
 
 // dialWithRetry opens a connection. It tries again a few times after an error of this machine that may be
-// transient, but not after one that descriptors have run out.
+// transient, but not if file descriptors have run out.
 func (p *Pool) dialWithRetry(ctx context.Context, addr string) (net.Conn, error) {
 	delay := firstDialRetryDelay
 	for try := 1; ; try++ {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -25,9 +25,9 @@
 // rate, or that the exchange's deadline passed while it did.
 var ErrEndpointTooSlow = errors.New("the endpoint is slow")
 
-// errBodyTooLate reports that the request body would be complete at the endpoint only after the time limit
-// for it. The endpoint might run the request again instead of dropping it as a repeat.
-var errBodyTooLate = errors.New("the body was not complete while endpoints would still drop the request as a repeat")
+// errBodyTooLate reports that the request body would be complete at the endpoint after the time limit for that:
+// the endpoint might no longer drop the request as a repeat, and run it a second time.
+var errBodyTooLate = errors.New("the body arrived too late: the endpoint might no longer drop the request as a repeat")
 
 // unsendableBodyError reports that a request body can't be sent. It is not the endpoint's fault.
 type unsendableBodyError struct{ error }
@@ -63,7 +63,8 @@
 	return x.upload.sentAt
 }
 
-// startUpload starts the goroutine that sends the request and its streamed body.
+// startUpload starts the goroutine that sends the request and its streamed body. It fails if the body can't be
+// read from its start.
 func (x *Exchange) startUpload() error {
 	r, err := x.upload.src.Reader()
 	if err != nil {
@@ -192,8 +193,8 @@
 	}
 }
 
-// armUploadDeadline sets the write deadline of the next write of an upload, at most the exchange's. It reports
-// whether the upload may go on: the exchange was not canceled and the upload not stopped.
+// armUploadDeadline sets the deadline of the upload's next write: the given one, or the exchange's if that is
+// earlier. It returns false if the exchange was canceled or the upload was stopped.
 func (x *Exchange) armUploadDeadline(deadline time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -207,7 +208,7 @@
 	return true
 }
 
-// currentDeadline returns the exchange's deadline, which ExtendDeadline may change at any time.
+// currentDeadline returns the exchange's deadline. It locks x.mu, since ExtendDeadline may be called at any time.
 func (x *Exchange) currentDeadline() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -287,8 +288,8 @@
 	}
 }
 
-// nextPiece returns what has been received of the body and not yet returned, and reports whether the body ends
-// there. It does not read.
+// nextPiece returns data of the body that has been received and not yet returned. If there is none, end reports
+// whether the body is complete. It does not read from the connection.
 func (x *Exchange) nextPiece() (p []byte, end bool, err error) {
 	switch x.framing {
 	case http1.FixedLength:
