--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// A connection that this machine can't open is not the endpoint's fault. Dialing is tried again if the error may
-// pass; if it does not, the result is NotSent, not ConnectFailed.
+// If this machine can't open a connection, that is not the endpoint's fault. Dialing is tried again unless
+// descriptors have run out. If it fails in the end, the result is NotSent, not ConnectFailed.
 func TestLocalDialErrorsAreNotConnectFailed(t *testing.T) {
 	addr := startTimeoutEchoNode(t)
 	for _, c := range []struct {
@@ -373,8 +373,8 @@
 	})
 }
 
-// startEndlessNode starts a node that responds with start and then repeats more without end. It returns the
-// node's address.
+// startEndlessNode starts a node that responds with start and then repeats more without end, on a connection
+// that stays open. It returns the node's address.
 func startEndlessNode(t *testing.T, start, more string) string {
 	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
@@ -388,8 +388,8 @@
 	})
 }
 
-// A request may be sent again if its result proves that it never ran. Results that leave that in doubt
-// must not be such.
+// A request is sent again if its result proves that it never ran. An exchange whose request may have
+// run must not have such a result.
 func TestExchangeResults(t *testing.T) {
 	received := make(chan struct{}, 1)
 	startStallingNode := func(text string, received chan struct{}) string { // keeps the connection open after text
@@ -569,8 +569,8 @@
 	}
 }
 
-// Data that an endpoint sends on a new connection before the request, or its close of that connection,
-// is no response to the request, which has not run.
+// If an endpoint sends data on a new connection, or closes it, before the request is sent, that is no
+// response to the request, which has not run.
 func TestDataBeforeRequestOnNewConnection(t *testing.T) {
 	for name, text := range map[string]string{"a response": okResponse("stray"), "close": ""} {
 		sent := make(chan struct{})
