--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,7 @@
-// Package upstream carries requests to endpoints: routes, the pool of connections, and
-// exchanges of one request for one answer. An exchange goes out at most once, on a connection
-// that nothing is left to read on, and not at all once its endpoint has left; it tells what
-// can't have run from what may have.
+// Package upstream sends requests to endpoints. It provides routes, a pool of connections, and
+// exchanges of one request for one response. The request of an exchange is sent at most once, on a
+// connection with no data left to read, and not at all once its endpoint has left service. The
+// result distinguishes requests that can't have run from those that may have run.
 package upstream
 
 import (
@@ -17,202 +17,211 @@
 	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
-// Route is the way to one process of an endpoint. Its connections are of no use to another
-// process, also where that has its id or its address: each has a route of its own.
+// Route leads to one process of an endpoint. Its connections can't be used for another process, even
+// if that has the same ID or address: each process has a route of its own.
 type Route struct {
-	Addr string
+	Addr string // host and port
 
-	closed bool    // no connection is kept; under Pool.mu
-	idle   []*conn // those that lead there, the one unused for longest first; under Pool.mu
+	closed bool    // connections to it are closed rather than kept idle; guarded by Pool.mu
+	idle   []*conn // idle connections to it, the longest idle first; guarded by Pool.mu
 }
 
-// Config says how a pool is kept.
+// Config configures a Pool.
 type Config struct {
-	MaxConnections int                   // that may be open
-	ConnectTimeout time.Duration         // a new one may take to come up
-	IdleTimeout    time.Duration         // one may stand idle
-	ResponseLimits func() ResponseLimits // of answers; they may change
+	MaxConnections int                   // open at the same time, including those that are being opened
+	ConnectTimeout time.Duration         // for opening a connection, including the wait for a free slot
+	IdleTimeout    time.Duration         // after which an idle connection is closed
+	ResponseLimits func() ResponseLimits // called for each exchange, since the limits may change
 
-	// Dial opens a connection, nil for net.Dialer's DialContext.
+	// Dial opens a connection. If it is nil, net.Dialer's DialContext is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	// NewRateMeter is what is asked of an endpoint that takes a body, or sends one, as it comes.
+	// NewRateMeter returns a meter with the minimum transfer rate of an endpoint that receives a streamed
+	// request body or sends a streamed response body.
 	NewRateMeter func() transferrate.Meter
 }
 
-// ResponseLimits are what of an answer is taken.
+// ResponseLimits bound the responses that are accepted.
 type ResponseLimits struct {
-	HeadBytes         int   // bytes of its head, interim answers and all
-	BufferedBodyBytes int64 // bytes of its body that are held whole
+	HeadBytes         int   // maximum length of the head, including all interim responses
+	BufferedBodyBytes int64 // maximum length of a body that is buffered completely
 
-	// An answer 200 that is longer is passed on as it comes.
-	StreamedBodyBytes   int64 // bytes of it, 0 for none
-	PrefetchBytes       int64 // bytes that must have come before any goes on
-	StreamUnknownLength bool  // also one of unknown length, from Look bytes on
+	// A 200 response with a longer body is streamed.
+	StreamedBodyBytes   int64 // maximum length of a streamed body; 0 for none
+	PrefetchBytes       int64 // bytes that must have been received before any is passed on
+	StreamUnknownLength bool  // also stream a body of unknown length once PrefetchBytes have been received
 }
 
-// Pool holds the connections to endpoints, each of which carries one exchange at a time.
+// Pool holds the connections to endpoints. Each connection serves one exchange at a time.
 type Pool struct {
-	cfg   Config
-	bufs  http1.BufferPool
-	large http1.BufferPool // for answers that flow
-	slots chan struct{}    // one for each connection that is open
+	cfg        Config
+	bufs       http1.BufferPool
+	streamBufs http1.BufferPool // for streamed responses
+	slots      chan struct{}    // holds one element for each connection that is open or being opened
 
-	mu       sync.Mutex
-	oldest   *conn // of all that are idle
-	newest   *conn
-	expiring bool // a timer will look for those to close
-	waiting  int  // exchanges that wait for a slot
+	// mu guards the fields below, the unexported fields of routes, and idleSince, prev and next of
+	// connections.
+	mu              sync.Mutex
+	oldestIdle      *conn // the ends of the list of all idle connections, ordered by idleSince
+	newestIdle      *conn
+	expiryScheduled bool // a timer will call closeExpired
+	slotWaiters     int  // exchanges that wait for a slot
 }
 
-// conn is a connection to an endpoint.
+// conn is a connection to an endpoint. It occupies a slot of its pool until Close.
 type conn struct {
 	*tcpconn.Conn
-	to         *Route
-	since      time.Time // when it fell idle
-	prev, next *conn     // by that, while it is idle
-	once       sync.Once
+	route      *Route
+	idleSince  time.Time // when the connection became idle
+	prev, next *conn     // neighbors in the list of idle connections, while the connection is idle
+	closeOnce  sync.Once
 	pool       *Pool
 }
 
-// NewPool returns a Pool.
+// NewPool returns a Pool without connections.
 func NewPool(cfg Config) *Pool {
 	if cfg.Dial == nil {
 		cfg.Dial = new(net.Dialer).DialContext
 	}
-	return &Pool{cfg: cfg, large: http1.BufferPool{InitialSize: flowBuffer}, slots: make(chan struct{}, cfg.MaxConnections)}
+	return &Pool{cfg: cfg, streamBufs: http1.BufferPool{InitialSize: streamBufferBytes}, slots: make(chan struct{}, cfg.MaxConnections)}
 }
 
-// Close closes a connection and gives its slot back.
+// Close closes the connection and frees its slot. Further calls have no effect.
 func (c *conn) Close() error {
 	var err error
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		err = c.Conn.Close()
 		<-c.pool.slots
 	})
 	return err
 }
 
-// errNoSlot says that a connection can't be opened for a reason that lies on this side.
-var errNoSlot = errors.New("this machine has no room for a connection")
+// errNoSlot reports that a connection can't be opened for a reason on this side: all slots are in use, or
+// this machine can't open one for the moment.
+var errNoSlot = errors.New("this machine can't open another connection")
 
-// How often a connection is tried that can't be made for a moment, and the first pause between two tries,
-// which doubles.
+// Dialing is tried up to maxDialTries times if this machine can't open a connection for the moment. The first
+// delay between two tries is firstDialRetryDelay; each further one is twice as long.
 const (
-	connectTries = 5
-	connectPause = time.Millisecond
+	maxDialTries        = 5
+	firstDialRetryDelay = time.Millisecond
 )
 
-// take removes and returns the idle connection to a route that was used last, or nil.
-func (p *Pool) take(to *Route) *conn {
+// takeIdle removes and returns the most recently used idle connection to a route, or nil if there is none.
+func (p *Pool) takeIdle(route *Route) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := len(to.idle)
+	n := len(route.idle)
 	if n == 0 {
 		return nil
 	}
-	c := to.idle[n-1]
-	to.idle[n-1], to.idle = nil, to.idle[:n-1]
+	c := route.idle[n-1]
+	route.idle[n-1], route.idle = nil, route.idle[:n-1]
 	p.unlink(c)
 	return c
 }
 
-// yield removes and returns the connection that has been idle for longest, or nil. It is the
-// first of its route as well.
-func (p *Pool) yield() *conn {
-	c := p.oldest
+// takeOldestIdle removes and returns the longest idle connection of all routes, or nil if there is none. That
+// connection is also the first of its route's. The caller holds p.mu.
+func (p *Pool) takeOldestIdle() *conn {
+	c := p.oldestIdle
 	if c == nil {
 		return nil
 	}
 	p.unlink(c)
-	c.to.idle = slices.Delete(c.to.idle, 0, 1)
+	c.route.idle = slices.Delete(c.route.idle, 0, 1)
 	return c
 }
 
-// put takes a connection back that is whole, with nothing left to read.
+// put returns a connection to the pool. The connection must be usable and have no data left to read. It is
+// closed instead if its route is closed or an exchange waits for a slot.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.to.closed || p.waiting > 0 {
+	if c.route.closed || p.slotWaiters > 0 {
 		c.Close()
 		return
 	}
-	c.since = time.Now()
-	if c.prev = p.newest; c.prev != nil {
+	c.idleSince = time.Now()
+	if c.prev = p.newestIdle; c.prev != nil {
 		c.prev.next = c
 	} else {
-		p.oldest = c
+		p.oldestIdle = c
 	}
-	p.newest = c
-	c.to.idle = append(c.to.idle, c)
-	if !p.expiring {
-		p.expiring = true
-		time.AfterFunc(p.cfg.IdleTimeout, p.expire)
+	p.newestIdle = c
+	c.route.idle = append(c.route.idle, c)
+	if !p.expiryScheduled {
+		p.expiryScheduled = true
+		time.AfterFunc(p.cfg.IdleTimeout, p.closeExpired)
 	}
 }
 
+// unlink removes a connection from the list of all idle connections, but not from its route's. The caller
+// holds p.mu.
 func (p *Pool) unlink(c *conn) {
 	if c.prev != nil {
 		c.prev.next = c.next
 	} else {
-		p.oldest = c.next
+		p.oldestIdle = c.next
 	}
 	if c.next != nil {
 		c.next.prev = c.prev
 	} else {
-		p.newest = c.prev
+		p.newestIdle = c.prev
 	}
 	c.prev, c.next = nil, nil
 }
 
-// expire closes the connections that have stood idle for long enough.
-func (p *Pool) expire() {
+// closeExpired closes the connections that have been idle for the idle timeout. While others are idle, it
+// schedules its next call.
+func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := p.oldest; c != nil; c = p.oldest {
-		if left := p.cfg.IdleTimeout - time.Since(c.since); left > 0 {
-			time.AfterFunc(left, p.expire)
+	for c := p.oldestIdle; c != nil; c = p.oldestIdle {
+		if left := p.cfg.IdleTimeout - time.Since(c.idleSince); left > 0 {
+			time.AfterFunc(left, p.closeExpired)
 			return
 		}
-		p.yield().Close()
+		p.takeOldestIdle().Close()
 	}
-	p.expiring = false
+	p.expiryScheduled = false
 }
 
-// CloseIdleConnections closes the idle connections to a route. A route that is not kept gets no more.
-func (p *Pool) CloseIdleConnections(to *Route, keep bool) {
+// CloseIdleConnections closes the idle connections to a route. Unless keepRoute is set, it also closes the
+// route: from then on connections to it are closed when they become idle.
+func (p *Pool) CloseIdleConnections(route *Route, keepRoute bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	to.closed = to.closed || !keep
-	for _, c := range to.idle {
+	route.closed = route.closed || !keepRoute
+	for _, c := range route.idle {
 		p.unlink(c)
 		c.Close()
 	}
-	to.idle = nil
+	route.idle = nil
 }
 
-// OpenConnections is how many connections are open or coming up.
+// OpenConnections returns how many connections are open or being opened.
 func (p *Pool) OpenConnections() int { return len(p.slots) }
 
-// WaitingExchanges is how many exchanges wait for another's connection to be closed.
+// WaitingExchanges returns how many exchanges wait for the connection of another one to be closed.
 func (p *Pool) WaitingExchanges() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.waiting
+	return p.slotWaiters
 }
 
-// dial opens a connection. With all slots taken, the one unused for longest gives way.
-func (p *Pool) dial(ctx context.Context, to *Route) (*conn, error) {
+// dial opens a connection. If all slots are in use, the longest idle connection is closed to free one.
+func (p *Pool) dial(ctx context.Context, route *Route) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.ConnectTimeout)
 	defer cancel()
 	select {
 	case p.slots <- struct{}{}:
 	default:
-		if err := p.wait(ctx); err != nil {
+		if err := p.waitForSlot(ctx); err != nil {
 			return nil, err
 		}
 	}
-	nc, err := p.connect(ctx, to.Addr)
+	netConn, err := p.dialWithRetry(ctx, route.Addr)
 	if err != nil {
 		<-p.slots
 		if tcpconn.IsTransientLocalError(err) {
@@ -220,42 +229,44 @@
 		}
 		return nil, err
 	}
-	s, err := tcpconn.New(nc, &p.bufs)
+	tcpConn, err := tcpconn.New(netConn, &p.bufs)
 	if err != nil {
 		<-p.slots
-		return nil, errors.Join(err, nc.Close())
+		return nil, errors.Join(err, netConn.Close())
 	}
-	return &conn{Conn: s, to: to, pool: p}, nil
+	return &conn{Conn: tcpConn, route: route, pool: p}, nil
 }
 
-// connect opens a connection. What lies on this machine and may pass is tried again, for a moment.
-func (p *Pool) connect(ctx context.Context, addr string) (net.Conn, error) {
-	pause := connectPause
+// dialWithRetry opens a connection. It tries again a few times after an error of this machine that may be
+// transient, but not if file descriptors have run out.
+func (p *Pool) dialWithRetry(ctx context.Context, addr string) (net.Conn, error) {
+	delay := firstDialRetryDelay
 	for try := 1; ; try++ {
-		nc, err := p.cfg.Dial(ctx, "tcp", addr)
-		if err == nil || try == connectTries || !tcpconn.IsTransientLocalError(err) || tcpconn.IsOutOfDescriptors(err) {
-			return nc, err
+		netConn, err := p.cfg.Dial(ctx, "tcp", addr)
+		if err == nil || try == maxDialTries || !tcpconn.IsTransientLocalError(err) || tcpconn.IsOutOfDescriptors(err) {
+			return netConn, err
 		}
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return nil, err
 		}
-		pause *= 2
+		delay *= 2
 	}
 }
 
-// wait waits for a slot.
-func (p *Pool) wait(ctx context.Context) error {
+// waitForSlot takes a slot as soon as one is free, and returns errNoSlot if ctx ends before. To free one, it
+// closes the longest idle connection; while it waits, put closes the connections that it is given.
+func (p *Pool) waitForSlot(ctx context.Context) error {
 	p.mu.Lock()
-	if c := p.yield(); c != nil {
+	if c := p.takeOldestIdle(); c != nil {
 		c.Close()
 	}
-	p.waiting++
+	p.slotWaiters++
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		p.waiting--
+		p.slotWaiters--
 		p.mu.Unlock()
 	}()
 	select {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -14,53 +14,57 @@
 	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
-// flowBuffer is what an answer that flows is read by.
-const flowBuffer = body.BlockSize
+// streamBufferBytes is the size of the buffers into which streamed responses are read.
+const streamBufferBytes = body.BlockSize
 
-// earlyAnswer is how long an answer is waited for of an endpoint that takes no more of its
-// request: one that turns a body away answers, and closes.
-const earlyAnswer = 200 * time.Millisecond
+// earlyResponseWait is how long to wait for the response of an endpoint that has stopped accepting the
+// request body. An endpoint that rejects a body responds and closes the connection.
+const earlyResponseWait = 200 * time.Millisecond
 
-// ErrEndpointTooSlow says that an endpoint took or sent too little for too long.
+// ErrEndpointTooSlow reports that an endpoint received or sent a streamed body below the minimum transfer
+// rate, or that the exchange's deadline passed while it did.
 var ErrEndpointTooSlow = errors.New("the endpoint is slow")
 
-// errTooLate says that a body would be whole at the endpoint after the time by which it must.
-var errTooLate = errors.New("the body was not whole while a repeat of it would be dropped")
+// errBodyTooLate reports that the request body would be complete at the endpoint after the time limit for that:
+// the endpoint might no longer drop the request as a repeat, and run it a second time.
+var errBodyTooLate = errors.New("the body arrived too late: the endpoint might no longer drop the request as a repeat")
 
-// unsendable is why a body can't be sent on, which is no fault of the endpoint's.
-type unsendable struct{ error }
+// unsendableBodyError reports that a request body can't be sent. It is not the endpoint's fault.
+type unsendableBodyError struct{ error }
 
-func (u unsendable) Unwrap() error { return u.error }
+func (e unsendableBodyError) Unwrap() error { return e.error }
 
-// upload is the body of a request that is sent as it arrives.
+// upload is a streamed request body: one that is sent as it arrives. The zero value is no upload.
 type upload struct {
-	src    *body.Body
-	size   int64       // -1 for chunks
-	last   func() bool // whether the last byte may go out now
-	pumped chan error  // what came of it, once
+	src           *body.Body
+	contentLength int64       // in bytes; -1 for a chunked body
+	tryComplete   func() bool // reports whether the last byte may be sent now
+	done          chan error  // receives the result once; nil before startUpload and after stopUpload
 
-	// Under Exchange.mu.
-	reader *body.Reader
-	ended  bool      // no more of it is to be written
-	sentAt time.Time // when the last byte was written
+	// Guarded by Exchange.mu.
+	reader  *body.Reader // of src; nil while no goroutine sends the body
+	stopped bool         // no more of the body must be written
+	sentAt  time.Time    // when the last byte was written; zero before
 }
 
-// SetStreamedBody has a body sent behind the request, as it arrives: so many bytes, or chunks where size
-// is -1. Before what makes it whole at the endpoint, and so lets it run, last is asked. Upload is
-// called between Begin and the first Run.
-func (x *Exchange) SetStreamedBody(src *body.Body, size int64, last func() bool) {
-	x.upload = upload{src: src, size: size, last: last}
+// SetStreamedBody sets a body that is sent after the head of the request, as it arrives: contentLength bytes,
+// or a chunked body if contentLength is -1. The goroutine that sends the body calls tryComplete, with no lock
+// held, before it writes what completes the request at the endpoint and so lets it run. If tryComplete returns
+// false, the request remains incomplete. Callers must call SetStreamedBody between Prepare and the first Run.
+func (x *Exchange) SetStreamedBody(src *body.Body, contentLength int64, tryComplete func() bool) {
+	x.upload = upload{src: src, contentLength: contentLength, tryComplete: tryComplete}
 }
 
-// BodySentAt is when the last byte of a body was written that is sent as it arrives, zero for not yet.
-// The time that the endpoint takes begins then.
+// BodySentAt returns when the last byte of a streamed request body was written, the zero time if it has not
+// been. The time that the endpoint takes for the request starts then.
 func (x *Exchange) BodySentAt() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.upload.sentAt
 }
 
-// startUpload begins to send the request.
+// startUpload starts the goroutine that sends the request and its streamed body. It fails if the body can't be
+// read from its start.
 func (x *Exchange) startUpload() error {
 	r, err := x.upload.src.Reader()
 	if err != nil {
@@ -68,172 +72,179 @@
 	}
 	x.mu.Lock()
 	x.upload.reader = r
-	if x.cause != nil {
+	if x.cancelCause != nil {
 		r.Stop()
 	}
 	x.mu.Unlock()
-	x.upload.pumped = make(chan error, 1)
-	p := &pump{x: x, conn: x.conn, reader: r, meter: x.pool.cfg.NewRateMeter(), left: x.upload.size}
+	x.upload.done = make(chan error, 1)
+	u := &uploader{x: x, conn: x.conn, reader: r, meter: x.pool.cfg.NewRateMeter(), remaining: x.upload.contentLength}
 	go func() {
-		err := p.run()
+		err := u.run()
 		r.Close()
-		x.uploaded(err)
-		x.upload.pumped <- err
+		x.recordUploadEnd(err)
+		x.upload.done <- err
 	}()
 	return nil
 }
 
-// uploaded notes what came of an upload. Whoever reads the answer is not let wait for it long if
-// the request can't be whole any more.
-func (x *Exchange) uploaded(err error) {
+// recordUploadEnd records the result of an upload. If the request can't be completed any more, it shortens
+// the time for which Run waits for the response: to zero if the body can't be sent, to earlyResponseWait if
+// writing to the endpoint failed. If the exchange was canceled, the deadline has already been set.
+func (x *Exchange) recordUploadEnd(err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.upload.reader = nil
 	switch {
 	case err == nil:
 		x.upload.sentAt = time.Now()
-	case x.bound == nil || x.cause != nil:
-	case errors.As(err, new(unsendable)):
-		x.bound.SetReadDeadline(past)
+	case x.boundConn == nil || x.cancelCause != nil:
+	case errors.As(err, new(unsendableBodyError)):
+		x.boundConn.SetReadDeadline(expiredDeadline)
 	default:
-		x.bound.SetReadDeadline(time.Now().Add(earlyAnswer))
+		x.boundConn.SetReadDeadline(time.Now().Add(earlyResponseWait))
 	}
 }
 
-// endUpload ends what is still being sent. It tells whether the request is whole, and if not why.
-func (x *Exchange) endUpload() (whole bool, cause error) {
-	if x.upload.pumped == nil {
+// stopUpload stops the upload, if there is one, and waits until its goroutine is done. It reports whether the
+// request was completely sent, and if not, why.
+func (x *Exchange) stopUpload() (complete bool, err error) {
+	if x.upload.done == nil {
 		return true, nil
 	}
 	x.mu.Lock()
-	x.upload.ended = true
+	x.upload.stopped = true
 	if r := x.upload.reader; r != nil {
 		r.Stop()
-		x.conn.SetWriteDeadline(past)
+		x.conn.SetWriteDeadline(expiredDeadline)
 	}
 	x.mu.Unlock()
-	cause = <-x.upload.pumped
-	x.upload.pumped = nil
-	return cause == nil, cause
+	err = <-x.upload.done
+	x.upload.done = nil
+	return err == nil, err
 }
 
-// pump sends one request whose body arrives by and by.
-type pump struct {
-	x      *Exchange
-	conn   *conn
-	reader *body.Reader
-	meter  transferrate.Meter
-	left   int64 // of the body, or -1
-	space  []byte
+// uploader sends one request whose body is still arriving. It is used by a single goroutine.
+type uploader struct {
+	x         *Exchange
+	conn      *conn
+	reader    *body.Reader
+	meter     transferrate.Meter
+	remaining int64  // bytes of the body that are not yet sent; -1 for a chunked body
+	scratch   []byte // holds a chunk's size line, or the last chunk with the trailers
 }
 
-func (p *pump) run() error {
-	if err := p.write(p.x.out.Bytes()); err != nil {
+// run sends the request and its body. Its error is an unsendableBodyError if the body can't be sent, else the
+// connection's, or ErrEndpointTooSlow.
+func (u *uploader) run() error {
+	if err := u.write(u.x.requestBuf.Bytes()); err != nil {
 		return err
 	}
-	for p.left != 0 {
-		data, err := p.reader.Next()
+	for u.remaining != 0 {
+		data, err := u.reader.Next()
 		switch {
-		case err == io.EOF && p.left > 0:
-			return unsendable{io.ErrUnexpectedEOF}
+		case err == io.EOF && u.remaining > 0:
+			return unsendableBodyError{io.ErrUnexpectedEOF}
 		case err == io.EOF:
-			if !p.x.upload.last() {
-				return unsendable{errTooLate}
+			if !u.x.upload.tryComplete() {
+				return unsendableBodyError{errBodyTooLate}
 			}
-			p.space = http1.AppendLastChunk(p.space[:0], p.reader.Trailers())
-			return p.write(p.space)
+			u.scratch = http1.AppendLastChunk(u.scratch[:0], u.reader.Trailers())
+			return u.write(u.scratch)
 		case err != nil:
-			return unsendable{err}
+			return unsendableBodyError{err}
 		}
-		if p.left >= 0 {
-			data = data[:min(int64(len(data)), p.left)]
-			if p.left -= int64(len(data)); p.left == 0 && !p.x.upload.last() {
-				return unsendable{errTooLate}
+		if u.remaining >= 0 {
+			data = data[:min(int64(len(data)), u.remaining)]
+			if u.remaining -= int64(len(data)); u.remaining == 0 && !u.x.upload.tryComplete() {
+				return unsendableBodyError{errBodyTooLate}
 			}
-			err = p.write(data)
+			err = u.write(data)
 		} else {
-			p.space = http1.AppendChunkSize(p.space[:0], len(data))
-			err = p.write(p.space, data, []byte("\r\n"))
+			u.scratch = http1.AppendChunkSize(u.scratch[:0], len(data))
+			err = u.write(u.scratch, data, []byte("\r\n"))
 		}
 		if err != nil {
 			return err
 		}
-		p.reader.Advance(len(data))
+		u.reader.Advance(len(data))
 	}
 	return nil
 }
 
-// write writes all, for as long as the endpoint keeps its pace.
-func (p *pump) write(texts ...[]byte) error {
-	all := net.Buffers(texts)
+// write writes all parts, as long as the endpoint accepts them at the minimum transfer rate and the exchange's
+// deadline has not passed.
+func (u *uploader) write(parts ...[]byte) error {
+	unwritten := net.Buffers(parts)
 	for {
-		began := time.Now()
-		if !p.x.armUpload(began.Add(p.meter.MaxWait())) {
-			return unsendable{body.ErrStopped}
+		startedAt := time.Now()
+		if !u.x.armUploadDeadline(startedAt.Add(u.meter.MaxWait())) {
+			return unsendableBodyError{body.ErrStopped}
 		}
-		n, err := p.conn.WriteBuffers(&all)
-		fast := p.meter.Record(time.Since(began), int(n))
+		n, err := u.conn.WriteBuffers(&unwritten)
+		fastEnough := u.meter.Record(time.Since(startedAt), int(n))
 		switch {
 		case err == nil:
 			return nil
 		case !tcpconn.IsDeadlineExceeded(err):
 			return err
-		case !fast || !time.Now().Before(p.x.last()):
+		case !fastEnough || !time.Now().Before(u.x.currentDeadline()):
 			return fmt.Errorf("upload: %w", ErrEndpointTooSlow)
 		}
 	}
 }
 
-// armUpload sets a time by which a write has to come back, and tells whether the exchange goes on.
-func (x *Exchange) armUpload(by time.Time) bool {
+// armUploadDeadline sets the deadline of the upload's next write: the given one, or the exchange's if that is
+// earlier. It returns false if the exchange was canceled or the upload was stopped.
+func (x *Exchange) armUploadDeadline(deadline time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.cause != nil || x.upload.ended {
+	if x.cancelCause != nil || x.upload.stopped {
 		return false
 	}
-	if x.until.Before(by) {
-		by = x.until
+	if x.deadline.Before(deadline) {
+		deadline = x.deadline
 	}
-	x.bound.SetWriteDeadline(by)
+	x.boundConn.SetWriteDeadline(deadline)
 	return true
 }
 
-// last is when the exchange's time is up.
-func (x *Exchange) last() time.Time {
+// currentDeadline returns the exchange's deadline. It locks x.mu, since ExtendDeadline may be called at any time.
+func (x *Exchange) currentDeadline() time.Time {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.until
+	return x.deadline
 }
 
-// ExtendDeadline moves the time by which the exchange has to end. An answer that flows has until its
-// caller's time is up, whatever an answer was waited for.
-func (x *Exchange) ExtendDeadline(until time.Time) {
+// ExtendDeadline changes the time when the exchange must have ended. A streamed response may take until its
+// caller's deadline, whatever the deadline for its start was.
+func (x *Exchange) ExtendDeadline(deadline time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.until = until
+	x.deadline = deadline
 }
 
-// flow is an answer that is passed on as it comes.
-type flow struct {
-	may   bool // by its head
-	begun bool // it is had by Next
-	over  bool
-	used  int   // bytes of buf that were handed out last
-	moved int64 // bytes of the body that were handed out
-	meter transferrate.Meter
+// responseStream is the state of a response that may be streamed: passed on as it arrives.
+type responseStream struct {
+	eligible       bool  // the head permits streaming
+	started        bool  // the body is read by NextResponseData
+	ended          bool  // the exchange has ended, with the response complete or not
+	lastPieceBytes int   // bytes of readBuf that the last result of NextResponseData takes up, framing included
+	deliveredBytes int64 // bytes of the body that NextResponseData has returned
+	meter          transferrate.Meter
 }
 
-// startStreaming makes an answer that flows ready for Next: what has been read moves to a larger buffer.
+// startStreaming prepares a streamed response for NextResponseData: it moves what has been read to a larger
+// buffer.
 func (x *Exchange) startStreaming() {
-	buf := x.pool.large.Get()
-	buf.Commit(copy(buf.Reserve(x.buf.Len()), x.buf.Bytes()))
-	x.pool.bufs.Put(x.buf)
-	x.buf = buf
-	x.flow.meter = x.pool.cfg.NewRateMeter()
-	x.load, x.loaded = parseLoad(x.head.Value("X-Server-Load"))
+	buf := x.pool.streamBufs.Get()
+	buf.Commit(copy(buf.Reserve(x.readBuf.Len()), x.readBuf.Bytes()))
+	x.pool.bufs.Put(x.readBuf)
+	x.readBuf = buf
+	x.stream.meter = x.pool.cfg.NewRateMeter()
+	x.loadReport, x.hasLoadReport = parseLoad(x.head.Value("X-Server-Load"))
 }
 
-// ResponseBodyLength is how many bytes an answer that flows will have, -1 if that is not known.
+// ResponseBodyLength returns how many bytes the body of a streamed response will have, -1 if that is not known.
 func (x *Exchange) ResponseBodyLength() int64 {
 	if x.framing == http1.FixedLength {
 		return x.head.ContentLength()
@@ -241,93 +252,96 @@
 	return -1
 }
 
-// NextResponseData waits for more of an answer that flows, and returns it until the next call: io.EOF at its
-// end. At any error the exchange is over.
+// NextResponseData waits for more of the body of a streamed response and returns it, io.EOF at the end of the
+// body. The data is valid until the next call. At any error, io.EOF included, the exchange has ended. Only the
+// goroutine that runs the exchange may call it.
 func (x *Exchange) NextResponseData() ([]byte, error) {
-	if x.flow.over {
+	if x.stream.ended {
 		return nil, io.EOF
 	}
 	if p := x.body; len(p) > 0 {
 		x.body = nil
-		x.flow.moved += int64(len(p))
+		x.stream.deliveredBytes += int64(len(p))
 		return p, nil
 	}
-	x.buf.Consume(x.flow.used)
-	x.flow.used = 0
+	x.readBuf.Consume(x.stream.lastPieceBytes)
+	x.stream.lastPieceBytes = 0
 	for {
-		p, end, err := x.piece()
+		p, end, err := x.nextPiece()
 		switch {
 		case err != nil:
-			return nil, x.broken(spoilt{err})
+			return nil, x.failStream(unusableResponseError{err})
 		case len(p) > 0:
-			x.flow.moved += int64(len(p))
-			if x.flow.moved > x.limits.StreamedBodyBytes {
-				return nil, x.broken(spoilt{errBodyTooLong})
+			x.stream.deliveredBytes += int64(len(p))
+			if x.stream.deliveredBytes > x.limits.StreamedBodyBytes {
+				return nil, x.failStream(unusableResponseError{errBodyTooLong})
 			}
 			return p, nil
 		case end:
-			return nil, x.finish()
+			return nil, x.finishStream()
 		}
-		if err := x.refill(); err == io.EOF && x.framing == http1.UntilClose {
-			return nil, x.finish()
+		if err := x.readMore(); err == io.EOF && x.framing == http1.UntilClose {
+			return nil, x.finishStream()
 		} else if err != nil {
-			return nil, x.broken(err)
+			return nil, x.failStream(err)
 		}
 	}
 }
 
-// piece takes what is there of the body.
-func (x *Exchange) piece() (p []byte, end bool, err error) {
+// nextPiece returns data of the body that has been received and not yet returned. If there is none, end reports
+// whether the body is complete. It does not read from the connection.
+func (x *Exchange) nextPiece() (p []byte, end bool, err error) {
 	switch x.framing {
 	case http1.FixedLength:
-		left := x.head.ContentLength() - x.flow.moved
-		p = x.buf.Bytes()[:min(left, int64(x.buf.Len()))]
-		x.flow.used = len(p)
+		left := x.head.ContentLength() - x.stream.deliveredBytes
+		p = x.readBuf.Bytes()[:min(left, int64(x.readBuf.Len()))]
+		x.stream.lastPieceBytes = len(p)
 		return p, left == 0, nil
 	case http1.Chunked:
 		for {
-			data, n, err := x.chunks.Decode(x.buf.Bytes())
+			data, n, err := x.chunkDecoder.Decode(x.readBuf.Bytes())
 			if len(data) > 0 || err != nil {
-				x.flow.used = n
+				x.stream.lastPieceBytes = n
 				return data, false, err
 			}
-			x.buf.Consume(n)
-			if n == 0 || x.chunks.Done() {
-				return nil, x.chunks.Done(), nil
+			x.readBuf.Consume(n)
+			if n == 0 || x.chunkDecoder.Done() {
+				return nil, x.chunkDecoder.Done(), nil
 			}
 		}
 	}
-	x.flow.used = x.buf.Len()
-	return x.buf.Bytes(), false, nil
+	x.stream.lastPieceBytes = x.readBuf.Len()
+	return x.readBuf.Bytes(), false, nil
 }
 
-// refill reads more of an answer that flows, for as long as the endpoint keeps its pace.
-func (x *Exchange) refill() error {
+// readMore reads more of a streamed response, as long as the endpoint sends it at the minimum transfer rate and
+// the exchange's deadline has not passed.
+func (x *Exchange) readMore() error {
 	for {
-		began := time.Now()
+		startedAt := time.Now()
 		x.mu.Lock()
-		if x.cause == nil {
-			by := began.Add(x.flow.meter.MaxWait())
-			if x.until.Before(by) {
-				by = x.until
+		if x.cancelCause == nil {
+			deadline := startedAt.Add(x.stream.meter.MaxWait())
+			if x.deadline.Before(deadline) {
+				deadline = x.deadline
 			}
-			x.bound.SetReadDeadline(by)
+			x.boundConn.SetReadDeadline(deadline)
 		}
 		x.mu.Unlock()
-		had := x.buf.Len()
-		buf, err := x.conn.ReadInto(x.buf)
-		x.buf = buf
-		fast := x.flow.meter.Record(time.Since(began), buf.Len()-had)
+		lenBefore := x.readBuf.Len()
+		buf, err := x.conn.ReadInto(x.readBuf)
+		x.readBuf = buf
+		fastEnough := x.stream.meter.Record(time.Since(startedAt), buf.Len()-lenBefore)
 		switch {
 		case err == nil:
 			return nil
 		case !tcpconn.IsDeadlineExceeded(err):
 			return err
-		case !fast || !time.Now().Before(x.last()):
-			return fmt.Errorf("answer: %w", ErrEndpointTooSlow)
+		case !fastEnough || !time.Now().Before(x.currentDeadline()):
+			return fmt.Errorf("response: %w", ErrEndpointTooSlow)
 		}
 		x.mu.Lock()
-		cause := x.cause
+		cause := x.cancelCause
 		x.mu.Unlock()
 		if cause != nil {
 			return cause
@@ -335,35 +349,37 @@
 	}
 }
 
-// finish takes the end of an answer that flows and came whole.
-func (x *Exchange) finish() error {
-	x.flow.over = true
-	x.releaseConn(x.buf.Len() == 0)
+// finishStream ends an exchange whose streamed response is complete.
+func (x *Exchange) finishStream() error {
+	x.stream.ended = true
+	x.releaseConn(x.readBuf.Len() == 0)
 	x.result = balance.OK
 	return io.EOF
 }
 
-// broken ends an answer that flows and came not whole.
-func (x *Exchange) broken(err error) error {
-	x.flow.over = true
-	x.endUpload() // whose end makes no difference any more: it has run
-	x.unbind()
+// failStream ends an exchange whose streamed response is incomplete. It returns the error for the caller of
+// NextResponseData.
+func (x *Exchange) failStream(err error) error {
+	x.stream.ended = true
+	x.stopUpload() // its result makes no difference any more: the request has run
+	x.unbindConn()
 	x.conn.Close()
 	x.conn = nil
 	x.fail(true, err)
-	if err == io.EOF { // which is what an answer that came whole ends with
+	if err == io.EOF { // io.EOF would mean that the response is complete
 		err = io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// AbortStream ends an answer that flows, if it has not ended: its caller does not want the rest.
+// AbortStream ends a streamed response, if it has not ended, when its caller does not need the rest. Only the
+// goroutine that runs the exchange may call it.
 func (x *Exchange) AbortStream() {
-	if !x.flow.over {
+	if !x.stream.ended {
 		x.Cancel(ErrCanceled)
-		x.broken(ErrCanceled)
+		x.failStream(ErrCanceled)
 	}
 }
 
-// ResponseTrailers are those of an answer that flowed, whole lines, once it has ended.
-func (x *Exchange) ResponseTrailers() []byte { return x.chunks.Trailers }
+// ResponseTrailers returns the trailers of a streamed response that has ended, as complete lines.
+func (x *Exchange) ResponseTrailers() []byte { return x.chunkDecoder.Trailers }
