--- a/cmd/barleydrum/arguments_test.go
+++ b/cmd/barleydrum/arguments_test.go
@@ -21,7 +21,7 @@
 		{[]string{"extra"}, "", 0, `unknown argument "extra"`},
 	} {
 		var out strings.Builder
-		opts, err := arguments(c.args, func(string) string { return c.env }, &out)
+		opts, err := parseArguments(c.args, func(string) string { return c.env }, &out)
 		switch {
 		case c.refuse != "":
 			if err == nil || !strings.Contains(out.String(), c.refuse) {
--- a/cmd/barleydrum/incident_test.go
+++ b/cmd/barleydrum/lost_response_test.go
@@ -16,16 +16,16 @@
 	"time"
 )
 
-// runWithCallers starts the program with settings of its part [callers].
-func runWithCallers(t *testing.T, settings string) (addr string, log fmt.Stringer, terminate func()) {
+// startWithCallerSettings starts the program with settings of its part [callers].
+func startWithCallerSettings(t *testing.T, settings string) (addr string, log fmt.Stringer, stop func()) {
 	t.Helper()
-	d, addr := service(t), freeAddress(t)
+	d, addr := startService(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "settings.toml")
-	if err := os.WriteFile(path, []byte(standaloneText(addr, d.Addr(), "[callers]\n"+settings)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(standaloneSettings(addr, d.Addr(), "[callers]\n"+settings)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd, output := startProgram(t, addr, []string{"PROXY_CONFIG="}, "-settings", path, "-log-level", "debug")
-	return addr, output, func() { end(t, cmd, output) }
+	return addr, output, func() { terminate(t, cmd, output) }
 }
 
 // dialCaller opens a caller's connection.
@@ -36,12 +36,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
-// orderText is a request as it goes over the wire, with further header lines.
-func orderText(id, lines, body string) string {
+// orderRequestText is a request as it goes over the wire, with further header lines.
+func orderRequestText(id, lines, body string) string {
 	return fmt.Sprintf("POST /api/order HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nIdempotency-Key: %s\r\nX-Priority-Class: place-order\r\n"+
 		"X-Timeout: 5000m\r\nContent-Length: %d\r\n%s\r\n%s", id, id, len(body), lines, body)
 }
@@ -57,11 +57,11 @@
 	return resp.StatusCode, err
 }
 
-func TestAnswerIsNotLostToTheWriteDeadlineOfAnEarlierOne(t *testing.T) {
+func TestResponseOutlivesWriteDeadlineOfEarlierResponse(t *testing.T) {
 	const writeTime = 100 * time.Millisecond
-	addr, log, terminate := runWithCallers(t, fmt.Sprintf("write_time = %q\n", writeTime))
+	addr, log, terminate := startWithCallerSettings(t, fmt.Sprintf("write_time = %q\n", writeTime))
 	c, in := dialCaller(t, addr)
-	text := orderText("r-1", "Expect: 100-continue\r\n", "tank")
+	text := orderRequestText("r-1", "Expect: 100-continue\r\n", "tank")
 	io.WriteString(c, strings.TrimSuffix(text, "tank"))
 	if status, err := readStatus(in); status != http.StatusContinue {
 		t.Fatalf("status %d, %v, want 100", status, err)
@@ -71,15 +71,15 @@
 		t.Fatalf("first request: status %d, %v", status, err)
 	}
 	time.Sleep(2 * writeTime) // longer than any deadline that was set for the first
-	io.WriteString(c, orderText("r-2", "", "tank"))
+	io.WriteString(c, orderRequestText("r-2", "", "tank"))
 	if status, err := readStatus(in); status != http.StatusOK {
 		t.Errorf("second request on the connection: status %d, %v\n%s", status, err, log)
 	}
 	terminate()
 }
 
-// withoutDebug leaves the lines of a log out that are about single events.
-func withoutDebug(log string) string {
+// withoutDebugLines leaves the lines of a log out that are about single events.
+func withoutDebugLines(log string) string {
 	var b strings.Builder
 	for line := range strings.Lines(log) {
 		if !strings.Contains(line, " DEBUG ") {
@@ -89,16 +89,16 @@
 	return b.String()
 }
 
-func TestRequestThatCrossesSIGTERMIsAnsweredOrNotSentOn(t *testing.T) {
+func TestRequestConcurrentWithSIGTERMIsAnsweredOrNotForwarded(t *testing.T) {
 	const (
 		rounds  = 4
 		callers = 64
 		spread  = 4 * time.Millisecond // around the signal
 	)
 	for range rounds {
-		d, addr := service(t), freeAddress(t)
+		d, addr := startService(t), freeAddress(t)
 		path := filepath.Join(t.TempDir(), "settings.toml")
-		if err := os.WriteFile(path, []byte(standaloneText(addr, d.Addr(), "")), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(standaloneSettings(addr, d.Addr(), "")), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cmd, log := startProgram(t, addr, []string{"PROXY_CONFIG="}, "-settings", path, "-log-level", "debug")
@@ -112,7 +112,7 @@
 			done.Add(1)
 			go func() {
 				defer done.Done()
-				io.WriteString(c, orderText(fmt.Sprintf("rest-%d", i), "", "tank"))
+				io.WriteString(c, orderRequestText(fmt.Sprintf("rest-%d", i), "", "tank"))
 				status, err := readStatus(in)
 				resting.Done()
 				if status != http.StatusOK {
@@ -122,7 +122,7 @@
 				<-signalled
 				time.Sleep(time.Duration(i) * spread / callers)
 				id := fmt.Sprintf("cross-%d", i)
-				io.WriteString(c, orderText(id, "", "tank"))
+				io.WriteString(c, orderRequestText(id, "", "tank"))
 				if _, err := readStatus(in); err != nil {
 					unread.Add(1)
 					lost.Store(id, err)
@@ -134,7 +134,7 @@
 		cmd.Process.Signal(syscall.SIGTERM)
 		done.Wait()
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("ended with %v: %s", err, withoutDebug(log.String()))
+			t.Errorf("ended with %v: %s", err, withoutDebugLines(log.String()))
 		}
 		text := log.String()
 		lost.Range(func(id, err any) bool {
--- a/cmd/barleydrum/main.go
+++ b/cmd/barleydrum/main.go
@@ -28,7 +28,7 @@
 )
 
 func main() {
-	opts, err := arguments(os.Args[1:], os.Getenv, os.Stderr)
+	opts, err := parseArguments(os.Args[1:], os.Getenv, os.Stderr)
 	if errors.Is(err, flag.ErrHelp) {
 		return
 	}
@@ -36,7 +36,7 @@
 		os.Exit(2)
 	}
 	slog.SetLogLoggerLevel(opts.logLevel)
-	if err := run(opts.settings); err != nil {
+	if err := run(opts.settingsPath); err != nil {
 		fmt.Fprintf(os.Stderr, "barleydrum: %v\n", err)
 		os.Exit(1)
 	}
@@ -44,19 +44,19 @@
 
 // options are what the command line says.
 type options struct {
-	settings string // the operators' file, empty for none
-	logLevel slog.Level
+	settingsPath string // the operators' file, empty for none
+	logLevel     slog.Level
 }
 
 // logLevelVariable names the environment variable that sets the log level where no flag does.
 const logLevelVariable = "BARLEYDRUM_LOG_LEVEL"
 
-// arguments reads the command line. It says itself what is wrong with it.
-func arguments(args []string, getenv func(string) string, out io.Writer) (options, error) {
+// parseArguments reads the command line. It says itself what is wrong with it.
+func parseArguments(args []string, getenv func(string) string, out io.Writer) (options, error) {
 	var opts options
 	f := flag.NewFlagSet("barleydrum", flag.ContinueOnError)
 	f.SetOutput(out)
-	f.StringVar(&opts.settings, "settings", "", "the operators' `FILE`; see docs/operators/settings.md")
+	f.StringVar(&opts.settingsPath, "settings", "", "the operators' `FILE`; see docs/operators/settings.md")
 	level := f.String("log-level", cmp.Or(getenv(logLevelVariable), slog.LevelInfo.String()),
 		"debug, info, warn or error; debug logs every connection, attempt and answer. Left out: $"+logLevelVariable+", else info. `LEVEL`")
 	if err := f.Parse(args); err != nil {
@@ -82,8 +82,8 @@
 	signal.Notify(hangup, syscall.SIGHUP) // before all else: unhandled it would end the program
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	source := source{settings: settings, getenv: os.Getenv}
-	cfg, err := source.start()
+	source := configLoader{settingsPath: settings, getenv: os.Getenv}
+	cfg, err := source.loadInitial()
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	discovery := sidecar.NewDiscoveryClient(cfg, decider)
 	go discovery.Run(context.Background()) // also while the last requests are answered
 	go func() {
-		running := running{source: source, started: cfg, settings: cfg.Settings}
+		running := settingsReloader{loader: source, startConfig: cfg, lastSettings: cfg.Settings}
 		for range hangup {
 			running.reload(decider, discovery)
 		}
--- a/cmd/barleydrum/main_test.go
+++ b/cmd/barleydrum/main_test.go
@@ -23,15 +23,15 @@
 	os.Exit(m.Run())
 }
 
-const platform = `{"name": "n1", "listen": "127.83.19.7:1", "discovery": "127.83.19.8:1", "seed": "1f",
+const platformConfig = `{"name": "n1", "listen": "127.83.19.7:1", "discovery": "127.83.19.8:1", "seed": "1f",
 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 "known": {"generation": 1, "reset": true, "instances": [
  {"instanceId": "s", "hostPort": "127.83.19.9:1", "zone": "a", "lifecycle": "up"}]},
 "settings": {"balancers": 1, "zones": ["a"], "discovery": "push", "stepNs": 1000000,
  "classes": [{"name": "read", "goalTimeNs": 100000000, "hardLimitNs": 200000000, "importance": 1, "semantics": "safe"}]}}`
 
-// program prepares the program with a configuration.
-func program(t *testing.T, text string) (*exec.Cmd, *lockedBuffer) {
+// newProgram prepares the program with a configuration.
+func newProgram(t *testing.T, text string) (*exec.Cmd, *lockedBuffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -45,14 +45,14 @@
 }
 
 // A planned restart is no crash: SIGTERM ends the program with 0.
-func TestSIGTERM(t *testing.T) {
+func TestSIGTERMExitsWithStatusZero(t *testing.T) {
 	l, err := net.Listen("tcp", "127.83.19.7:0") // a port that is free there
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := l.Addr().String()
 	l.Close()
-	cmd, log := program(t, platform)
+	cmd, log := newProgram(t, platformConfig)
 	cmd.Env = append(cmd.Env, "PROXY_LISTEN="+address)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -78,10 +78,10 @@
 
 // SIGHUP, which ended the program, has it follow the discovery that its file names then,
 // whatever PROXY_DISCOVERY says; a bad file changes nothing; SIGTERM ends it as ever.
-func TestReload(t *testing.T) {
-	first, second, third := service(t), service(t), service(t)
-	text := strings.Replace(platform, "127.83.19.7:1", "127.83.19.10:41763", 1)
-	cmd, log := program(t, text)
+func TestReloadSwitchesDiscovery(t *testing.T) {
+	first, second, third := startService(t), startService(t), startService(t)
+	text := strings.Replace(platformConfig, "127.83.19.7:1", "127.83.19.10:41763", 1)
+	cmd, log := newProgram(t, text)
 	var path string
 	for _, v := range cmd.Env {
 		if name, ok := strings.CutPrefix(v, "PROXY_CONFIG="); ok {
@@ -106,7 +106,7 @@
 	}
 	asked := func(d *fake.Discovery, which string) {
 		t.Helper()
-		until(t, log, "asked "+which, func() bool { return d.RequestCount() > 0 })
+		waitUntil(t, log, "asked "+which, func() bool { return d.RequestCount() > 0 })
 	}
 	asked(first, "the first")
 	replace("{")
@@ -124,13 +124,13 @@
 }
 
 // A bad configuration ends the program, and its message names the setting.
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfigNamesSetting(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"seed": "1f"`, `"seed": ""`, "seed"},
 		{`"goalTimeNs": 100000000`, `"goalTimeNs": 0`, "Goal"},
 		{`"discovery": "127.83.19.8:1"`, `"discovery": "nowhere"`, "discovery"},
 	} {
-		cmd, log := program(t, strings.Replace(platform, c.old, c.new, 1))
+		cmd, log := newProgram(t, strings.Replace(platformConfig, c.old, c.new, 1))
 		if err := cmd.Run(); err == nil || !strings.Contains(log.String(), c.want) {
 			t.Errorf("%s: ended with %v: %s", c.new, err, log)
 		}
--- a/cmd/barleydrum/settings.go
+++ b/cmd/barleydrum/reload.go
@@ -12,27 +12,27 @@
 	"barleydrum.example/barleydrum/internal/sidecar"
 )
 
-// source is where the configuration comes from.
-type source struct {
-	settings string // the operators' file, empty for none
-	getenv   func(string) string
+// configLoader is where the configuration comes from.
+type configLoader struct {
+	settingsPath string // the operators' file, empty for none
+	getenv       func(string) string
 }
 
-// start reads the configuration to begin with.
-func (s source) start() (*config.Config, error) { return s.load(config.LoadPlatform) }
+// loadInitial reads the configuration to begin with.
+func (s configLoader) loadInitial() (*config.Config, error) { return s.load(config.LoadPlatform) }
 
-// again reads it as it is now.
-func (s source) again() (*config.Config, error) { return s.load(config.ReloadPlatform) }
+// reload reads it as it is now.
+func (s configLoader) reload() (*config.Config, error) { return s.load(config.ReloadPlatform) }
 
-func (s source) load(platform func(func(string) string) (*config.Platform, error)) (*config.Config, error) {
+func (s configLoader) load(platform func(func(string) string) (*config.Platform, error)) (*config.Config, error) {
 	var p *config.Platform
-	if s.settings == "" || s.getenv("PROXY_CONFIG") != "" {
+	if s.settingsPath == "" || s.getenv("PROXY_CONFIG") != "" {
 		var err error
 		if p, err = platform(s.getenv); err != nil {
 			return nil, err
 		}
 	}
-	if s.settings == "" {
+	if s.settingsPath == "" {
 		// The platform's word stands: the module guards the rules by itself, whatever it is told.
 		cfg, findings := check.Sidecar(p, s.getenv("PROXY_CONFIG"), nil, "")
 		for _, f := range findings {
@@ -45,10 +45,10 @@
 		}
 		return cfg, nil
 	}
-	file, findings := config.LoadSettings(s.settings)
+	file, findings := config.LoadSettings(s.settingsPath)
 	var cfg *config.Config
 	if !config.HasRefusal(findings) {
-		cfg, findings = check.Sidecar(p, s.getenv("PROXY_CONFIG"), file, s.settings)
+		cfg, findings = check.Sidecar(p, s.getenv("PROXY_CONFIG"), file, s.settingsPath)
 	}
 	var refused []string
 	for _, f := range findings {
@@ -64,39 +64,39 @@
 	return cfg, nil
 }
 
-// running is the configuration that the program runs with.
-type running struct {
-	source   source
-	started  *config.Config
-	settings *config.Settings // those of the last reload
+// settingsReloader is the configuration that the program runs with.
+type settingsReloader struct {
+	loader       configLoader
+	startConfig  *config.Config
+	lastSettings *config.Settings // those of the last reload
 }
 
 // reload follows the discovery that the configuration names now, and has those settings take
 // effect that need no restart. If any of it can't be used, all stays as it is.
-func (r *running) reload(e *engine.Engine, d *sidecar.DiscoveryClient) {
-	cfg, err := r.source.again()
+func (r *settingsReloader) reload(e *engine.Engine, d *sidecar.DiscoveryClient) {
+	cfg, err := r.loader.reload()
 	if err != nil {
 		slog.Error("reload: keeping the configuration at hand", "err", err)
 		return
 	}
 	d.SetAddress(cfg.DiscoveryAddress)
-	if r.source.settings == "" {
+	if r.loader.settingsPath == "" {
 		return
 	}
 	var live []string
-	for _, c := range config.Diff(r.settings.Values(), cfg.Settings.Values()) {
+	for _, c := range config.Diff(r.lastSettings.Values(), cfg.Settings.Values()) {
 		if c.Reloadable {
 			live = append(live, c.String())
 		}
 	}
 	var restart []string
-	for _, c := range config.Diff(r.started.Settings.Values(), cfg.Settings.Values()) {
+	for _, c := range config.Diff(r.startConfig.Settings.Values(), cfg.Settings.Values()) {
 		if !c.Reloadable {
 			restart = append(restart, c.String())
 		}
 	}
 	e.ApplySettings(cfg.Settings)
-	r.settings = cfg.Settings
+	r.lastSettings = cfg.Settings
 	slog.Info("reload: settings", "changed", fmt.Sprint(len(live)), "live", live)
 	if len(restart) > 0 {
 		slog.Warn("reload: these take effect at a restart", "settings", restart)
--- a/cmd/barleydrum/settings_test.go
+++ b/cmd/barleydrum/reload_test.go
@@ -22,7 +22,7 @@
 	"barleydrum.example/barleydrum/internal/sidecar"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // freeAddress is an address of loopback whose port was free a moment ago.
 func freeAddress(t *testing.T) string {
@@ -35,8 +35,8 @@
 	return l.Addr().String()
 }
 
-// service is a node and the discovery that lists it.
-func service(t *testing.T) *fake.Discovery {
+// startService is a node and the discovery that lists it.
+func startService(t *testing.T) *fake.Discovery {
 	t.Helper()
 	node, err := fake.NewNode(fake.NodeConfig{ID: "s-1", Zone: "a", Addr: "127.0.0.1:0", Concurrency: 64})
 	if err != nil {
@@ -54,20 +54,20 @@
 
 // lockedBuffer is a log that is written while it is read.
 type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
 func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buf.Write(p)
 }
 
 func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buf.String()
 }
 
 // startProgram starts the program with arguments and waits until it is ready.
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill() })
-	until(t, log, "ready", func() bool {
+	waitUntil(t, log, "ready", func() bool {
 		resp, err := http.Get("http://" + addr + "/healthz")
 		if err != nil {
 			return false
@@ -92,18 +92,18 @@
 	return cmd, log
 }
 
-// until waits for what must happen.
-func until(t *testing.T, log fmt.Stringer, what string, happened func() bool) {
+// waitUntil waits for what must happen.
+func waitUntil(t *testing.T, log fmt.Stringer, what string, happened func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !happened(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !happened(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not %s within %v: %s", what, patience, log)
+			t.Fatalf("not %s within %v: %s", what, testTimeout, log)
 		}
 	}
 }
 
-// end ends the program by SIGTERM.
-func end(t *testing.T, cmd *exec.Cmd, log fmt.Stringer) {
+// terminate ends the program by SIGTERM.
+func terminate(t *testing.T, cmd *exec.Cmd, log fmt.Stringer) {
 	t.Helper()
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-const class = `
+const placeOrderClass = `
 [class.place-order]
 wanted = "10s"
 deadline = "15s"
@@ -120,20 +120,20 @@
 repeat_window = "20s"
 `
 
-func standaloneText(listen, discovery, more string) string {
-	return fmt.Sprintf("schema = 1\n[application]\nname = \"test\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s%s", listen, discovery, more, class)
+func standaloneSettings(listen, discovery, more string) string {
+	return fmt.Sprintf("schema = 1\n[application]\nname = \"test\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s%s", listen, discovery, more, placeOrderClass)
 }
 
-func order(caller *fake.Caller, body string) fake.CallerRequest {
+func orderRequest(caller *fake.Caller, body string) fake.CallerRequest {
 	id := caller.NextID()
-	return fake.CallerRequest{ID: id, Class: "place-order", IdempotencyKey: id, Body: body, Timeout: patience}
+	return fake.CallerRequest{ID: id, Class: "place-order", IdempotencyKey: id, Body: body, Timeout: testTimeout}
 }
 
 // The operators' file alone is enough to run with, on all the addresses that it names.
-func TestRunsByTheFileAlone(t *testing.T) {
-	d, first, second := service(t), freeAddress(t), freeAddress(t)
+func TestRunsFromSettingsFileAlone(t *testing.T) {
+	d, first, second := startService(t), freeAddress(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "s.toml")
-	text := standaloneText(first, d.Addr(), fmt.Sprintf("[callers]\nalso_listen = [%q]\n", second))
+	text := standaloneSettings(first, d.Addr(), fmt.Sprintf("[callers]\nalso_listen = [%q]\n", second))
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -141,22 +141,22 @@
 	caller := fake.NewCaller(1)
 	defer caller.Close()
 	for _, addr := range []string{first, second} {
-		if v := caller.Do(context.Background(), addr, order(caller, "x"), patience); v != fake.OutcomeServed {
+		if v := caller.Do(context.Background(), addr, orderRequest(caller, "x"), testTimeout); v != fake.OutcomeServed {
 			_, _, why := caller.Results()
 			t.Errorf("%s: %v %v: %s", addr, v, why, log)
 		}
 	}
-	end(t, cmd, log)
+	terminate(t, cmd, log)
 }
 
 // SIGHUP with a good, a bad and a missing file under load: no request is lost, what can change
 // does, what can't is named, and a file that is refused changes nothing.
-func TestReloadUnderLoad(t *testing.T) {
-	d, addr := service(t), freeAddress(t)
+func TestReloadUnderLoadLosesNoRequest(t *testing.T) {
+	d, addr := startService(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "s.toml")
 	replace := func(more string) {
 		t.Helper()
-		if err := os.WriteFile(path+".new", []byte(standaloneText(addr, d.Addr(), more)), 0o600); err != nil {
+		if err := os.WriteFile(path+".new", []byte(standaloneSettings(addr, d.Addr(), more)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Rename(path+".new", path); err != nil {
@@ -171,7 +171,7 @@
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		until(t, log, "said: "+says, func() bool { return strings.Count(log.String(), says) > n })
+		waitUntil(t, log, "said: "+says, func() bool { return strings.Count(log.String(), says) > n })
 	}
 
 	caller, stop := fake.NewCaller(4), make(chan struct{})
@@ -186,7 +186,7 @@
 				case <-stop:
 					return
 				default:
-					caller.Do(context.Background(), addr, order(caller, strings.Repeat("x", 2000)), patience)
+					caller.Do(context.Background(), addr, orderRequest(caller, strings.Repeat("x", 2000)), testTimeout)
 				}
 			}
 		}()
@@ -208,7 +208,7 @@
 			t.Fatal(err)
 		}
 		hangup(kept)
-		until(t, log, "served more", func() bool { return served() > was+10 })
+		waitUntil(t, log, "served more", func() bool { return served() > was+10 })
 	}
 	close(stop)
 	callers.Wait()
@@ -223,18 +223,18 @@
 	// What was taken last is in effect.
 	replace("[callers]\nmax_body = \"1KiB\"\n")
 	hangup("reload: settings")
-	if v := caller.Do(context.Background(), addr, order(caller, strings.Repeat("x", 2000)), patience); v != fake.OutcomeFailed {
+	if v := caller.Do(context.Background(), addr, orderRequest(caller, strings.Repeat("x", 2000)), testTimeout); v != fake.OutcomeFailed {
 		t.Errorf("a long body: %v, want it turned away", v)
 	}
-	end(t, cmd, log)
+	terminate(t, cmd, log)
 }
 
 // With both, the platform's configuration says what the sidecar is and the file narrows it; a
 // file that promises more than the platform is refused at the start, by the rule.
-func TestBesideThePlatform(t *testing.T) {
-	d, addr := service(t), freeAddress(t)
+func TestSettingsMayOnlyNarrowPlatformConfig(t *testing.T) {
+	d, addr := startService(t), freeAddress(t)
 	dir := t.TempDir()
-	platform := strings.NewReplacer("127.83.19.7:1", addr, "127.83.19.8:1", d.Addr()).Replace(platform)
+	platform := strings.NewReplacer("127.83.19.7:1", addr, "127.83.19.8:1", d.Addr()).Replace(platformConfig)
 	file, path := filepath.Join(dir, "c.json"), filepath.Join(dir, "s.toml")
 	write := func(text string) {
 		t.Helper()
@@ -259,10 +259,10 @@
 	}
 	write("[class.read]\nretries = 1\n")
 	cmd, log := startProgram(t, addr, []string{"PROXY_CONFIG=" + file}, "-settings", path)
-	end(t, cmd, log)
+	terminate(t, cmd, log)
 }
 
-func TestArguments(t *testing.T) {
+func TestInvalidArgumentsExitWithUsage(t *testing.T) {
 	for _, args := range [][]string{{"-setings", "x"}, {"x"}, {"-settings"}} {
 		cmd := exec.Command(os.Args[0], args...)
 		cmd.Env = append(os.Environ(), "BARLEYDRUM_TEST_MAIN=1")
@@ -274,9 +274,9 @@
 }
 
 // Whatever the checker accepts, the program starts with: its parts are made without an error.
-func FuzzStarts(f *testing.F) {
+func FuzzAcceptedSettingsStart(f *testing.F) {
 	for _, more := range []string{"", "[callers]\nconnections = 3\nmax_body = \"0\"\n", "[fleet]\nreports = \"none\"\nlist = \"ask\"\n", "[endpoints]\nconnections = 1\n[limits]\nsockets = 64\n"} {
-		f.Add(standaloneText("127.0.0.1:1", "127.0.0.1:2", more))
+		f.Add(standaloneSettings("127.0.0.1:1", "127.0.0.1:2", more))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, bad := config.ParseSettings("f", []byte(text))
--- a/cmd/barleydrum/soak_test.go
+++ b/cmd/barleydrum/soak_test.go
@@ -24,15 +24,15 @@
 
 // The soak's times. SIGKILL comes at the platform's earliest: the longest deadline and killAfter.
 const (
-	soakLength  = 2400 * time.Millisecond // before SIGTERM
-	killAfter   = 700 * time.Millisecond
-	soakCallers = 24
-	soakServers = 4
+	soakDuration = 2400 * time.Millisecond // before SIGTERM
+	killAfter    = 700 * time.Millisecond
+	soakCallers  = 24
+	soakServers  = 4
 
 	// Every crowdEvery-th seed has a crowd: more idle callers than there is room for.
-	crowdEvery  = 3
-	crowdRoom   = 40
-	crowdCaller = 60
+	crowdSeedInterval    = 3
+	crowdConnectionLimit = 40
+	crowdIdleCallers     = 60
 )
 
 // soakDeadlines are the classes' deadlines, by seed.
@@ -40,10 +40,10 @@
 
 // The bounds of the rules, each with the slack that the protocol gives.
 const (
-	drainGrace  = 550 * time.Millisecond
-	leaveGrace  = 100 * time.Millisecond
-	tellSlack   = 150 * time.Millisecond
-	answerSlack = 500 * time.Millisecond
+	drainGrace      = 550 * time.Millisecond
+	disconnectGrace = 100 * time.Millisecond
+	timeoutSlack    = 150 * time.Millisecond
+	responseSlack   = 500 * time.Millisecond
 )
 
 // seedsVariable names the environment variable that sets how many seeds the soak plays; some by default.
@@ -78,39 +78,39 @@
 
 // sentRequest is a request as its caller saw it.
 type sentRequest struct {
-	id, class string
-	first     bool // on its connection
-	sent      time.Time
-	answered  time.Time // zero for never
-	status    int
-	body      string
-	closed    error     // the connection's end in place of an answer
-	closedAt  time.Time // when that was seen
-	left      time.Time // its caller left, zero for never
+	id, class      string
+	firstOnConn    bool // on its connection
+	sentAt         time.Time
+	respondedAt    time.Time // zero for never
+	status         int
+	body           string
+	closeErr       error     // the connection's end in place of an answer
+	closedAt       time.Time // when that was seen
+	disconnectedAt time.Time // its caller left, zero for never
 }
 
-// arrival is a request as a server saw it, whole.
-type arrival struct {
+// receivedRequest is a request as a server saw it, whole.
+type receivedRequest struct {
 	id, server string
-	at         time.Time
+	receivedAt time.Time
 	timeout    time.Duration
-	ran        bool // or may have
+	mayHaveRun bool // or may have
 }
 
-// records are what callers and servers saw, on one monotonic clock.
-type records struct {
-	mu       sync.Mutex
-	requests []*sentRequest
-	arrivals []arrival
-	drained  map[string]time.Time // when servers were told to drain
-	term     time.Time
-	deadline time.Duration
-	crowd    bool          // a connection may be shut with a request unread
-	holdUp   time.Duration // the longest by which this machine has held the judge's own clock up
+// observations are what callers and servers saw, on one monotonic clock.
+type observations struct {
+	mu             sync.Mutex
+	sent           []*sentRequest
+	received       []receivedRequest
+	drainedAt      map[string]time.Time // when servers were told to drain
+	sigtermAt      time.Time
+	deadline       time.Duration
+	crowded        bool          // a connection may be shut with a request unread
+	maxWakeupDelay time.Duration // the longest by which this machine has held the judge's own clock up
 }
 
-// watchClock notes by how much this machine is late to wake a sleeper, until stop.
-func (r *records) watchClock(stop <-chan struct{}) {
+// measureWakeupDelay notes by how much this machine is late to wake a sleeper, until stop.
+func (r *observations) measureWakeupDelay(stop <-chan struct{}) {
 	const nap = 5 * time.Millisecond
 	for last := time.Now(); ; {
 		select {
@@ -120,40 +120,40 @@
 		}
 		now := time.Now()
 		r.mu.Lock()
-		r.holdUp = max(r.holdUp, now.Sub(last)-nap)
+		r.maxWakeupDelay = max(r.maxWakeupDelay, now.Sub(last)-nap)
 		r.mu.Unlock()
 		last = now
 	}
 }
 
-// judge returns what breaks a rule.
-func (r *records) judge() (breaks []string) {
-	seen := make(map[string][]arrival)
-	for _, a := range r.arrivals {
+// violations returns what breaks a rule.
+func (r *observations) violations() (breaks []string) {
+	seen := make(map[string][]receivedRequest)
+	for _, a := range r.received {
 		seen[a.id] = append(seen[a.id], a)
-		if at, ok := r.drained[a.server]; ok && a.at.Sub(at) > drainGrace+r.holdUp {
-			breaks = append(breaks, fmt.Sprintf("drain: %s reached %s %v after its drain", a.id, a.server, a.at.Sub(at)))
+		if at, ok := r.drainedAt[a.server]; ok && a.receivedAt.Sub(at) > drainGrace+r.maxWakeupDelay {
+			breaks = append(breaks, fmt.Sprintf("drain: %s reached %s %v after its drain", a.id, a.server, a.receivedAt.Sub(at)))
 		}
 	}
-	for _, q := range r.requests {
-		breaks = append(breaks, r.judgeRequest(q, seen[q.id])...)
+	for _, q := range r.sent {
+		breaks = append(breaks, r.requestViolations(q, seen[q.id])...)
 	}
 	return breaks
 }
 
-func (r *records) judgeRequest(q *sentRequest, arrivals []arrival) (breaks []string) {
+func (r *observations) requestViolations(q *sentRequest, arrivals []receivedRequest) (breaks []string) {
 	add := func(format string, args ...any) {
 		breaks = append(breaks, fmt.Sprintf("%s (%s): ", q.id, q.class)+fmt.Sprintf(format, args...))
 	}
 	runs := 0
 	for _, a := range arrivals {
-		if a.ran {
+		if a.mayHaveRun {
 			runs++
 		}
-		if !q.left.IsZero() && a.at.Sub(q.left) > leaveGrace+r.holdUp {
-			add("lost: reached %s %v after its caller left", a.server, a.at.Sub(q.left))
+		if !q.disconnectedAt.IsZero() && a.receivedAt.Sub(q.disconnectedAt) > disconnectGrace+r.maxWakeupDelay {
+			add("lost: reached %s %v after its caller left", a.server, a.receivedAt.Sub(q.disconnectedAt))
 		}
-		if left := r.deadline - a.at.Sub(q.sent); a.timeout-left > tellSlack+r.holdUp {
+		if left := r.deadline - a.receivedAt.Sub(q.sentAt); a.timeout-left > timeoutSlack+r.maxWakeupDelay {
 			add("told %s to take %v with %v left", a.server, a.timeout, left)
 		}
 	}
@@ -166,41 +166,41 @@
 	if q.status == http.StatusOK && !strings.Contains(q.body, q.id) {
 		add("lost: answered with %.40q", q.body)
 	}
-	if !q.left.IsZero() || !q.answered.IsZero() {
-		if !q.answered.IsZero() && q.answered.Sub(q.sent) > r.deadline+answerSlack+r.holdUp {
-			add("lost: answered after %v", q.answered.Sub(q.sent))
+	if !q.disconnectedAt.IsZero() || !q.respondedAt.IsZero() {
+		if !q.respondedAt.IsZero() && q.respondedAt.Sub(q.sentAt) > r.deadline+responseSlack+r.maxWakeupDelay {
+			add("lost: answered after %v", q.respondedAt.Sub(q.sentAt))
 		}
 		return breaks
 	}
 	switch {
 	case len(arrivals) > 0:
-		add("lost: sent on, and %v after %v, %v after SIGTERM", q.closed, q.closedAt.Sub(q.sent), q.closedAt.Sub(r.term))
-	case r.crowd:
-	case q.closedAt.Before(r.term):
-		add("lost: %v after %v, with no shutdown", q.closed, q.closedAt.Sub(q.sent))
-	case q.first && q.sent.Before(r.term):
-		add("lost: first on its connection, %v", q.closed)
+		add("lost: sent on, and %v after %v, %v after SIGTERM", q.closeErr, q.closedAt.Sub(q.sentAt), q.closedAt.Sub(r.sigtermAt))
+	case r.crowded:
+	case q.closedAt.Before(r.sigtermAt):
+		add("lost: %v after %v, with no shutdown", q.closeErr, q.closedAt.Sub(q.sentAt))
+	case q.firstOnConn && q.sentAt.Before(r.sigtermAt):
+		add("lost: first on its connection, %v", q.closeErr)
 	}
 	return breaks
 }
 
 // soakServer is an endpoint that misbehaves by a seed.
 type soakServer struct {
-	name   string
-	l      net.Listener
-	rec    *records
-	mu     sync.Mutex
-	random *rand.Rand
+	name     string
+	listener net.Listener
+	observed *observations
+	mu       sync.Mutex
+	random   *rand.Rand
 }
 
-func newSoakServer(t *testing.T, name string, rec *records, random *rand.Rand) *soakServer {
+func newSoakServer(t *testing.T, name string, rec *observations, random *rand.Rand) *soakServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	s := &soakServer{name: name, l: l, rec: rec, random: random}
+	s := &soakServer{name: name, listener: l, observed: rec, random: random}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -213,7 +213,7 @@
 	return s
 }
 
-func (s *soakServer) draw(n int) int {
+func (s *soakServer) randomInt(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
@@ -235,22 +235,22 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\nTEXT inflight=0, queue=0, util=0.10")
 			continue
 		}
-		fault := s.draw(20)
+		fault := s.randomInt(20)
 		us, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Timeout"), "u"))
-		s.rec.mu.Lock()
-		s.rec.arrivals = append(s.rec.arrivals, arrival{id, s.name, time.Now(), time.Duration(us) * time.Microsecond, fault != 0})
-		s.rec.mu.Unlock()
-		if !s.answer(c, id, fault) {
+		s.observed.mu.Lock()
+		s.observed.received = append(s.observed.received, receivedRequest{id, s.name, time.Now(), time.Duration(us) * time.Microsecond, fault != 0})
+		s.observed.mu.Unlock()
+		if !s.respond(c, id, fault) {
 			return
 		}
 	}
 }
 
-// answer answers a request with a fault, and tells whether the connection goes on.
-func (s *soakServer) answer(c *net.TCPConn, id string, fault int) bool {
+// respond answers a request with a fault, and tells whether the connection goes on.
+func (s *soakServer) respond(c *net.TCPConn, id string, fault int) bool {
 	body := "made for " + id
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	time.Sleep(time.Duration(s.draw(30)) * time.Millisecond)
+	time.Sleep(time.Duration(s.randomInt(30)) * time.Millisecond)
 	switch fault {
 	case 0: // turned away
 		io.WriteString(c, "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -259,7 +259,7 @@
 		c.SetLinger(0)
 		return false
 	case 2: // hangs until it is given up
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		c.Read(make([]byte, 1))
 		return false
 	case 3: // breaks off in its answer
@@ -281,12 +281,12 @@
 		}
 		return true
 	case 9: // resets after a while
-		time.Sleep(time.Duration(150+s.draw(150)) * time.Millisecond)
+		time.Sleep(time.Duration(150+s.randomInt(150)) * time.Millisecond)
 		c.SetLinger(0)
 		return false
 	case 8: // closes the idle connection early
 		io.WriteString(c, text)
-		time.Sleep(time.Duration(s.draw(20)) * time.Millisecond)
+		time.Sleep(time.Duration(s.randomInt(20)) * time.Millisecond)
 		return false
 	}
 	io.WriteString(c, text)
@@ -295,11 +295,11 @@
 
 // soakCaller is a caller that draws what it does by a seed.
 type soakCaller struct {
-	number int
-	addr   string
-	rec    *records
-	random *rand.Rand
-	next   int
+	number   int
+	addr     string
+	observed *observations
+	random   *rand.Rand
+	nextID   int
 }
 
 func (c *soakCaller) run(stop <-chan struct{}) {
@@ -309,13 +309,13 @@
 			return
 		default:
 		}
-		c.connection(stop)
+		c.useConnection(stop)
 		time.Sleep(time.Duration(c.random.IntN(10)) * time.Millisecond)
 	}
 }
 
-// connection uses one connection for some requests.
-func (c *soakCaller) connection(stop <-chan struct{}) {
+// useConnection uses one connection for some requests.
+func (c *soakCaller) useConnection(stop <-chan struct{}) {
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		return
@@ -346,43 +346,43 @@
 	var batch []*sentRequest
 	var text strings.Builder
 	for i := range count {
-		q := &sentRequest{id: fmt.Sprintf("c%d-%d", c.number, c.next), class: []string{"read", "book", "pay"}[c.random.IntN(3)], first: first && i == 0}
-		c.next++
+		q := &sentRequest{id: fmt.Sprintf("c%d-%d", c.number, c.nextID), class: []string{"read", "book", "pay"}[c.random.IntN(3)], firstOnConn: first && i == 0}
+		c.nextID++
 		batch = append(batch, q)
-		text.WriteString(c.text(q))
+		text.WriteString(c.requestText(q))
 	}
-	if !c.write(conn, text.String()) {
+	if !c.writeInPieces(conn, text.String()) {
 		return false // it was not sent whole, so that nothing is owed
 	}
 	now := time.Now()
 	for _, q := range batch {
-		q.sent = now
+		q.sentAt = now
 	}
-	c.rec.mu.Lock()
-	c.rec.requests = append(c.rec.requests, batch...)
-	c.rec.mu.Unlock()
+	c.observed.mu.Lock()
+	c.observed.sent = append(c.observed.sent, batch...)
+	c.observed.mu.Unlock()
 	if c.random.IntN(15) == 0 {
-		c.leave(conn, batch)
+		c.disconnect(conn, batch)
 		return false
 	}
 	for i, q := range batch {
-		conn.SetReadDeadline(time.Now().Add(patience))
-		status, body, closes, err := readAnswer(in)
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
+		status, body, closes, err := readResponse(in)
 		at := time.Now()
-		c.rec.mu.Lock()
+		c.observed.mu.Lock()
 		if err != nil {
 			for _, lost := range batch[i:] {
-				lost.closed, lost.closedAt = err, at
+				lost.closeErr, lost.closedAt = err, at
 			}
 		} else {
-			q.status, q.body, q.answered = status, body, at
+			q.status, q.body, q.respondedAt = status, body, at
 		}
 		if err == nil && closes { // what follows was not taken, and its caller may send it again
 			for _, rest := range batch[i+1:] {
-				rest.closed, rest.closedAt, rest.first = errors.New("an answer that ends the connection"), at, false
+				rest.closeErr, rest.closedAt, rest.firstOnConn = errors.New("an answer that ends the connection"), at, false
 			}
 		}
-		c.rec.mu.Unlock()
+		c.observed.mu.Unlock()
 		if err != nil || closes {
 			return false
 		}
@@ -390,8 +390,8 @@
 	return true
 }
 
-// idleCaller holds a connection open on which it says nothing, and another once that is closed.
-func idleCaller(addr string, stop <-chan struct{}) {
+// runIdleCaller holds a connection open on which it says nothing, and another once that is closed.
+func runIdleCaller(addr string, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -402,15 +402,15 @@
 		if err != nil {
 			continue
 		}
-		conn.SetReadDeadline(time.Now().Add(soakLength))
+		conn.SetReadDeadline(time.Now().Add(soakDuration))
 		conn.Read(make([]byte, 1))
 		conn.Close()
 	}
 }
 
-// text is a request as it goes over the wire, in one of the forms that the protocol allows.
-func (c *soakCaller) text(q *sentRequest) string {
-	head := fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: %dm\r\n", q.id, q.class, c.rec.deadline.Milliseconds())
+// requestText is a request as it goes over the wire, in one of the forms that the protocol allows.
+func (c *soakCaller) requestText(q *sentRequest) string {
+	head := fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: %dm\r\n", q.id, q.class, c.observed.deadline.Milliseconds())
 	switch q.class {
 	case "read":
 		return strings.Replace(head, "POST", "GET", 1) + "\r\n"
@@ -423,8 +423,8 @@
 	return head + "Content-Length: 4\r\n\r\nbody"
 }
 
-// write writes a text, at times in pieces.
-func (c *soakCaller) write(conn net.Conn, text string) bool {
+// writeInPieces writes a text, at times in pieces.
+func (c *soakCaller) writeInPieces(conn net.Conn, text string) bool {
 	pieces := 1
 	if c.random.IntN(5) == 0 {
 		pieces = 4
@@ -441,8 +441,8 @@
 	return true
 }
 
-// leave leaves in one of the ways in which callers do.
-func (c *soakCaller) leave(conn *net.TCPConn, batch []*sentRequest) {
+// disconnect leaves in one of the ways in which callers do.
+func (c *soakCaller) disconnect(conn *net.TCPConn, batch []*sentRequest) {
 	time.Sleep(time.Duration(c.random.IntN(30)) * time.Millisecond)
 	switch c.random.IntN(3) {
 	case 0:
@@ -454,15 +454,15 @@
 		conn.Close()
 	}
 	at := time.Now()
-	c.rec.mu.Lock()
+	c.observed.mu.Lock()
 	for _, q := range batch {
-		q.left = at
+		q.disconnectedAt = at
 	}
-	c.rec.mu.Unlock()
+	c.observed.mu.Unlock()
 }
 
-// readAnswer reads one final answer.
-func readAnswer(in *bufio.Reader) (status int, body string, closes bool, err error) {
+// readResponse reads one final answer.
+func readResponse(in *bufio.Reader) (status int, body string, closes bool, err error) {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return 0, "", false, err
@@ -472,12 +472,12 @@
 	return resp.StatusCode, string(text), resp.Close, err
 }
 
-// playSoak plays one seed and returns what broke, and how many requests were sent and served.
-func playSoak(t *testing.T, seed uint64) (breaks []string, sent, served int, log string) {
+// runSoak plays one seed and returns what broke, and how many requests were sent and served.
+func runSoak(t *testing.T, seed uint64) (breaks []string, sent, served int, log string) {
 	t.Helper()
 	random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 	deadline := soakDeadlines[seed%uint64(len(soakDeadlines))]
-	rec := &records{drained: make(map[string]time.Time), deadline: deadline}
+	rec := &observations{drainedAt: make(map[string]time.Time), deadline: deadline}
 	d, err := fake.NewDiscovery("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
@@ -486,16 +486,16 @@
 	var servers []discovery.Instance
 	for i := range soakServers {
 		s := newSoakServer(t, fmt.Sprint("s-", i), rec, random(uint64(1000+i)))
-		servers = append(servers, discovery.Instance{ID: s.name, HostPort: s.l.Addr().String(), Zone: "a", Lifecycle: "up"})
+		servers = append(servers, discovery.Instance{ID: s.name, HostPort: s.listener.Addr().String(), Zone: "a", Lifecycle: "up"})
 	}
 	d.Update(servers...)
 	addr := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "settings.toml")
-	rec.crowd = seed%crowdEvery == 0
+	rec.crowded = seed%crowdSeedInterval == 0
 	text := fmt.Sprintf("schema = 1\n[application]\nname = \"soak\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s", addr, d.Addr(),
 		fmt.Sprintf(soakSettings, deadline*2/3, deadline))
-	if rec.crowd {
-		text += fmt.Sprintf("[callers]\nconnections = %d\n", crowdRoom)
+	if rec.crowded {
+		text += fmt.Sprintf("[callers]\nconnections = %d\n", crowdConnectionLimit)
 	}
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -503,31 +503,31 @@
 	cmd, output := startProgram(t, addr, []string{"PROXY_CONFIG="}, "-settings", path, "-log-level", "debug")
 	began, stop := time.Now(), make(chan struct{})
 	var callers sync.WaitGroup
-	callers.Go(func() { rec.watchClock(stop) })
+	callers.Go(func() { rec.measureWakeupDelay(stop) })
 	for i := range soakCallers {
-		c := &soakCaller{number: i, addr: addr, rec: rec, random: random(uint64(i))}
+		c := &soakCaller{number: i, addr: addr, observed: rec, random: random(uint64(i))}
 		callers.Go(func() { c.run(stop) })
 	}
-	if rec.crowd {
-		for range crowdCaller {
-			callers.Go(func() { idleCaller(addr, stop) })
+	if rec.crowded {
+		for range crowdIdleCallers {
+			callers.Go(func() { runIdleCaller(addr, stop) })
 		}
 	}
 	plan := random(1 << 32)
 	draining := servers[plan.IntN(len(servers))]
 	draining.Lifecycle = "draining"
-	time.Sleep(soakLength / 4)
+	time.Sleep(soakDuration / 4)
 	d.Update(draining)
 	rec.mu.Lock()
-	rec.drained[draining.ID] = time.Now()
+	rec.drainedAt[draining.ID] = time.Now()
 	rec.mu.Unlock()
 	for range 3 { // a series of SIGHUP
-		time.Sleep(time.Duration(plan.Int64N(int64(soakLength / 4))))
+		time.Sleep(time.Duration(plan.Int64N(int64(soakDuration / 4))))
 		cmd.Process.Signal(syscall.SIGHUP)
 	}
-	time.Sleep(time.Until(began.Add(soakLength)))
+	time.Sleep(time.Until(began.Add(soakDuration)))
 	rec.mu.Lock()
-	rec.term = time.Now()
+	rec.sigtermAt = time.Now()
 	rec.mu.Unlock()
 	cmd.Process.Signal(syscall.SIGTERM)
 	ended := make(chan error, 1)
@@ -545,25 +545,25 @@
 	callers.Wait()
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	for _, q := range rec.requests {
+	for _, q := range rec.sent {
 		sent++
 		if q.status == http.StatusOK {
 			served++
 		}
 	}
-	return append(breaks, rec.judge()...), sent, served, output.String()
+	return append(breaks, rec.violations()...), sent, served, output.String()
 }
 
-func TestSoakOfSignalsLeavesAndFaultyServersKeepsTheRules(t *testing.T) {
+func TestSoakWithSignalsDisconnectsAndFaultyServers(t *testing.T) {
 	seeds, err := strconv.Atoi(cmp.Or(os.Getenv(seedsVariable), strconv.Itoa(defaultSeeds)))
 	if err != nil {
 		t.Fatalf("%s: %v", seedsVariable, err)
 	}
 	for seed := range uint64(seeds) {
-		breaks, sent, served, log := playSoak(t, seed+1)
+		breaks, sent, served, log := runSoak(t, seed+1)
 		t.Logf("seed %d: %d requests, %d served, %d breaks", seed+1, sent, served, len(breaks))
 		least := sent / 2 // one that refuses all keeps the rules too
-		if (seed+1)%crowdEvery == 0 {
+		if (seed+1)%crowdSeedInterval == 0 {
 			least = sent / 5
 		}
 		if served < least {
@@ -571,13 +571,13 @@
 		}
 		for _, b := range breaks {
 			id, _, _ := strings.Cut(b, " ")
-			t.Errorf("seed %d: %s\n%s", seed+1, b, linesOf(log, "request="+id+" "))
+			t.Errorf("seed %d: %s\n%s", seed+1, b, linesContaining(log, "request="+id+" "))
 		}
 	}
 }
 
-// linesOf are the lines of a log that hold a text.
-func linesOf(log, text string) string {
+// linesContaining are the lines of a log that hold a text.
+func linesContaining(log, text string) string {
 	var b strings.Builder
 	for line := range strings.Lines(log) {
 		if strings.Contains(line, text) {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -26,24 +26,24 @@
 	// CallerDisconnected tells whether the caller has gone, nil where it can't be asked. Any goroutine may call it.
 	CallerDisconnected func() bool
 
-	engine *Engine
-	last   time.Duration // Until on the module's clock
+	engine        *Engine
+	clockDeadline time.Duration // Until on the module's clock
 
 	// Under Engine.mu.
-	answered bool
-	final    FinalResult
-	attempts []*attempt
-	out      int
-	next     *attempt // for its goroutine to carry
-	inline   *attempt // that it carries
-	waiting  bool     // its goroutine waits for wake
-	flowing  *attempt // whose answer flows
-	gate     retry.CompletionGate
-
-	wake  chan struct{}
-	timer *time.Timer
-	first attempt // most calls need no other
-	few   [2]*attempt
+	finished         bool
+	final            FinalResult
+	attempts         []*attempt
+	attemptsInFlight int
+	pendingAttempt   *attempt // for its goroutine to carry
+	inlineAttempt    *attempt // that it carries
+	waitingForWake   bool     // its goroutine waits for wake
+	streamingAttempt *attempt // whose answer flows
+	completionGate   retry.CompletionGate
+
+	wake          chan struct{}
+	deadlineTimer *time.Timer
+	firstAttempt  attempt // most calls need no other
+	attemptsBuf   [2]*attempt
 }
 
 // FinalResult is a final answer: served, refused, or neither: failed.
@@ -57,21 +57,21 @@
 // attempt is one sending of a call.
 type attempt struct {
 	upstream.Exchange
-	call     *Call
-	n        int
-	id       balance.EndpointID
-	endpoint *endpoint
-	slot     int           // in endpoint.out
-	began    time.Duration // on the module's clock
-	took     time.Duration // until its answer began to flow, 0 for not yet
+	call               *Call
+	index              int
+	endpointID         balance.EndpointID
+	endpoint           *endpoint
+	inFlightIndex      int           // in endpoint.out
+	startedAt          time.Duration // on the module's clock
+	streamStartElapsed time.Duration // until its answer began to flow, 0 for not yet
 }
 
 // NewCall returns a call to be filled in. Done is owed.
 func (e *Engine) NewCall() *Call {
-	c, ok := e.spent.Get().(*Call)
+	c, ok := e.callPool.Get().(*Call)
 	if !ok {
-		c = &Call{wake: make(chan struct{}, 1), timer: time.NewTimer(time.Hour)}
-		c.timer.Stop()
+		c = &Call{wake: make(chan struct{}, 1), deadlineTimer: time.NewTimer(time.Hour)}
+		c.deadlineTimer.Stop()
 	}
 	c.engine = e
 	return c
@@ -80,15 +80,15 @@
 // ReleaseCall takes a call back whose final answer, if it has one, has been passed on. One that flows
 // ends here, if it has not ended.
 func (e *Engine) ReleaseCall(c *Call) {
-	if x := c.flowing; x != nil {
+	if x := c.streamingAttempt; x != nil {
 		x.AbortStream()
-		e.ended(x)
+		e.attemptEnded(x)
 	}
 	if c.final.ServedBy != nil {
 		c.final.ServedBy.Release()
 	}
 	e.mu.Lock()
-	out := c.out
+	out := c.attemptsInFlight
 	e.mu.Unlock()
 	if out > 0 {
 		return // its attempts still point to it
@@ -98,11 +98,11 @@
 	default:
 	}
 	c.Request, c.CallerRequestID, c.Head, c.Body, c.Deadline = balance.Request{}, "", nil, nil, time.Time{}
-	c.StreamedBody, c.StreamedBodyLength, c.flowing, c.CallerDisconnected = nil, 0, nil, nil
-	c.engine, c.answered, c.final, c.next, c.inline, c.waiting = nil, false, FinalResult{}, nil, nil, false
-	c.attempts, c.few = nil, [2]*attempt{}
-	c.first.call, c.first.endpoint = nil, nil
-	e.spent.Put(c)
+	c.StreamedBody, c.StreamedBodyLength, c.streamingAttempt, c.CallerDisconnected = nil, 0, nil, nil
+	c.engine, c.finished, c.final, c.pendingAttempt, c.inlineAttempt, c.waitingForWake = nil, false, FinalResult{}, nil, nil, false
+	c.attempts, c.attemptsBuf = nil, [2]*attempt{}
+	c.firstAttempt.call, c.firstAttempt.endpoint = nil, nil
+	e.callPool.Put(c)
 }
 
 // cancelIfDisconnected is asked right before an attempt goes out.
@@ -120,10 +120,10 @@
 // Serve hands a call to the balancer and returns its final answer. gone tells that the caller
 // has gone by now; Leave tells it later.
 func (e *Engine) Serve(c *Call, gone bool) FinalResult {
-	x, answered := e.begin(c, gone)
+	x, answered := e.startCall(c, gone)
 	for !answered {
 		if x == nil {
-			x, answered = e.wait(c)
+			x, answered = e.waitForAttempt(c)
 			continue
 		}
 		p := upstream.NeedsConnection
@@ -133,15 +133,15 @@
 		it := x
 		switch p {
 		case upstream.Ended:
-			x, answered = e.ended(x)
+			x, answered = e.attemptEnded(x)
 		case upstream.Streaming:
-			x, answered = e.flow(x)
+			x, answered = e.responseStarted(x)
 		case upstream.NeedsConnection: // a connection that has to come up is waited for elsewhere
-			x, answered = e.free(c)
-			go e.carry(it)
+			x, answered = e.nextAttempt(c)
+			go e.runAttempt(it)
 		case upstream.Interrupted: // there is an answer, and this attempt is to go on beside it
-			x, answered = e.free(c)
-			go e.goOn(it)
+			x, answered = e.nextAttempt(c)
+			go e.resumeAttempt(it)
 		}
 	}
 	e.mu.Lock()
@@ -149,59 +149,59 @@
 	return c.final
 }
 
-// begin hands a call to the balancer. It returns the attempt to carry, or nil for none yet, and
+// startCall hands a call to the balancer. It returns the attempt to carry, or nil for none yet, and
 // whether the call has been answered.
-func (e *Engine) begin(c *Call, gone bool) (next *attempt, answered bool) {
+func (e *Engine) startCall(c *Call, gone bool) (next *attempt, answered bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock() // the door outlives a panic, which must not leave the lock taken
-	if gone || c.answered {
-		c.answered = true
+	if gone || c.finished {
+		c.finished = true
 		return nil, true
 	}
 	if left := c.Deadline.Sub(e.shutdownDeadline); !e.shutdownDeadline.IsZero() && left > 0 {
 		c.Deadline = e.shutdownDeadline
 		c.Timeout -= left
 	}
-	c.attempts = c.few[:0]
-	c.last = e.epoch + c.Deadline.Sub(e.origin)
+	c.attempts = c.attemptsBuf[:0]
+	c.clockDeadline = e.clockEpoch + c.Deadline.Sub(e.clockOrigin)
 	if c.StreamedBody != nil {
 		k := &e.cfg.BalancerConfig.Classes[c.Class]
-		c.gate.Reset(k.Semantics, k.RepeatWindow)
+		c.completionGate.Reset(k.Semantics, k.RepeatWindow)
 	}
-	e.last++
-	c.ID = e.last
+	e.lastRequestID++
+	c.ID = e.lastRequestID
 	e.calls[c.ID] = c
-	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
+	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
 		return e.balancer.RequestArrived(now, c.Request, acts)
 	})
-	return e.poll(c)
+	return e.nextAttemptLocked(c)
 }
 
-// poll returns what the goroutine of a call is to do next. It holds the lock.
-func (e *Engine) poll(c *Call) (next *attempt, answered bool) {
-	c.inline = c.next
-	c.next = nil
-	c.waiting = c.inline == nil && !c.answered
-	return c.inline, c.answered
+// nextAttemptLocked returns what the goroutine of a call is to do next. It holds the lock.
+func (e *Engine) nextAttemptLocked(c *Call) (next *attempt, answered bool) {
+	c.inlineAttempt = c.pendingAttempt
+	c.pendingAttempt = nil
+	c.waitingForWake = c.inlineAttempt == nil && !c.finished
+	return c.inlineAttempt, c.finished
 }
 
-// free has the goroutine of a call carry nothing any more.
-func (e *Engine) free(c *Call) (next *attempt, answered bool) {
+// nextAttempt has the goroutine of a call carry nothing any more.
+func (e *Engine) nextAttempt(c *Call) (next *attempt, answered bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.poll(c)
+	return e.nextAttemptLocked(c)
 }
 
-// wait waits for something to do, or until the caller's time is up: then the call has failed.
-func (e *Engine) wait(c *Call) (next *attempt, answered bool) {
-	c.timer.Reset(time.Until(c.Deadline))
+// waitForAttempt waits for something to do, or until the caller's time is up: then the call has failed.
+func (e *Engine) waitForAttempt(c *Call) (next *attempt, answered bool) {
+	c.deadlineTimer.Reset(time.Until(c.Deadline))
 	select {
 	case <-c.wake:
-		c.timer.Stop()
-	case <-c.timer.C:
+		c.deadlineTimer.Stop()
+	case <-c.deadlineTimer.C:
 		e.abandon(c, "its time is up")
 	}
-	return e.free(c)
+	return e.nextAttempt(c)
 }
 
 // abandon ends a call whose caller has gone or whose time is up, unless it has its answer.
@@ -213,75 +213,75 @@
 
 // abandonLocked is abandon for a caller that holds the lock.
 func (e *Engine) abandonLocked(c *Call, why string) {
-	if c.answered {
+	if c.finished {
 		return
 	}
 	if c.ID == 0 { // it has not begun, and won't
-		c.answered = true
+		c.finished = true
 		return
 	}
-	e.answer(c, FinalResult{}, why)
-	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
+	e.finishCall(c, FinalResult{}, why)
+	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
 		return e.balancer.RequestAbandoned(now, c.ID, acts)
 	})
 }
 
-// answer gives a call its final answer, unless it has one. What waits to go out does not go
+// finishCall gives a call its final answer, unless it has one. What waits to go out does not go
 // out any more.
-func (e *Engine) answer(c *Call, f FinalResult, decidedBy string) {
-	if c == nil || c.answered {
+func (e *Engine) finishCall(c *Call, f FinalResult, decidedBy string) {
+	if c == nil || c.finished {
 		return
 	}
-	logAnswer(c, &f, decidedBy)
-	c.answered, c.final = true, f
+	logFinalResult(c, &f, decidedBy)
+	c.finished, c.final = true, f
 	for _, x := range c.attempts {
 		x.CancelUnsent()
 	}
-	if x := c.next; x != nil {
-		c.next = nil
-		go e.carry(x)
+	if x := c.pendingAttempt; x != nil {
+		c.pendingAttempt = nil
+		go e.runAttempt(x)
 	}
-	if c.inline != nil {
-		c.inline.Interrupt()
+	if c.inlineAttempt != nil {
+		c.inlineAttempt.Interrupt()
 	}
-	e.rouse(c)
-	e.forget(c)
+	e.wakeCall(c)
+	e.dropCallIfDone(c)
 }
 
-// rouse has the goroutine of a call look for what to do, if it waits.
-func (e *Engine) rouse(c *Call) {
-	if c.waiting {
-		c.waiting = false
+// wakeCall has the goroutine of a call look for what to do, if it waits.
+func (e *Engine) wakeCall(c *Call) {
+	if c.waitingForWake {
+		c.waitingForWake = false
 		c.wake <- struct{}{}
 	}
 }
 
-// forget drops a call that nothing more can come of.
-func (e *Engine) forget(c *Call) {
-	if c.answered && c.out == 0 {
+// dropCallIfDone drops a call that nothing more can come of.
+func (e *Engine) dropCallIfDone(c *Call) {
+	if c.finished && c.attemptsInFlight == 0 {
 		delete(e.calls, c.ID)
 	}
 }
 
-// send starts an attempt.
-func (e *Engine) send(a *balance.Action) {
+// startAttempt starts an attempt.
+func (e *Engine) startAttempt(a *balance.Action) {
 	c, to := e.calls[a.Request], e.endpoints[a.Endpoint]
 	if c == nil || to == nil {
 		return
 	}
-	x := &c.first
+	x := &c.firstAttempt
 	if len(c.attempts) > 0 {
 		x = new(attempt)
 	}
-	x.call, x.n, x.id, x.endpoint, x.began, x.took = c, len(c.attempts), a.Endpoint, to, e.at, 0
+	x.call, x.index, x.endpointID, x.endpoint, x.startedAt, x.streamStartElapsed = c, len(c.attempts), a.Endpoint, to, e.eventTime, 0
 	c.attempts = append(c.attempts, x)
-	c.out++
-	to.uses++
-	x.slot = len(to.out)
-	to.out = append(to.out, x)
-	until := min(a.Deadline, c.last)
-	x.Prepare(e.pool, to.route, e.on(until), func(b []byte) ([]byte, int) {
-		if c.answered {
+	c.attemptsInFlight++
+	to.inFlightCount++
+	x.inFlightIndex = len(to.inFlightAttempts)
+	to.inFlightAttempts = append(to.inFlightAttempts, x)
+	until := min(a.Deadline, c.clockDeadline)
+	x.Prepare(e.pool, to.route, e.toTime(until), func(b []byte) ([]byte, int) {
+		if c.finished {
 			return b, 0
 		}
 		return appendRequest(b, c)
@@ -290,150 +290,150 @@
 		x.SkipSendIf(c.cancelIfDisconnected)
 	}
 	if a.StartDeadline > 0 {
-		x.SetStartDeadline(e.on(a.StartDeadline))
+		x.SetStartDeadline(e.toTime(a.StartDeadline))
 	}
 	if c.StreamedBody != nil {
-		n := x.n
-		x.SetStreamedBody(c.StreamedBody, c.StreamedBodyLength, func() bool { return c.gate.TryComplete(n, e.now()) })
+		n := x.index
+		x.SetStreamedBody(c.StreamedBody, c.StreamedBodyLength, func() bool { return c.completionGate.TryComplete(n, e.now()) })
 	}
-	logSend(x)
+	logAttemptStart(x)
 	switch {
-	case c.answered || to.left:
+	case c.finished || to.outOfService:
 		x.CancelUnsent()
-		go e.carry(x)
+		go e.runAttempt(x)
 	case c.StreamedBody != nil: // its caller's goroutine waits for what comes first
-		go e.carry(x)
-	case c.next == nil && c.inline == nil:
-		c.next = x
-		e.rouse(c)
+		go e.runAttempt(x)
+	case c.pendingAttempt == nil && c.inlineAttempt == nil:
+		c.pendingAttempt = x
+		e.wakeCall(c)
 	default:
-		go e.carry(x)
+		go e.runAttempt(x)
 	}
 }
 
-// carry carries an attempt in a goroutine of its own.
-func (e *Engine) carry(x *attempt) {
+// runAttempt carries an attempt in a goroutine of its own.
+func (e *Engine) runAttempt(x *attempt) {
 	if x.ConnectAndRun() {
-		e.flow(x)
+		e.responseStarted(x)
 	} else {
-		e.ended(x)
+		e.attemptEnded(x)
 	}
 }
 
-// goOn goes on with an attempt that was interrupted.
-func (e *Engine) goOn(x *attempt) {
+// resumeAttempt goes on with an attempt that was interrupted.
+func (e *Engine) resumeAttempt(x *attempt) {
 	p := x.Run()
 	for p == upstream.Interrupted {
 		p = x.Run()
 	}
 	if p == upstream.Streaming {
-		e.flow(x)
+		e.responseStarted(x)
 	} else {
-		e.ended(x)
+		e.attemptEnded(x)
 	}
 }
 
-// flow takes an answer that has begun and is passed on as it comes: it is the call's, and there
+// responseStarted takes an answer that has begun and is passed on as it comes: it is the call's, and there
 // is no other from now on. Whoever serves the call carries it on.
-func (e *Engine) flow(x *attempt) (next *attempt, answered bool) {
+func (e *Engine) responseStarted(x *attempt) (next *attempt, answered bool) {
 	e.mu.Lock()
 	c := x.call
-	if c.answered {
+	if c.finished {
 		e.mu.Unlock()
 		x.AbortStream()
-		return e.ended(x)
+		return e.attemptEnded(x)
 	}
 	defer e.mu.Unlock()
-	if c.inline == x {
-		c.inline = nil
+	if c.inlineAttempt == x {
+		c.inlineAttempt = nil
 	}
 	now := e.now()
-	x.took = e.elapsed(x, now)
+	x.streamStartElapsed = e.elapsed(x, now)
 	x.ExtendDeadline(c.Deadline)
-	c.flowing = x
-	e.answer(c, FinalResult{ServedBy: &x.Exchange, Streaming: true}, "an attempt")
-	e.eventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.ResponseStarted(now, c.ID, x.n, acts)
+	c.streamingAttempt = x
+	e.finishCall(c, FinalResult{ServedBy: &x.Exchange, Streaming: true}, "an attempt")
+	e.handleEventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
+		return e.balancer.ResponseStarted(now, c.ID, x.index, acts)
 	})
-	return e.poll(c)
+	return e.nextAttemptLocked(c)
 }
 
 // elapsed is how long an endpoint has taken over an attempt. While its request's body was still
 // arriving it waited for the caller.
 func (e *Engine) elapsed(x *attempt, now time.Duration) time.Duration {
-	if x.took > 0 {
-		return x.took
+	if x.streamStartElapsed > 0 {
+		return x.streamStartElapsed
 	}
-	began := x.began
+	began := x.startedAt
 	if x.call.StreamedBody != nil {
 		if at := x.BodySentAt(); !at.IsZero() {
-			began = max(began, e.epoch+at.Sub(e.origin))
+			began = max(began, e.clockEpoch+at.Sub(e.clockOrigin))
 		}
 	}
 	return max(now-began, 1)
 }
 
 // MarkBodyComplete tells that the body of a call has come whole that was still arriving.
-func (c *Call) MarkBodyComplete() { c.engine.arrived(c, balance.BodyComplete) }
+func (c *Call) MarkBodyComplete() { c.engine.bodyStateChanged(c, balance.BodyComplete) }
 
 // MarkBodyUnavailable tells that it is kept no longer: no further attempt can have it.
-func (c *Call) MarkBodyUnavailable() { c.engine.arrived(c, balance.BodyUnavailable) }
+func (c *Call) MarkBodyUnavailable() { c.engine.bodyStateChanged(c, balance.BodyUnavailable) }
 
-func (e *Engine) arrived(c *Call, s balance.BodyState) {
+func (e *Engine) bodyStateChanged(c *Call, s balance.BodyState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if c.answered {
+	if c.finished {
 		return
 	}
 	if c.ID == 0 { // it has not begun
 		c.BodyArriving = c.BodyArriving && s != balance.BodyComplete
 		return
 	}
-	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
+	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
 		return e.balancer.BodyStateChanged(now, c.ID, s, acts)
 	})
 }
 
-// ended takes what came of an attempt, and returns what the goroutine of the call is to do if
+// attemptEnded takes what came of an attempt, and returns what the goroutine of the call is to do if
 // that has carried it. The first OK is the call's answer.
-func (e *Engine) ended(x *attempt) (next *attempt, answered bool) {
+func (e *Engine) attemptEnded(x *attempt) (next *attempt, answered bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	c := x.call
-	own := c.inline == x
+	own := c.inlineAttempt == x
 	if own {
-		c.inline = nil
+		c.inlineAttempt = nil
 	}
-	c.out--
+	c.attemptsInFlight--
 	result := x.Result()
 	if c.StreamedBody != nil && retry.NeverExecuted(result) {
-		c.gate.MarkNotExecuted(x.n)
+		c.completionGate.MarkNotExecuted(x.index)
 	}
 	if result == balance.OK {
-		if !c.answered {
-			e.answer(c, FinalResult{ServedBy: &x.Exchange}, "an attempt")
+		if !c.finished {
+			e.finishCall(c, FinalResult{ServedBy: &x.Exchange}, "an attempt")
 		} else {
 			x.Release()
 		}
 	}
 	now := e.now()
 	o := balance.Outcome{
-		Request: c.ID, Attempt: x.n, Endpoint: x.id, Result: result, RequestFinished: c.answered,
+		Request: c.ID, Attempt: x.index, Endpoint: x.endpointID, Result: result, RequestFinished: c.finished,
 		Elapsed: e.elapsed(x, now), Load: x.LoadReport(),
 	}
-	logEnd(x, &o)
-	e.eventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
+	logAttemptEnd(x, &o)
+	e.handleEventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
 		return e.balancer.AttemptEnded(now, o, acts)
 	})
-	e.forget(c)
+	e.dropCallIfDone(c)
 	to := x.endpoint
-	last := len(to.out) - 1
-	to.out[x.slot] = to.out[last]
-	to.out[x.slot].slot = x.slot
-	to.out[last], to.out = nil, to.out[:last]
-	e.unuse(x.id, to)
+	last := len(to.inFlightAttempts) - 1
+	to.inFlightAttempts[x.inFlightIndex] = to.inFlightAttempts[last]
+	to.inFlightAttempts[x.inFlightIndex].inFlightIndex = x.inFlightIndex
+	to.inFlightAttempts[last], to.inFlightAttempts = nil, to.inFlightAttempts[:last]
+	e.releaseEndpoint(x.endpointID, to)
 	if own {
-		return e.poll(c)
+		return e.nextAttemptLocked(c)
 	}
 	return nil, false
 }
--- a/internal/engine/call_test.go
+++ b/internal/engine/call_test.go
@@ -19,8 +19,8 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// patience is how long a test waits for what must happen: no verdict leans on it being short.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must happen: no verdict leans on it being short.
+const testTimeout = 20 * time.Second
 
 func newEngine(t *testing.T, known discovery.List) *Engine {
 	t.Helper()
@@ -43,8 +43,8 @@
 	return c
 }
 
-// settings reads an operators' file; the part that all need is added.
-func settings(t *testing.T, text string) *config.Settings {
+// parseSettings reads an operators' file; the part that all need is added.
+func parseSettings(t *testing.T, text string) *config.Settings {
 	t.Helper()
 	s, bad := config.ParseSettings("test", []byte("schema = 1\n[application]\nname = \"test\"\n"+text))
 	if len(bad) > 0 {
@@ -53,17 +53,17 @@
 	return s
 }
 
-func wait(t *testing.T, c <-chan struct{}, what string) {
+func waitFor(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(patience):
-		t.Fatalf("%s: not within %v", what, patience)
+	case <-time.After(testTimeout):
+		t.Fatalf("%s: not within %v", what, testTimeout)
 	}
 }
 
 // The probe goes to the path and is waited for as long as the file says.
-func TestProbeIsTheFiles(t *testing.T) {
+func TestProbeUsesPathAndTimeoutFromSettings(t *testing.T) {
 	paths := make(chan string, 1)
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		paths <- r.URL.Path
@@ -72,8 +72,8 @@
 		}
 		io.WriteString(w, "TEXT inflight=3, queue=0, util=0.5")
 	})
-	c := config.Merge(fake.NewConfig(t, discovery.List{}).Platform, settings(t, "[probe]\npath = \"/how-busy\"\ntime = \"10s\"\n"))
-	set := newLive(c.Settings)
+	c := config.Merge(fake.NewConfig(t, discovery.List{}).Platform, parseSettings(t, "[probe]\npath = \"/how-busy\"\ntime = \"10s\"\n"))
+	set := newCurrentSettings(c.Settings)
 	p, to := newPool(c, set), &upstream.Route{Addr: addr}
 	defer p.CloseIdleConnections(to, false)
 	probe := func() (balance.Result, *balance.Load) {
@@ -82,7 +82,7 @@
 	if got, load := probe(); <-paths != "/how-busy" || got != balance.OK || load.InFlight != 3 {
 		t.Errorf("%d %+v", got, load)
 	}
-	set.Store(settings(t, "[probe]\npath = \"/late\"\ntime = \"5ms\"\n"))
+	set.Store(parseSettings(t, "[probe]\npath = \"/late\"\ntime = \"5ms\"\n"))
 	if got, _ := probe(); <-paths != "/late" || got != balance.Timeout {
 		t.Errorf("%d", got)
 	}
@@ -96,14 +96,14 @@
 }
 
 // The heap of timers against a sorted list.
-func TestTimersModel(t *testing.T) {
+func TestTimerHeapMatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var h timers
+		var h timerHeap
 		var model []time.Duration
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				at := time.Duration(rapid.IntRange(0, 50).Draw(t, "at"))
-				h.push(due{at, balance.Timer{Ref: uint64(at)}})
+				h.push(scheduledTimer{at, balance.Timer{Ref: uint64(at)}})
 				model = append(model, at)
 				slices.Sort(model)
 			},
@@ -111,13 +111,13 @@
 				if len(model) == 0 {
 					t.Skip("none")
 				}
-				if got := h.pop(); got.at != model[0] || got.timer.Ref != uint64(got.at) {
+				if got := h.pop(); got.dueAt != model[0] || got.timer.Ref != uint64(got.dueAt) {
 					t.Fatalf("%v, want %v", got, model[0])
 				}
 				model = model[1:]
 			},
 			"": func(t *rapid.T) {
-				if len(h) != len(model) || len(h) > 0 && h[0].at != model[0] {
+				if len(h) != len(model) || len(h) > 0 && h[0].dueAt != model[0] {
 					t.Fatalf("%v, want %v", h, model)
 				}
 			},
@@ -125,10 +125,10 @@
 	})
 }
 
-// drained waits until an engine holds no call.
-func drained(t *testing.T, e *Engine) {
+// waitUntilDrained waits until an engine holds no call.
+func waitUntilDrained(t *testing.T, e *Engine) {
 	t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		s := e.Stats()
 		if s.OpenCalls == 0 && s.AttemptsInFlight == 0 {
 			return
@@ -141,7 +141,7 @@
 
 // A call whose goroutine carries an attempt is answered at once when another attempt, or the
 // balancer, has the answer; the attempt goes on elsewhere and leaves nothing behind.
-func TestAnswerBesideOwnAttempt(t *testing.T) {
+func TestServeReturnsWhileItsInlineAttemptContinues(t *testing.T) {
 	began, finish := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(finish) })
 	var first atomic.Bool
@@ -154,55 +154,55 @@
 		<-finish
 	})))
 	defer release() // before the node's end, which waits for its handlers
-	c := newCall(t, e, patience)
+	c := newCall(t, e, testTimeout)
 	if f := e.Serve(c, false); f.ServedBy == nil {
 		t.Fatalf("%+v", f)
 	}
 	e.ReleaseCall(c)
-	c = newCall(t, e, 10*patience) // its own end must not pass for the answer
+	c = newCall(t, e, 10*testTimeout) // its own end must not pass for the answer
 	finals := make(chan FinalResult, 1)
 	go func() { finals <- e.Serve(c, false) }()
-	wait(t, began, "attempt")
+	waitFor(t, began, "attempt")
 	e.mu.Lock()
-	if c.inline == nil {
+	if c.inlineAttempt == nil {
 		t.Error("the call's goroutine does not carry the attempt")
 	}
-	e.answer(c, FinalResult{Refused: true}, "the test")
+	e.finishCall(c, FinalResult{Refused: true}, "the test")
 	e.mu.Unlock()
 	select {
 	case f := <-finals:
 		if !f.Refused {
 			t.Errorf("%+v", f)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it waits for its own attempt")
 	}
 	e.ReleaseCall(c)
 	release()
-	drained(t, e)
+	waitUntilDrained(t, e)
 }
 
 // What has its answer before its first byte went out stays here.
-func TestNothingGoesOutOnceAnswered(t *testing.T) {
+func TestFinishedCallSendsNoAttempt(t *testing.T) {
 	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out") })))
-	c := newCall(t, e, patience)
-	x, answered := e.begin(c, false)
+	c := newCall(t, e, testTimeout)
+	x, answered := e.startCall(c, false)
 	if x == nil || answered {
 		t.Fatalf("%v %v: no attempt to carry", x, answered)
 	}
 	e.abandon(c, "the test") // its caller goes between the decision and the first byte
 	x.ConnectAndRun()
-	if _, answered := e.ended(x); !answered || x.Result() != balance.NotSent {
+	if _, answered := e.attemptEnded(x); !answered || x.Result() != balance.NotSent {
 		t.Errorf("answered %v, result %d", answered, x.Result())
 	}
-	drained(t, e)
+	waitUntilDrained(t, e)
 }
 
 // A call that is abandoned before the engine has it is never handed to the balancer.
-func TestGoneBeforeBegin(t *testing.T) {
+func TestServeSkipsBalancerForDisconnectedCaller(t *testing.T) {
 	e := newEngine(t, fake.EndpointList("127.0.0.1:1"))
 	for _, early := range []bool{false, true} {
-		c := newCall(t, e, patience)
+		c := newCall(t, e, testTimeout)
 		if early {
 			c.Cancel()
 		}
@@ -214,23 +214,23 @@
 }
 
 // A call that nobody takes fails when its caller's time is up, whatever the balancer does.
-func TestTimeIsUp(t *testing.T) {
+func TestCallFailsAtCallerDeadline(t *testing.T) {
 	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})))
-	c := newCall(t, e, patience)
+	c := newCall(t, e, testTimeout)
 	c.Deadline = time.Now().Add(50 * time.Millisecond) // sooner than the balancer is told
 	if f := e.Serve(c, false); f.ServedBy != nil || f.Refused {
 		t.Errorf("%+v", f)
 	}
 	e.ReleaseCall(c)
-	drained(t, e)
+	waitUntilDrained(t, e)
 }
 
 // What an endpoint has begun to read goes on as the endpoint drains; what has not gone out by
 // then goes to another.
-func TestDrainWhileOut(t *testing.T) {
+func TestAttemptInFlightCompletesWhileEndpointDrains(t *testing.T) {
 	began, finish := make(chan struct{}), make(chan struct{})
 	list := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -239,10 +239,10 @@
 		io.WriteString(w, "old")
 	}))
 	e := newEngine(t, list)
-	c := newCall(t, e, patience)
+	c := newCall(t, e, testTimeout)
 	finals := make(chan FinalResult, 1)
 	go func() { finals <- e.Serve(c, false) }()
-	wait(t, began, "attempt")
+	waitFor(t, began, "attempt")
 	list.Instances[0].Lifecycle = "draining"
 	e.UpdateEndpoints(&list)
 	close(finish)
@@ -250,5 +250,5 @@
 		t.Errorf("%+v", f)
 	}
 	e.ReleaseCall(c)
-	drained(t, e)
+	waitUntilDrained(t, e)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -23,43 +23,43 @@
 // Engine owns the balancer. Every event goes to it under one lock, and its
 // actions are started there in their order; none waits for I/O.
 type Engine struct {
-	origin             time.Time // of the module's clock, which read epoch then
-	epoch              time.Duration
+	clockOrigin        time.Time // of the module's clock, which read epoch then
+	clockEpoch         time.Duration
 	pool               *upstream.Pool
 	cfg                *config.Config
-	settings           *live
+	settings           *currentSettings
 	subscribeRequested chan struct{} // the module wants a watch
 	ready              atomic.Bool   // it knows of endpoints
-	spent              sync.Pool     // of *Call
+	callPool           sync.Pool     // of *Call
 
 	mu               sync.Mutex
 	balancer         *balance.Balancer
-	names            *names
+	ids              *idTable
 	endpoints        map[balance.EndpointID]*endpoint
 	calls            map[balance.RequestID]*Call
-	last             balance.RequestID
+	lastRequestID    balance.RequestID
 	actions          []balance.Action
-	at               time.Duration // of the event whose actions are carried out
-	timers           timers
-	clock            *time.Timer
-	armed            time.Duration // what the clock is set for, 0 for nothing
-	starts           starts
+	eventTime        time.Duration // of the event whose actions are carried out
+	pendingTimers    timerHeap
+	timer            *time.Timer
+	timerSetFor      time.Duration // what the clock is set for, 0 for nothing
+	startTimes       startTimeEstimator
 	shutdownDeadline time.Time // by which every call is answered, zero for no such time
 }
 
 // endpoint is where an endpoint is reached.
 type endpoint struct {
-	route   *upstream.Route
-	name    string
-	started time.Duration // on the module's clock, 0 for long ago
+	route     *upstream.Route
+	name      string
+	startedAt time.Duration // on the module's clock, 0 for long ago
 
-	// reported is what lists tell of that, in Unix time.
-	reported time.Duration
-	closed   bool // its route keeps no connections
-	left     bool // it drains or is gone
-	gone     bool
-	uses     int // attempts and probes that are out
-	out      []*attempt
+	// reportedStart is what lists tell of that, in Unix time.
+	reportedStart    time.Duration
+	routeClosed      bool // its route keeps no connections
+	outOfService     bool // it drains or is gone
+	removed          bool
+	inFlightCount    int // attempts and probes that are out
+	inFlightAttempts []*attempt
 }
 
 // New returns an Engine that knows the list in its configuration.
@@ -68,23 +68,23 @@
 	if err != nil {
 		return nil, err
 	}
-	settings := newLive(c.Settings)
+	settings := newCurrentSettings(c.Settings)
 	e := &Engine{
-		origin: time.Now(), pool: newPool(c, settings), cfg: c, settings: settings,
+		clockOrigin: time.Now(), pool: newPool(c, settings), cfg: c, settings: settings,
 		subscribeRequested: make(chan struct{}, 1),
-		balancer:           b, names: newNames(c.Zones),
+		balancer:           b, ids: newIDTable(c.Zones),
 		endpoints: make(map[balance.EndpointID]*endpoint),
 		calls:     make(map[balance.RequestID]*Call),
 	}
 	// The module's clock goes on from Unix time without steps, so that the time an
 	// endpoint started needs no conversion and is the same in every list.
-	e.epoch = time.Duration(e.origin.UnixNano())
-	e.update(balance.ListLastKnown, &c.KnownEndpoints)
+	e.clockEpoch = time.Duration(e.clockOrigin.UnixNano())
+	e.applyList(balance.ListLastKnown, &c.KnownEndpoints)
 	return e, nil
 }
 
 // newPool returns the pool of a sidecar.
-func newPool(c *config.Config, settings *live) *upstream.Pool {
+func newPool(c *config.Config, settings *currentSettings) *upstream.Pool {
 	keep := c.KeepAliveTimeout()
 	return upstream.NewPool(upstream.Config{
 		MaxConnections: c.MaxEndpointConnections(), ConnectTimeout: c.ConnectTimeout(),
@@ -117,45 +117,45 @@
 }
 
 // now is the time on the module's clock.
-func (e *Engine) now() time.Duration { return e.epoch + time.Since(e.origin) }
+func (e *Engine) now() time.Duration { return e.clockEpoch + time.Since(e.clockOrigin) }
 
-// on is a time of the module's clock.
-func (e *Engine) on(t time.Duration) time.Time { return e.origin.Add(t - e.epoch) }
+// toTime is a time of the module's clock.
+func (e *Engine) toTime(t time.Duration) time.Time { return e.clockOrigin.Add(t - e.clockEpoch) }
 
-// event gives the balancer an event and starts its actions.
-func (e *Engine) event(f func(now time.Duration, acts []balance.Action) []balance.Action) {
-	e.eventAt(e.now(), f)
+// handleEvent gives the balancer an event and starts its actions.
+func (e *Engine) handleEvent(f func(now time.Duration, acts []balance.Action) []balance.Action) {
+	e.handleEventAt(e.now(), f)
 }
 
-// eventAt is event where the time is known.
-func (e *Engine) eventAt(now time.Duration, f func(now time.Duration, acts []balance.Action) []balance.Action) {
-	e.at = now
+// handleEventAt is event where the time is known.
+func (e *Engine) handleEventAt(now time.Duration, f func(now time.Duration, acts []balance.Action) []balance.Action) {
+	e.eventTime = now
 	e.actions = f(now, e.actions[:0])
 	for i := range e.actions {
-		e.act(&e.actions[i])
+		e.execute(&e.actions[i])
 	}
-	e.arm()
+	e.setTimer()
 }
 
-func (e *Engine) act(a *balance.Action) {
+func (e *Engine) execute(a *balance.Action) {
 	switch a.Kind {
 	case balance.Send:
-		e.send(a)
+		e.startAttempt(a)
 	case balance.Cancel:
 		if c := e.calls[a.Request]; c != nil && a.Attempt < len(c.attempts) {
 			c.attempts[a.Attempt].Cancel(upstream.ErrCanceled)
 		}
 	case balance.Shed:
-		e.answer(e.calls[a.Request], FinalResult{Refused: true, RetryAfter: a.Delay}, "the balancer")
+		e.finishCall(e.calls[a.Request], FinalResult{Refused: true, RetryAfter: a.Delay}, "the balancer")
 	case balance.Fail:
-		e.answer(e.calls[a.Request], FinalResult{}, "the balancer")
+		e.finishCall(e.calls[a.Request], FinalResult{}, "the balancer")
 	case balance.SetTimer:
-		e.timers.push(due{e.at + a.Delay, a.Timer})
+		e.pendingTimers.push(scheduledTimer{e.eventTime + a.Delay, a.Timer})
 	case balance.Probe:
-		e.probe(a.Endpoint)
+		e.startProbe(a.Endpoint)
 	case balance.CloseIdle:
 		if to := e.endpoints[a.Endpoint]; to != nil {
-			e.pool.CloseIdleConnections(to.route, !to.left)
+			e.pool.CloseIdleConnections(to.route, !to.outOfService)
 		}
 	case balance.Subscribe:
 		select {
@@ -165,14 +165,14 @@
 	}
 }
 
-// probe starts a probe. Nothing new goes to an endpoint that has left, not even that.
-func (e *Engine) probe(id balance.EndpointID) {
+// startProbe starts a probe. Nothing new goes to an endpoint that has left, not even that.
+func (e *Engine) startProbe(id balance.EndpointID) {
 	to := e.endpoints[id]
 	if to == nil {
 		return
 	}
-	to.uses++
-	way, left := to.route, to.left
+	to.inFlightCount++
+	way, left := to.route, to.outOfService
 	go func() {
 		result, load := balance.NotSent, (*balance.Load)(nil)
 		if !left {
@@ -181,24 +181,24 @@
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
+		e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
 			return e.balancer.ProbeEnded(now, id, result, load, acts)
 		})
-		e.unuse(id, to)
+		e.releaseEndpoint(id, to)
 	}()
 }
 
-// unuse ends a use of an endpoint. The last one of an endpoint that is gone drops it, as the
+// releaseEndpoint ends a use of an endpoint. The last one of an endpoint that is gone drops it, as the
 // balancer does: over a long day there are ever new ones.
-func (e *Engine) unuse(id balance.EndpointID, to *endpoint) {
-	to.uses--
-	e.drop(id, to)
+func (e *Engine) releaseEndpoint(id balance.EndpointID, to *endpoint) {
+	to.inFlightCount--
+	e.dropEndpointIfUnused(id, to)
 }
 
-func (e *Engine) drop(id balance.EndpointID, to *endpoint) {
-	if to.gone && to.uses == 0 && e.endpoints[id] == to {
+func (e *Engine) dropEndpointIfUnused(id balance.EndpointID, to *endpoint) {
+	if to.removed && to.inFlightCount == 0 && e.endpoints[id] == to {
 		delete(e.endpoints, id)
-		e.names.forget(to.name)
+		e.ids.release(to.name)
 	}
 }
 
@@ -215,11 +215,11 @@
 func (e *Engine) LookupEndpoint(name string) (addr string, inService, known bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	to := e.endpoints[e.names.ids[name]]
+	to := e.endpoints[e.ids.byName[name]]
 	if to == nil || to.name != name {
 		return "", false, false
 	}
-	return to.route.Addr, !to.left, true
+	return to.route.Addr, !to.outOfService, true
 }
 
 // Stats are what the engine holds.
@@ -236,10 +236,10 @@
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := Stats{CallsTotal: int(e.last), OpenCalls: len(e.calls), Endpoints: len(e.endpoints), EndpointNames: max(len(e.names.ids), len(e.names.taken)),
+	s := Stats{CallsTotal: int(e.lastRequestID), OpenCalls: len(e.calls), Endpoints: len(e.endpoints), EndpointNames: max(len(e.ids.byName), len(e.ids.used)),
 		WaitingExchanges: e.pool.WaitingExchanges()}
 	for _, to := range e.endpoints {
-		s.AttemptsInFlight += len(to.out)
+		s.AttemptsInFlight += len(to.inFlightAttempts)
 	}
 	return s
 }
@@ -250,52 +250,52 @@
 	if l.Full {
 		kind = balance.ListFull
 	}
-	e.update(kind, l)
+	e.applyList(kind, l)
 }
 
 // RecordDiscoveryResponse notes that discovery has answered, also where it had no news.
 func (e *Engine) RecordDiscoveryResponse() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.starts.heard = e.now()
+	e.startTimes.lastResponseAt = e.now()
 }
 
 // RecordDiscoveryFailure tells the balancer that a call to discovery has failed.
-func (e *Engine) RecordDiscoveryFailure() { e.update(balance.ListUnavailable, &discovery.List{}) }
+func (e *Engine) RecordDiscoveryFailure() { e.applyList(balance.ListUnavailable, &discovery.List{}) }
 
-func (e *Engine) update(kind balance.ListKind, l *discovery.List) {
+func (e *Engine) applyList(kind balance.ListKind, l *discovery.List) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if kind == balance.ListFull || kind == balance.ListLastKnown {
 		for _, to := range e.endpoints {
-			to.left, to.gone = true, true
+			to.outOfService, to.removed = true, true
 		}
 	}
-	entries := e.names.entries(l)
+	entries := e.ids.listEntries(l)
 	list := make([]balance.Endpoint, len(entries))
 	now := e.now()
 	for i, in := range entries {
 		to := e.endpoints[in.ID]
 		reported := in.StartedAt
-		in.StartedAt = e.starts.of(reported, now, to)
+		in.StartedAt = e.startTimes.startTime(reported, now, to)
 		list[i] = in.Endpoint
 		if to == nil {
-			to = &endpoint{name: in.name, route: &upstream.Route{Addr: in.addr}, started: in.StartedAt}
+			to = &endpoint{name: in.name, route: &upstream.Route{Addr: in.addr}, startedAt: in.StartedAt}
 			e.endpoints[in.ID] = to
 		}
-		to.reported = reported
+		to.reportedStart = reported
 		// Connections to the old address or process are of no more use; one to a machine
 		// that vanished may stay open and silent, and the next request on it would be lost.
 		addr := cmp.Or(in.addr, to.route.Addr)
-		if addr != to.route.Addr || in.StartedAt != to.started || to.closed && in.State == balance.InService {
+		if addr != to.route.Addr || in.StartedAt != to.startedAt || to.routeClosed && in.State == balance.InService {
 			e.pool.CloseIdleConnections(to.route, false)
-			to.route, to.started, to.closed = &upstream.Route{Addr: addr}, in.StartedAt, false
+			to.route, to.startedAt, to.routeClosed = &upstream.Route{Addr: addr}, in.StartedAt, false
 		}
-		to.left, to.gone = in.State != balance.InService, in.State == balance.Removed
+		to.outOfService, to.removed = in.State != balance.InService, in.State == balance.Removed
 		slog.Debug("endpoint", "name", in.name, "version", l.Generation, "whole list", kind != balance.ListChanges,
-			"in service", !to.left, "gone", to.gone)
+			"in service", !to.outOfService, "gone", to.removed)
 	}
-	e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
+	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
 		return e.balancer.EndpointsUpdated(now, kind, list, acts)
 	})
 	if len(e.endpoints) > 0 {
@@ -303,26 +303,26 @@
 	}
 	if kind == balance.ListChanges {
 		for _, in := range entries {
-			e.see(in.ID)
+			e.withdrawIfOutOfService(in.ID)
 		}
 		return
 	}
 	for id := range e.endpoints {
-		e.see(id)
+		e.withdrawIfOutOfService(id)
 	}
 }
 
-// see carries out what follows for an endpoint from a list, if it has left. What waits for a
+// withdrawIfOutOfService carries out what follows for an endpoint from a list, if it has left. What waits for a
 // connection to it must not go out once it has one.
-func (e *Engine) see(id balance.EndpointID) {
+func (e *Engine) withdrawIfOutOfService(id balance.EndpointID) {
 	to := e.endpoints[id]
-	if to == nil || !to.left {
+	if to == nil || !to.outOfService {
 		return
 	}
-	for _, x := range to.out {
+	for _, x := range to.inFlightAttempts {
 		x.CancelUnsent()
 	}
 	e.pool.CloseIdleConnections(to.route, false)
-	to.closed = true
-	e.drop(id, to)
+	to.routeClosed = true
+	e.dropEndpointIfUnused(id, to)
 }
--- a/internal/engine/log.go
+++ b/internal/engine/log.go
@@ -13,28 +13,28 @@
 	balance.ConnectFailed: "connect failed", balance.Reset: "reset", balance.Canceled: "canceled", balance.NotSent: "not sent",
 }
 
-// debugging tells whether events of single requests are logged.
-func debugging() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
+// debugEnabled tells whether events of single requests are logged.
+func debugEnabled() bool { return slog.Default().Enabled(context.Background(), slog.LevelDebug) }
 
-// logSend logs the begin of an attempt.
-func logSend(x *attempt) {
-	if debugging() {
-		slog.Debug("attempt begun", "request", x.call.CallerRequestID, "attempt", x.n, "endpoint", x.endpoint.name, "left service", x.endpoint.left)
+// logAttemptStart logs the begin of an attempt.
+func logAttemptStart(x *attempt) {
+	if debugEnabled() {
+		slog.Debug("attempt begun", "request", x.call.CallerRequestID, "attempt", x.index, "endpoint", x.endpoint.name, "left service", x.endpoint.outOfService)
 	}
 }
 
-// logEnd logs the end of an attempt, and why it has no answer.
-func logEnd(x *attempt, o *balance.Outcome) {
-	if debugging() {
-		slog.Debug("attempt ended", "request", x.call.CallerRequestID, "attempt", x.n, "endpoint", x.endpoint.name,
+// logAttemptEnd logs the end of an attempt, and why it has no answer.
+func logAttemptEnd(x *attempt, o *balance.Outcome) {
+	if debugEnabled() {
+		slog.Debug("attempt ended", "request", x.call.CallerRequestID, "attempt", x.index, "endpoint", x.endpoint.name,
 			"result", resultNames[o.Result], "why", x.Err(), "elapsed", o.Elapsed, "after the answer", o.RequestFinished)
 	}
 }
 
-// logAnswer logs the final answer to a request: what decided it is the module's answer, an attempt's, or
+// logFinalResult logs the final answer to a request: what decided it is the module's answer, an attempt's, or
 // that the caller has gone or its time is up.
-func logAnswer(c *Call, f *FinalResult, decidedBy string) {
-	if !debugging() {
+func logFinalResult(c *Call, f *FinalResult, decidedBy string) {
+	if !debugEnabled() {
 		return
 	}
 	kind := "failed"
--- a/internal/engine/live.go
+++ b/internal/engine/settings.go
@@ -8,13 +8,13 @@
 	"barleydrum.example/barleydrum/internal/config"
 )
 
-// live holds the settings at hand. What SIGHUP may change is read from it each time.
-type live struct {
+// currentSettings holds the settings at hand. What SIGHUP may change is read from it each time.
+type currentSettings struct {
 	atomic.Pointer[config.Settings]
 }
 
-func newLive(s *config.Settings) *live {
-	l := new(live)
+func newCurrentSettings(s *config.Settings) *currentSettings {
+	l := new(currentSettings)
 	l.Store(s)
 	return l
 }
@@ -26,7 +26,7 @@
 	defer e.mu.Unlock()
 	e.settings.Store(s)
 	for i, k := range e.cfg.ReloadedClasses(s) {
-		e.event(func(now time.Duration, acts []balance.Action) []balance.Action {
+		e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
 			return e.balancer.SetClassLimits(now, i, k, acts)
 		})
 	}
--- a/internal/engine/starts_test.go
+++ b/internal/engine/starttime_test.go
@@ -7,7 +7,7 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-func TestSteppedWallClockNeitherEndsNorProlongsSlowStart(t *testing.T) {
+func TestSteppedWallClockDoesNotChangeSlowStart(t *testing.T) {
 	for name, step := range map[string]time.Duration{
 		"no step": 0, "an hour ahead": time.Hour, "an hour behind": -time.Hour, "seconds behind": -5 * time.Second,
 	} {
@@ -21,16 +21,16 @@
 			}}
 			e.UpdateEndpoints(&list)
 			e.mu.Lock()
-			first := e.endpoints[e.names.ids["new"]].started
+			first := e.endpoints[e.ids.byName["new"]].startedAt
 			age := e.now() - first
 			e.mu.Unlock()
-			if age < 0 || age > listDelay+time.Second {
+			if age < 0 || age > maxListDelay+time.Second {
 				t.Errorf("it is held to have started %v ago", age)
 			}
 			time.Sleep(2 * time.Millisecond)
 			e.UpdateEndpoints(&list) // the same again is the same process
 			e.mu.Lock()
-			again := e.endpoints[e.names.ids["new"]].started
+			again := e.endpoints[e.ids.byName["new"]].startedAt
 			e.mu.Unlock()
 			if again != first {
 				t.Errorf("told again, it has started %v later", again-first)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestStartBeforeTheSidecarsOwnIsTakenAsTold(t *testing.T) {
+func TestStartTimeBeforeFirstDiscoveryResponseIsKept(t *testing.T) {
 	e := newEngine(t, discovery.List{Generation: 1, Full: true})
 	told := time.Now().Add(-time.Minute)
 	e.UpdateEndpoints(&discovery.List{Generation: 2, Full: true, Instances: []discovery.Instance{
@@ -47,7 +47,7 @@
 	}})
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if age := e.now() - e.endpoints[e.names.ids["old"]].started; age < 59*time.Second || age > 61*time.Second {
+	if age := e.now() - e.endpoints[e.ids.byName["old"]].startedAt; age < 59*time.Second || age > 61*time.Second {
 		t.Errorf("it is held to have started %v ago, want a minute", age)
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,22 +6,22 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// due is a timer of the module's and when it is due, on its clock.
-type due struct {
-	at    time.Duration
+// scheduledTimer is a timer of the module's and when it is due, on its clock.
+type scheduledTimer struct {
+	dueAt time.Duration
 	timer balance.Timer
 }
 
-// timers are those that are not due yet, the earliest first: a binary heap. The module can't
+// timerHeap are those that are not due yet, the earliest first: a binary heap. The module can't
 // take one back, so there are as many as it sets within the longest delay.
-type timers []due
+type timerHeap []scheduledTimer
 
-func (t *timers) push(d due) {
+func (t *timerHeap) push(d scheduledTimer) {
 	h := append(*t, d)
 	i := len(h) - 1
 	for i > 0 {
 		up := (i - 1) / 2
-		if h[up].at <= h[i].at {
+		if h[up].dueAt <= h[i].dueAt {
 			break
 		}
 		h[up], h[i] = h[i], h[up]
@@ -31,7 +31,7 @@
 }
 
 // pop removes and returns the earliest.
-func (t *timers) pop() due {
+func (t *timerHeap) pop() scheduledTimer {
 	h := *t
 	first, last := h[0], len(h)-1
 	h[0] = h[last]
@@ -41,10 +41,10 @@
 		if down >= last {
 			break
 		}
-		if down+1 < last && h[down+1].at < h[down].at {
+		if down+1 < last && h[down+1].dueAt < h[down].dueAt {
 			down++
 		}
-		if h[i].at <= h[down].at {
+		if h[i].dueAt <= h[down].dueAt {
 			break
 		}
 		h[i], h[down] = h[down], h[i]
@@ -54,31 +54,31 @@
 	return first
 }
 
-// arm sets the one timer of the engine for the earliest of the module's.
-func (e *Engine) arm() {
-	if len(e.timers) == 0 || e.armed != 0 && e.armed <= e.timers[0].at {
+// setTimer sets the one timer of the engine for the earliest of the module's.
+func (e *Engine) setTimer() {
+	if len(e.pendingTimers) == 0 || e.timerSetFor != 0 && e.timerSetFor <= e.pendingTimers[0].dueAt {
 		return
 	}
-	e.armed = e.timers[0].at
-	delay := max(e.armed-e.at, 0)
-	if e.clock == nil {
-		e.clock = time.AfterFunc(delay, e.ring)
+	e.timerSetFor = e.pendingTimers[0].dueAt
+	delay := max(e.timerSetFor-e.eventTime, 0)
+	if e.timer == nil {
+		e.timer = time.AfterFunc(delay, e.fireDueTimers)
 	} else {
-		e.clock.Reset(delay)
+		e.timer.Reset(delay)
 	}
 }
 
-// ring hands the module the timers that are due.
-func (e *Engine) ring() {
+// fireDueTimers hands the module the timers that are due.
+func (e *Engine) fireDueTimers() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.armed = 0
-	for now := e.now(); len(e.timers) > 0 && e.timers[0].at <= now; {
-		t := e.timers.pop().timer
-		e.eventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
+	e.timerSetFor = 0
+	for now := e.now(); len(e.pendingTimers) > 0 && e.pendingTimers[0].dueAt <= now; {
+		t := e.pendingTimers.pop().timer
+		e.handleEventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
 			return e.balancer.TimerFired(now, t, acts)
 		})
 	}
-	e.at = e.now()
-	e.arm()
+	e.eventTime = e.now()
+	e.setTimer()
 }
