--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,6 +1,6 @@
-// Package discovery holds the lists of endpoints that discovery gives out, in the form that
-// PROTOCOL, "Discovery", lays down, and their check. It does no I/O: internal/sidecar asks
-// for lists, internal/config reads the last known one.
+// Package discovery defines the endpoint lists that discovery serves, in the format that PROTOCOL,
+// "Discovery", specifies, and validates them. It does no I/O: internal/sidecar requests lists,
+// internal/config reads the last known one.
 package discovery
 
 import (
@@ -12,58 +12,58 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// List is a list of endpoints, or of changes to one.
+// List is a full list of endpoints, or a list of changes to the previous one.
 type List struct {
-	Generation uint64     `json:"generation"`
-	Full       bool       `json:"reset"` // the whole list, not changes
+	Generation uint64     `json:"generation"` // the list's version
+	Full       bool       `json:"reset"`      // a full list, not changes
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is one endpoint.
+// Instance is one endpoint in a list.
 type Instance struct {
 	ID                 string   `json:"instanceId"`
 	HostPort           string   `json:"hostPort"`
 	Zone               string   `json:"zone"`
 	MachineType        string   `json:"machineType,omitempty"`
 	Cell               int      `json:"cell"`
-	Lifecycle          string   `json:"lifecycle"` // a key of States
+	Lifecycle          string   `json:"lifecycle"` // a key of StatesByLifecycle
 	Weight             *float64 `json:"weight,omitempty"`
-	StartedAtUnixMilli int64    `json:"startedAtMs"` // Unix time in milliseconds; 0 is long ago
+	StartedAtUnixMilli int64    `json:"startedAtMs"` // Unix time in milliseconds; 0 if unknown, and then long ago
 }
 
-// StatesByLifecycle are the lifecycles of an instance.
+// StatesByLifecycle maps the values of Instance.Lifecycle to the balancer's endpoint states.
 var StatesByLifecycle = map[string]balance.EndpointState{
 	"up": balance.InService, "draining": balance.Draining, "removed": balance.Removed,
 }
 
-// GenerationString is the list's version as a call names it.
+// GenerationString returns the list's version in decimal, as discovery requests give it.
 func (l *List) GenerationString() string { return strconv.FormatUint(l.Generation, 10) }
 
-// Check returns an error for the first entry that can't be used.
+// Check returns an error for the first entry that is not valid. A removed instance needs no address.
 func (l *List) Check() error {
 	for i := range l.Instances {
-		in := &l.Instances[i]
-		if in.ID == "" {
+		instance := &l.Instances[i]
+		if instance.ID == "" {
 			return fmt.Errorf("instances[%d].instanceId: empty", i)
 		}
-		state, ok := StatesByLifecycle[in.Lifecycle]
+		state, ok := StatesByLifecycle[instance.Lifecycle]
 		if !ok {
-			return fmt.Errorf("instance %q: lifecycle: unknown value %q", in.ID, in.Lifecycle)
+			return fmt.Errorf("instance %q: lifecycle: unknown value %q", instance.ID, instance.Lifecycle)
 		}
-		if err := CheckAddress(in.HostPort); err != nil && state != balance.Removed {
-			return fmt.Errorf("instance %q: hostPort: %w", in.ID, err)
+		if err := CheckAddress(instance.HostPort); err != nil && state != balance.Removed {
+			return fmt.Errorf("instance %q: hostPort: %w", instance.ID, err)
 		}
-		if in.Weight != nil && *in.Weight < 0 {
-			return fmt.Errorf("instance %q: weight: negative", in.ID)
+		if instance.Weight != nil && *instance.Weight < 0 {
+			return fmt.Errorf("instance %q: weight: negative", instance.ID)
 		}
-		if in.StartedAtUnixMilli < 0 || in.StartedAtUnixMilli > int64(1<<62)/1e6 {
-			return fmt.Errorf("instance %q: startedAtMs: out of range", in.ID)
+		if instance.StartedAtUnixMilli < 0 || instance.StartedAtUnixMilli > int64(1<<62)/1e6 {
+			return fmt.Errorf("instance %q: startedAtMs: out of range", instance.ID)
 		}
 	}
 	return nil
 }
 
-// CheckAddress returns an error for what is not HOST:PORT with a port from 1 to 65535.
+// CheckAddress returns an error unless addr is HOST:PORT with a port from 1 to 65535.
 func CheckAddress(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -11,62 +11,64 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// Call is a request, until its last attempt has ended. The goroutine that serves it carries the
-// first attempt itself, and every later one that begins while it has nothing else to carry.
+// Call is a request with its attempts, until the last attempt has ended. The goroutine that serves
+// it runs the first attempt itself, and every later one that starts while it runs no other.
+// The exported fields are set by whoever made the call, before Serve.
 type Call struct {
-	balance.Request // but for its ID
+	balance.Request // the engine sets its ID
 
-	CallerRequestID    string         // the request's id, for whoever made the call
-	Head               *http1.Request // and the body need hold until Serve returns
-	Body               []byte
-	StreamedBody       *body.Body // in place of Body, for one that is still arriving; to be closed before Done
-	StreamedBodyLength int64      // of Flow, -1 where it is not known
-	Deadline           time.Time  // its caller's time is up
+	CallerRequestID    string         // the caller's X-Request-ID
+	Head               *http1.Request // must stay valid until Serve returns
+	Body               []byte         // must stay valid until Serve returns
+	StreamedBody       *body.Body     // a body that is still arriving, in place of Body; must be closed before ReleaseCall
+	StreamedBodyLength int64          // length of StreamedBody in bytes, -1 if unknown
+	Deadline           time.Time      // the call fails if it has no final result by then
 
-	// CallerDisconnected tells whether the caller has gone, nil where it can't be asked. Any goroutine may call it.
+	// CallerDisconnected reports whether the caller has disconnected. It is nil if that can't be
+	// checked, and must be safe to call from any goroutine.
 	CallerDisconnected func() bool
 
 	engine        *Engine
-	clockDeadline time.Duration // Until on the module's clock
+	clockDeadline time.Duration // Deadline on the balancer's clock
 
-	// Under Engine.mu.
-	finished         bool
+	// Guarded by Engine.mu.
+	finished         bool // final is set, or the call ended before it was started
 	final            FinalResult
 	attempts         []*attempt
 	attemptsInFlight int
-	pendingAttempt   *attempt // for its goroutine to carry
-	inlineAttempt    *attempt // that it carries
-	waitingForWake   bool     // its goroutine waits for wake
-	streamingAttempt *attempt // whose answer flows
+	pendingAttempt   *attempt // the next attempt for the serving goroutine to run
+	inlineAttempt    *attempt // the attempt that the serving goroutine runs
+	waitingForWake   bool     // the serving goroutine waits for wake
+	streamingAttempt *attempt // the attempt whose response is being streamed
 	completionGate   retry.CompletionGate
 
 	wake          chan struct{}
 	deadlineTimer *time.Timer
-	firstAttempt  attempt // most calls need no other
-	attemptsBuf   [2]*attempt
+	firstAttempt  attempt     // saves an allocation: most calls need no other attempt
+	attemptsBuf   [2]*attempt // initial storage of attempts
 }
 
-// FinalResult is a final answer: served, refused, or neither: failed.
+// FinalResult is the final result of a call: served, refused, or failed if it is neither.
 type FinalResult struct {
-	ServedBy   *upstream.Exchange // whose answer it is, until Done; nil if it was not served
-	Streaming  bool               // the answer is to be had by Served.Next
-	Refused    bool               // trying again is harmless
-	RetryAfter time.Duration      // when to come back, 0 for no advice
+	ServedBy   *upstream.Exchange // holds the response, valid until ReleaseCall; nil if the call was not served
+	Streaming  bool               // the response body must be read with ServedBy.NextResponseData
+	Refused    bool               // the caller may safely send the request again
+	RetryAfter time.Duration      // how long the caller should wait before it retries, 0 for no advice
 }
 
-// attempt is one sending of a call.
+// attempt is one try of a call at one endpoint.
 type attempt struct {
 	upstream.Exchange
 	call               *Call
-	index              int
+	index              int // in call.attempts
 	endpointID         balance.EndpointID
 	endpoint           *endpoint
-	inFlightIndex      int           // in endpoint.out
-	startedAt          time.Duration // on the module's clock
-	streamStartElapsed time.Duration // until its answer began to flow, 0 for not yet
+	inFlightIndex      int           // in endpoint.inFlightAttempts
+	startedAt          time.Duration // on the balancer's clock
+	streamStartElapsed time.Duration // what elapsed returned when the response started to stream, 0 before
 }
 
-// NewCall returns a call to be filled in. Done is owed.
+// NewCall returns an empty call for the caller to fill in. Callers must pass it to ReleaseCall in the end.
 func (e *Engine) NewCall() *Call {
 	c, ok := e.callPool.Get().(*Call)
 	if !ok {
@@ -77,21 +79,21 @@
 	return c
 }
 
-// ReleaseCall takes a call back whose final answer, if it has one, has been passed on. One that flows
-// ends here, if it has not ended.
+// ReleaseCall returns a call to the engine once its final result, if any, has been passed on. A
+// streamed response that has not ended is aborted. The call must not be used afterwards.
 func (e *Engine) ReleaseCall(c *Call) {
-	if x := c.streamingAttempt; x != nil {
-		x.AbortStream()
-		e.attemptEnded(x)
+	if a := c.streamingAttempt; a != nil {
+		a.AbortStream()
+		e.attemptEnded(a)
 	}
 	if c.final.ServedBy != nil {
 		c.final.ServedBy.Release()
 	}
 	e.mu.Lock()
-	out := c.attemptsInFlight
+	inFlight := c.attemptsInFlight
 	e.mu.Unlock()
-	if out > 0 {
-		return // its attempts still point to it
+	if inFlight > 0 {
+		return // attempts in flight still point to the call, so it can't be reused
 	}
 	select {
 	case <-c.wake:
@@ -105,7 +107,8 @@
 	e.callPool.Put(c)
 }
 
-// cancelIfDisconnected is asked right before an attempt goes out.
+// cancelIfDisconnected cancels the call if its caller has disconnected, and reports whether it did.
+// It is called right before an attempt's first byte is sent.
 func (c *Call) cancelIfDisconnected() bool {
 	if !c.CallerDisconnected() {
 		return false
@@ -114,34 +117,35 @@
 	return true
 }
 
-// Cancel tells the engine that the caller has gone, see door.Leaver.
-func (c *Call) Cancel() { c.engine.abandon(c, "the caller has gone") }
-
-// Serve hands a call to the balancer and returns its final answer. gone tells that the caller
-// has gone by now; Leave tells it later.
-func (e *Engine) Serve(c *Call, gone bool) FinalResult {
-	x, answered := e.startCall(c, gone)
-	for !answered {
-		if x == nil {
-			x, answered = e.waitForAttempt(c)
+// Cancel ends the call because its caller has disconnected. It implements httpserver.Canceler.
+func (c *Call) Cancel() { c.engine.abandon(c, "the caller disconnected") }
+
+// Serve passes a call to the balancer, runs its attempts and returns its final result.
+// disconnected says that the caller has already disconnected; a later disconnection is
+// reported by [Call.Cancel].
+func (e *Engine) Serve(c *Call, disconnected bool) FinalResult {
+	a, finished := e.startCall(c, disconnected)
+	for !finished {
+		if a == nil {
+			a, finished = e.waitForAttempt(c)
 			continue
 		}
-		p := upstream.NeedsConnection
-		for p == upstream.NeedsConnection && x.TakeIdleConn() {
-			p = x.Run()
+		progress := upstream.NeedsConnection
+		for progress == upstream.NeedsConnection && a.TakeIdleConn() {
+			progress = a.Run()
 		}
-		it := x
-		switch p {
+		current := a
+		switch progress {
 		case upstream.Ended:
-			x, answered = e.attemptEnded(x)
+			a, finished = e.attemptEnded(a)
 		case upstream.Streaming:
-			x, answered = e.responseStarted(x)
-		case upstream.NeedsConnection: // a connection that has to come up is waited for elsewhere
-			x, answered = e.nextAttempt(c)
-			go e.runAttempt(it)
-		case upstream.Interrupted: // there is an answer, and this attempt is to go on beside it
-			x, answered = e.nextAttempt(c)
-			go e.resumeAttempt(it)
+			a, finished = e.responseStarted(a)
+		case upstream.NeedsConnection: // another goroutine opens a connection, so that this one is free
+			a, finished = e.nextAttempt(c)
+			go e.runAttempt(current)
+		case upstream.Interrupted: // the call is finished, and this attempt continues in the background
+			a, finished = e.nextAttempt(c)
+			go e.resumeAttempt(current)
 		}
 	}
 	e.mu.Lock()
@@ -149,97 +153,102 @@
 	return c.final
 }
 
-// startCall hands a call to the balancer. It returns the attempt to carry, or nil for none yet, and
-// whether the call has been answered.
-func (e *Engine) startCall(c *Call, gone bool) (next *attempt, answered bool) {
+// startCall passes a call to the balancer, unless it has ended already. It returns the attempt that
+// the serving goroutine must run, or nil if there is none yet, and whether the call is finished.
+func (e *Engine) startCall(c *Call, disconnected bool) (next *attempt, finished bool) {
 	e.mu.Lock()
-	defer e.mu.Unlock() // the door outlives a panic, which must not leave the lock taken
-	if gone || c.finished {
+	defer e.mu.Unlock() // the HTTP server survives a panic in a handler, which must not leave the mutex locked
+	if disconnected || c.finished {
 		c.finished = true
 		return nil, true
 	}
-	if left := c.Deadline.Sub(e.shutdownDeadline); !e.shutdownDeadline.IsZero() && left > 0 {
+	if excess := c.Deadline.Sub(e.shutdownDeadline); !e.shutdownDeadline.IsZero() && excess > 0 {
 		c.Deadline = e.shutdownDeadline
-		c.Timeout -= left
+		c.Timeout -= excess
 	}
 	c.attempts = c.attemptsBuf[:0]
 	c.clockDeadline = e.clockEpoch + c.Deadline.Sub(e.clockOrigin)
 	if c.StreamedBody != nil {
-		k := &e.cfg.BalancerConfig.Classes[c.Class]
-		c.completionGate.Reset(k.Semantics, k.RepeatWindow)
+		class := &e.cfg.BalancerConfig.Classes[c.Class]
+		c.completionGate.Reset(class.Semantics, class.RepeatWindow)
 	}
 	e.lastRequestID++
 	c.ID = e.lastRequestID
 	e.calls[c.ID] = c
-	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.RequestArrived(now, c.Request, acts)
+	e.handleEvent(func(now time.Duration, actions []balance.Action) []balance.Action {
+		return e.balancer.RequestArrived(now, c.Request, actions)
 	})
 	return e.nextAttemptLocked(c)
 }
 
-// nextAttemptLocked returns what the goroutine of a call is to do next. It holds the lock.
-func (e *Engine) nextAttemptLocked(c *Call) (next *attempt, answered bool) {
+// nextAttemptLocked returns the attempt that the serving goroutine must run next, which becomes its
+// inline attempt, or nil if it must wait, and whether the call is finished. The caller must hold e.mu.
+func (e *Engine) nextAttemptLocked(c *Call) (next *attempt, finished bool) {
 	c.inlineAttempt = c.pendingAttempt
 	c.pendingAttempt = nil
 	c.waitingForWake = c.inlineAttempt == nil && !c.finished
 	return c.inlineAttempt, c.finished
 }
 
-// nextAttempt has the goroutine of a call carry nothing any more.
-func (e *Engine) nextAttempt(c *Call) (next *attempt, answered bool) {
+// nextAttempt is nextAttemptLocked for a caller that doesn't hold e.mu. The attempt that was inline
+// before no longer is.
+func (e *Engine) nextAttempt(c *Call) (next *attempt, finished bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.nextAttemptLocked(c)
 }
 
-// waitForAttempt waits for something to do, or until the caller's time is up: then the call has failed.
-func (e *Engine) waitForAttempt(c *Call) (next *attempt, answered bool) {
+// waitForAttempt blocks until there is an attempt to run, the call is finished, or its deadline has
+// passed: then the call fails. Its results are those of nextAttempt.
+func (e *Engine) waitForAttempt(c *Call) (next *attempt, finished bool) {
 	c.deadlineTimer.Reset(time.Until(c.Deadline))
 	select {
 	case <-c.wake:
 		c.deadlineTimer.Stop()
 	case <-c.deadlineTimer.C:
-		e.abandon(c, "its time is up")
+		e.abandon(c, "the deadline passed")
 	}
 	return e.nextAttempt(c)
 }
 
-// abandon ends a call whose caller has gone or whose time is up, unless it has its answer.
-func (e *Engine) abandon(c *Call, why string) {
+// abandon fails a call whose caller has disconnected or whose deadline has passed, unless it is
+// finished. reason is logged.
+func (e *Engine) abandon(c *Call, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.abandonLocked(c, why)
+	e.abandonLocked(c, reason)
 }
 
-// abandonLocked is abandon for a caller that holds the lock.
-func (e *Engine) abandonLocked(c *Call, why string) {
+// abandonLocked is abandon for a caller that holds e.mu.
+func (e *Engine) abandonLocked(c *Call, reason string) {
 	if c.finished {
 		return
 	}
-	if c.ID == 0 { // it has not begun, and won't
+	if c.ID == 0 { // it has not been passed to the balancer, and won't be
 		c.finished = true
 		return
 	}
-	e.finishCall(c, FinalResult{}, why)
-	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.RequestAbandoned(now, c.ID, acts)
+	e.finishCall(c, FinalResult{}, reason)
+	e.handleEvent(func(now time.Duration, actions []balance.Action) []balance.Action {
+		return e.balancer.RequestAbandoned(now, c.ID, actions)
 	})
 }
 
-// finishCall gives a call its final answer, unless it has one. What waits to go out does not go
-// out any more.
-func (e *Engine) finishCall(c *Call, f FinalResult, decidedBy string) {
+// finishCall sets the final result of a call, unless it is finished, and wakes the serving goroutine.
+// Attempts that have not been sent yet are canceled; the balancer decides about the others. decidedBy
+// is logged.
+func (e *Engine) finishCall(c *Call, result FinalResult, decidedBy string) {
 	if c == nil || c.finished {
 		return
 	}
-	logFinalResult(c, &f, decidedBy)
-	c.finished, c.final = true, f
-	for _, x := range c.attempts {
-		x.CancelUnsent()
+	logFinalResult(c, &result, decidedBy)
+	c.finished, c.final = true, result
+	for _, a := range c.attempts {
+		a.CancelUnsent()
 	}
-	if x := c.pendingAttempt; x != nil {
+	if a := c.pendingAttempt; a != nil {
 		c.pendingAttempt = nil
-		go e.runAttempt(x)
+		go e.runAttempt(a)
 	}
 	if c.inlineAttempt != nil {
 		c.inlineAttempt.Interrupt()
@@ -248,7 +257,7 @@
 	e.dropCallIfDone(c)
 }
 
-// wakeCall has the goroutine of a call look for what to do, if it waits.
+// wakeCall wakes the serving goroutine of a call if it waits in waitForAttempt.
 func (e *Engine) wakeCall(c *Call) {
 	if c.waitingForWake {
 		c.waitingForWake = false
@@ -256,190 +265,198 @@
 	}
 }
 
-// dropCallIfDone drops a call that nothing more can come of.
+// dropCallIfDone drops a call that is finished and has no attempt in flight.
 func (e *Engine) dropCallIfDone(c *Call) {
 	if c.finished && c.attemptsInFlight == 0 {
 		delete(e.calls, c.ID)
 	}
 }
 
-// startAttempt starts an attempt.
-func (e *Engine) startAttempt(a *balance.Action) {
-	c, to := e.calls[a.Request], e.endpoints[a.Endpoint]
-	if c == nil || to == nil {
+// startAttempt starts the attempt that the balancer decided on: in the serving goroutine if that
+// runs no other, else in a goroutine of its own.
+func (e *Engine) startAttempt(action *balance.Action) {
+	c, ep := e.calls[action.Request], e.endpoints[action.Endpoint]
+	if c == nil || ep == nil {
 		return
 	}
-	x := &c.firstAttempt
+	a := &c.firstAttempt
 	if len(c.attempts) > 0 {
-		x = new(attempt)
+		a = new(attempt)
 	}
-	x.call, x.index, x.endpointID, x.endpoint, x.startedAt, x.streamStartElapsed = c, len(c.attempts), a.Endpoint, to, e.eventTime, 0
-	c.attempts = append(c.attempts, x)
+	a.call, a.index, a.endpointID, a.endpoint, a.startedAt, a.streamStartElapsed = c, len(c.attempts), action.Endpoint, ep, e.eventTime, 0
+	c.attempts = append(c.attempts, a)
 	c.attemptsInFlight++
-	to.inFlightCount++
-	x.inFlightIndex = len(to.inFlightAttempts)
-	to.inFlightAttempts = append(to.inFlightAttempts, x)
-	until := min(a.Deadline, c.clockDeadline)
-	x.Prepare(e.pool, to.route, e.toTime(until), func(b []byte) ([]byte, int) {
+	ep.inFlightCount++
+	a.inFlightIndex = len(ep.inFlightAttempts)
+	ep.inFlightAttempts = append(ep.inFlightAttempts, a)
+	deadline := min(action.Deadline, c.clockDeadline)
+	a.Prepare(e.pool, ep.route, e.toTime(deadline), func(b []byte) ([]byte, int) {
 		if c.finished {
 			return b, 0
 		}
 		return appendRequest(b, c)
 	})
 	if c.CallerDisconnected != nil {
-		x.SkipSendIf(c.cancelIfDisconnected)
+		a.SkipSendIf(c.cancelIfDisconnected)
 	}
-	if a.StartDeadline > 0 {
-		x.SetStartDeadline(e.toTime(a.StartDeadline))
+	if action.StartDeadline > 0 {
+		a.SetStartDeadline(e.toTime(action.StartDeadline))
 	}
 	if c.StreamedBody != nil {
-		n := x.index
-		x.SetStreamedBody(c.StreamedBody, c.StreamedBodyLength, func() bool { return c.completionGate.TryComplete(n, e.now()) })
+		index := a.index
+		a.SetStreamedBody(c.StreamedBody, c.StreamedBodyLength, func() bool { return c.completionGate.TryComplete(index, e.now()) })
 	}
-	logAttemptStart(x)
+	logAttemptStart(a)
 	switch {
-	case c.finished || to.outOfService:
-		x.CancelUnsent()
-		go e.runAttempt(x)
-	case c.StreamedBody != nil: // its caller's goroutine waits for what comes first
-		go e.runAttempt(x)
+	case c.finished || ep.outOfService:
+		a.CancelUnsent()
+		go e.runAttempt(a)
+	case c.StreamedBody != nil: // the serving goroutine only waits for whatever happens first
+		go e.runAttempt(a)
 	case c.pendingAttempt == nil && c.inlineAttempt == nil:
-		c.pendingAttempt = x
+		c.pendingAttempt = a
 		e.wakeCall(c)
 	default:
-		go e.runAttempt(x)
+		go e.runAttempt(a)
 	}
 }
 
-// runAttempt carries an attempt in a goroutine of its own.
-func (e *Engine) runAttempt(x *attempt) {
-	if x.ConnectAndRun() {
-		e.responseStarted(x)
+// runAttempt runs an attempt in the current goroutine, which is not the call's serving goroutine,
+// until it has ended or its response is streamed.
+func (e *Engine) runAttempt(a *attempt) {
+	if a.ConnectAndRun() {
+		e.responseStarted(a)
 	} else {
-		e.attemptEnded(x)
+		e.attemptEnded(a)
 	}
 }
 
-// resumeAttempt goes on with an attempt that was interrupted.
-func (e *Engine) resumeAttempt(x *attempt) {
-	p := x.Run()
-	for p == upstream.Interrupted {
-		p = x.Run()
+// resumeAttempt continues an attempt that was interrupted, as runAttempt would.
+func (e *Engine) resumeAttempt(a *attempt) {
+	progress := a.Run()
+	for progress == upstream.Interrupted {
+		progress = a.Run()
 	}
-	if p == upstream.Streaming {
-		e.responseStarted(x)
+	if progress == upstream.Streaming {
+		e.responseStarted(a)
 	} else {
-		e.attemptEnded(x)
+		e.attemptEnded(a)
 	}
 }
 
-// responseStarted takes an answer that has begun and is passed on as it comes: it is the call's, and there
-// is no other from now on. Whoever serves the call carries it on.
-func (e *Engine) responseStarted(x *attempt) (next *attempt, answered bool) {
+// responseStarted handles the start of a streamed response. The response becomes the final result of
+// the call, and whoever serves the call reads the rest of it. If the call is finished already, the
+// attempt is aborted instead. The results are those of nextAttemptLocked.
+func (e *Engine) responseStarted(a *attempt) (next *attempt, finished bool) {
 	e.mu.Lock()
-	c := x.call
+	c := a.call
 	if c.finished {
 		e.mu.Unlock()
-		x.AbortStream()
-		return e.attemptEnded(x)
+		a.AbortStream()
+		return e.attemptEnded(a)
 	}
 	defer e.mu.Unlock()
-	if c.inlineAttempt == x {
+	if c.inlineAttempt == a {
 		c.inlineAttempt = nil
 	}
 	now := e.now()
-	x.streamStartElapsed = e.elapsed(x, now)
-	x.ExtendDeadline(c.Deadline)
-	c.streamingAttempt = x
-	e.finishCall(c, FinalResult{ServedBy: &x.Exchange, Streaming: true}, "an attempt")
-	e.handleEventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.ResponseStarted(now, c.ID, x.index, acts)
+	a.streamStartElapsed = e.elapsed(a, now)
+	a.ExtendDeadline(c.Deadline)
+	c.streamingAttempt = a
+	e.finishCall(c, FinalResult{ServedBy: &a.Exchange, Streaming: true}, "an attempt")
+	e.handleEventAt(now, func(now time.Duration, actions []balance.Action) []balance.Action {
+		return e.balancer.ResponseStarted(now, c.ID, a.index, actions)
 	})
 	return e.nextAttemptLocked(c)
 }
 
-// elapsed is how long an endpoint has taken over an attempt. While its request's body was still
-// arriving it waited for the caller.
-func (e *Engine) elapsed(x *attempt, now time.Duration) time.Duration {
-	if x.streamStartElapsed > 0 {
-		return x.streamStartElapsed
+// elapsed returns how long an endpoint has taken for an attempt, at least 1 ns. The time during which
+// the request's body was still arriving doesn't count: then the endpoint waited for the caller.
+func (e *Engine) elapsed(a *attempt, now time.Duration) time.Duration {
+	if a.streamStartElapsed > 0 {
+		return a.streamStartElapsed
 	}
-	began := x.startedAt
-	if x.call.StreamedBody != nil {
-		if at := x.BodySentAt(); !at.IsZero() {
-			began = max(began, e.clockEpoch+at.Sub(e.clockOrigin))
+	start := a.startedAt
+	if a.call.StreamedBody != nil {
+		if bodySentAt := a.BodySentAt(); !bodySentAt.IsZero() {
+			start = max(start, e.clockEpoch+bodySentAt.Sub(e.clockOrigin))
 		}
 	}
-	return max(now-began, 1)
+	return max(now-start, 1)
 }
 
-// MarkBodyComplete tells that the body of a call has come whole that was still arriving.
+// MarkBodyComplete notifies the engine that the streamed body of the call has been received whole.
 func (c *Call) MarkBodyComplete() { c.engine.bodyStateChanged(c, balance.BodyComplete) }
 
-// MarkBodyUnavailable tells that it is kept no longer: no further attempt can have it.
+// MarkBodyUnavailable notifies the engine that the streamed body is no longer retained: no further
+// attempt can send it.
 func (c *Call) MarkBodyUnavailable() { c.engine.bodyStateChanged(c, balance.BodyUnavailable) }
 
-func (e *Engine) bodyStateChanged(c *Call, s balance.BodyState) {
+// bodyStateChanged passes the new state of a call's streamed body to the balancer, unless the call is
+// finished. Before the call is started, only its request is updated.
+func (e *Engine) bodyStateChanged(c *Call, state balance.BodyState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if c.finished {
 		return
 	}
-	if c.ID == 0 { // it has not begun
-		c.BodyArriving = c.BodyArriving && s != balance.BodyComplete
+	if c.ID == 0 { // not started yet
+		c.BodyArriving = c.BodyArriving && state != balance.BodyComplete
 		return
 	}
-	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.BodyStateChanged(now, c.ID, s, acts)
+	e.handleEvent(func(now time.Duration, actions []balance.Action) []balance.Action {
+		return e.balancer.BodyStateChanged(now, c.ID, state, actions)
 	})
 }
 
-// attemptEnded takes what came of an attempt, and returns what the goroutine of the call is to do if
-// that has carried it. The first OK is the call's answer.
-func (e *Engine) attemptEnded(x *attempt) (next *attempt, answered bool) {
+// attemptEnded handles the end of an attempt. The first one that ended with OK is the call's final
+// result. If the serving goroutine ran the attempt, the results are those of nextAttemptLocked,
+// otherwise they are nil and false.
+func (e *Engine) attemptEnded(a *attempt) (next *attempt, finished bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c := x.call
-	own := c.inlineAttempt == x
-	if own {
+	c := a.call
+	wasInline := c.inlineAttempt == a
+	if wasInline {
 		c.inlineAttempt = nil
 	}
 	c.attemptsInFlight--
-	result := x.Result()
+	result := a.Result()
 	if c.StreamedBody != nil && retry.NeverExecuted(result) {
-		c.completionGate.MarkNotExecuted(x.index)
+		c.completionGate.MarkNotExecuted(a.index)
 	}
 	if result == balance.OK {
 		if !c.finished {
-			e.finishCall(c, FinalResult{ServedBy: &x.Exchange}, "an attempt")
+			e.finishCall(c, FinalResult{ServedBy: &a.Exchange}, "an attempt")
 		} else {
-			x.Release()
+			a.Release()
 		}
 	}
 	now := e.now()
-	o := balance.Outcome{
-		Request: c.ID, Attempt: x.index, Endpoint: x.endpointID, Result: result, RequestFinished: c.finished,
-		Elapsed: e.elapsed(x, now), Load: x.LoadReport(),
+	outcome := balance.Outcome{
+		Request: c.ID, Attempt: a.index, Endpoint: a.endpointID, Result: result, RequestFinished: c.finished,
+		Elapsed: e.elapsed(a, now), Load: a.LoadReport(),
 	}
-	logAttemptEnd(x, &o)
-	e.handleEventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.AttemptEnded(now, o, acts)
+	logAttemptEnd(a, &outcome)
+	e.handleEventAt(now, func(now time.Duration, actions []balance.Action) []balance.Action {
+		return e.balancer.AttemptEnded(now, outcome, actions)
 	})
 	e.dropCallIfDone(c)
-	to := x.endpoint
-	last := len(to.inFlightAttempts) - 1
-	to.inFlightAttempts[x.inFlightIndex] = to.inFlightAttempts[last]
-	to.inFlightAttempts[x.inFlightIndex].inFlightIndex = x.inFlightIndex
-	to.inFlightAttempts[last], to.inFlightAttempts = nil, to.inFlightAttempts[:last]
-	e.releaseEndpoint(x.endpointID, to)
-	if own {
+	ep := a.endpoint
+	last := len(ep.inFlightAttempts) - 1
+	ep.inFlightAttempts[a.inFlightIndex] = ep.inFlightAttempts[last]
+	ep.inFlightAttempts[a.inFlightIndex].inFlightIndex = a.inFlightIndex
+	ep.inFlightAttempts[last], ep.inFlightAttempts = nil, ep.inFlightAttempts[:last]
+	e.releaseEndpoint(a.endpointID, ep)
+	if wasInline {
 		return e.nextAttemptLocked(c)
 	}
 	return nil, false
 }
 
-// appendRequest appends a call's request as it goes to an endpoint, and returns where the value of
-// X-Timeout belongs. What is not the protocol's own goes on as it came; the body is framed anew.
+// appendRequest appends a call's request in the form that is sent to an endpoint, and returns the
+// offset at which the value of X-Timeout must be inserted. Other end-to-end fields are forwarded as
+// received; the body is framed anew. A streamed body is not appended.
 func appendRequest(b []byte, c *Call) (text []byte, timeoutAt int) {
 	r := c.Head
 	b = http1.AppendRequestLine(b, r.Method(), r.Target())
--- a/internal/engine/call_test.go
+++ b/internal/engine/call_test.go
@@ -19,9 +19,10 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// testTimeout is how long a test waits for what must happen: no verdict leans on it being short.
+// testTimeout bounds how long a test waits for an expected event. No test relies on it being short.
 const testTimeout = 20 * time.Second
 
+// newEngine returns an engine that starts with a list of endpoints.
 func newEngine(t *testing.T, known discovery.List) *Engine {
 	t.Helper()
 	e, err := New(fake.NewConfig(t, known))
@@ -31,11 +32,11 @@
 	return e
 }
 
-// newCall returns a keyed call as a server makes it.
-func newCall(t *testing.T, e *Engine, wait time.Duration) *Call {
+// newCall returns a call of a keyed class as the sidecar's server creates it.
+func newCall(t *testing.T, e *Engine, timeout time.Duration) *Call {
 	t.Helper()
 	c := e.NewCall()
-	c.Class, c.Timeout, c.Deadline = e.cfg.ClassIndex["book"], wait, time.Now().Add(wait)
+	c.Class, c.Timeout, c.Deadline = e.cfg.ClassIndex["book"], timeout, time.Now().Add(timeout)
 	c.Head, c.Body = http1.NewRequest(http1.DefaultLimits), []byte("x")
 	if n, err := c.Head.Parse([]byte("POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nContent-Length: 1\r\n\r\n")); n == 0 || err != nil {
 		t.Fatal(n, err)
@@ -43,16 +44,17 @@
 	return c
 }
 
-// parseSettings reads an operators' file; the part that all need is added.
+// parseSettings parses the operators' settings in text, with the mandatory keys put in front.
 func parseSettings(t *testing.T, text string) *config.Settings {
 	t.Helper()
-	s, bad := config.ParseSettings("test", []byte("schema = 1\n[application]\nname = \"test\"\n"+text))
-	if len(bad) > 0 {
-		t.Fatal(bad)
+	s, findings := config.ParseSettings("test", []byte("schema = 1\n[application]\nname = \"test\"\n"+text))
+	if len(findings) > 0 {
+		t.Fatal(findings)
 	}
 	return s
 }
 
+// waitFor waits for a value on c.
 func waitFor(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
@@ -62,7 +64,8 @@
 	}
 }
 
-// The probe goes to the path and is waited for as long as the file says.
+// A probe must use the path and the timeout of the current settings; without them its path depends on
+// where endpoints report their load.
 func TestProbeUsesPathAndTimeoutFromSettings(t *testing.T) {
 	paths := make(chan string, 1)
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -73,38 +76,38 @@
 		io.WriteString(w, "TEXT inflight=3, queue=0, util=0.5")
 	})
 	c := config.Merge(fake.NewConfig(t, discovery.List{}).Platform, parseSettings(t, "[probe]\npath = \"/how-busy\"\ntime = \"10s\"\n"))
-	set := newCurrentSettings(c.Settings)
-	p, to := newPool(c, set), &upstream.Route{Addr: addr}
-	defer p.CloseIdleConnections(to, false)
+	current := newCurrentSettings(c.Settings)
+	pool, route := newPool(c, current), &upstream.Route{Addr: addr}
+	defer pool.CloseIdleConnections(route, false)
 	probe := func() (balance.Result, *balance.Load) {
-		return p.Probe(to, c.ProbePath(set.Load()), set.Load().Probe.Timeout)
+		return pool.Probe(route, c.ProbePath(current.Load()), current.Load().Probe.Timeout)
 	}
 	if got, load := probe(); <-paths != "/how-busy" || got != balance.OK || load.InFlight != 3 {
-		t.Errorf("%d %+v", got, load)
+		t.Errorf("result %d, load %+v", got, load)
 	}
-	set.Store(parseSettings(t, "[probe]\npath = \"/late\"\ntime = \"5ms\"\n"))
+	current.Store(parseSettings(t, "[probe]\npath = \"/late\"\ntime = \"5ms\"\n"))
 	if got, _ := probe(); <-paths != "/late" || got != balance.Timeout {
-		t.Errorf("%d", got)
+		t.Errorf("late probe: result %d, want a timeout", got)
 	}
 	if got := c.ProbePath(config.DefaultSettings()); got != "/load" {
-		t.Errorf("by default %s", got)
+		t.Errorf("default path %s, want /load", got)
 	}
 	c.BalancerConfig.Reporting = balance.ReportsNone
 	if got := c.ProbePath(config.DefaultSettings()); got != "/healthz" {
-		t.Errorf("without reports %s", got)
+		t.Errorf("path without load reports %s, want /healthz", got)
 	}
 }
 
-// The heap of timers against a sorted list.
+// The heap of timers must behave like a sorted list.
 func TestTimerHeapMatchesSortedList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h timerHeap
 		var model []time.Duration
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
-				at := time.Duration(rapid.IntRange(0, 50).Draw(t, "at"))
-				h.push(scheduledTimer{at, balance.Timer{Ref: uint64(at)}})
-				model = append(model, at)
+				dueAt := time.Duration(rapid.IntRange(0, 50).Draw(t, "at"))
+				h.push(scheduledTimer{dueAt, balance.Timer{Ref: uint64(dueAt)}})
+				model = append(model, dueAt)
 				slices.Sort(model)
 			},
 			"pop": func(t *rapid.T) {
@@ -125,7 +128,7 @@
 	})
 }
 
-// waitUntilDrained waits until an engine holds no call.
+// waitUntilDrained waits until an engine holds no call and no attempt.
 func waitUntilDrained(t *testing.T, e *Engine) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -134,38 +137,39 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("left: %+v", s)
+			t.Fatalf("calls or attempts remain: %+v", s)
 		}
 	}
 }
 
-// A call whose goroutine carries an attempt is answered at once when another attempt, or the
-// balancer, has the answer; the attempt goes on elsewhere and leaves nothing behind.
+// Serve must return as soon as a call has its final result from another attempt or from the balancer,
+// even while its own goroutine runs an attempt. That attempt must continue in the background and leave
+// nothing behind. Without the interrupt, Serve would wait for the attempt.
 func TestServeReturnsWhileItsInlineAttemptContinues(t *testing.T) {
-	began, finish := make(chan struct{}, 1), make(chan struct{})
+	started, finish := make(chan struct{}, 1), make(chan struct{})
 	release := sync.OnceFunc(func() { close(finish) })
 	var first atomic.Bool
 	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		if first.CompareAndSwap(false, true) { // so that a connection stands idle
+		if first.CompareAndSwap(false, true) { // leaves an idle connection, so that the next attempt runs inline
 			return
 		}
-		began <- struct{}{}
+		started <- struct{}{}
 		<-finish
 	})))
-	defer release() // before the node's end, which waits for its handlers
+	defer release() // before the server's cleanup, which waits for its handlers
 	c := newCall(t, e, testTimeout)
 	if f := e.Serve(c, false); f.ServedBy == nil {
 		t.Fatalf("%+v", f)
 	}
 	e.ReleaseCall(c)
-	c = newCall(t, e, 10*testTimeout) // its own end must not pass for the answer
+	c = newCall(t, e, 10*testTimeout) // so long that the attempt's own timeout can't be mistaken for the final result
 	finals := make(chan FinalResult, 1)
 	go func() { finals <- e.Serve(c, false) }()
-	waitFor(t, began, "attempt")
+	waitFor(t, started, "attempt")
 	e.mu.Lock()
 	if c.inlineAttempt == nil {
-		t.Error("the call's goroutine does not carry the attempt")
+		t.Error("the serving goroutine does not run the attempt")
 	}
 	e.finishCall(c, FinalResult{Refused: true}, "the test")
 	e.mu.Unlock()
@@ -175,52 +179,55 @@
 			t.Errorf("%+v", f)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("it waits for its own attempt")
+		t.Fatal("Serve waits for its own attempt")
 	}
 	e.ReleaseCall(c)
 	release()
 	waitUntilDrained(t, e)
 }
 
-// What has its answer before its first byte went out stays here.
+// An attempt must not be sent if its call is finished before the first byte, here because the caller
+// disconnects between the balancer's decision and the sending.
 func TestFinishedCallSendsNoAttempt(t *testing.T) {
-	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it went out") })))
+	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("the attempt was sent") })))
 	c := newCall(t, e, testTimeout)
-	x, answered := e.startCall(c, false)
-	if x == nil || answered {
-		t.Fatalf("%v %v: no attempt to carry", x, answered)
+	a, finished := e.startCall(c, false)
+	if a == nil || finished {
+		t.Fatalf("attempt %v, finished %v: no attempt to run", a, finished)
 	}
-	e.abandon(c, "the test") // its caller goes between the decision and the first byte
-	x.ConnectAndRun()
-	if _, answered := e.attemptEnded(x); !answered || x.Result() != balance.NotSent {
-		t.Errorf("answered %v, result %d", answered, x.Result())
+	e.abandon(c, "the test")
+	a.ConnectAndRun()
+	if _, finished := e.attemptEnded(a); !finished || a.Result() != balance.NotSent {
+		t.Errorf("finished %v, result %d", finished, a.Result())
 	}
 	waitUntilDrained(t, e)
 }
 
-// A call that is abandoned before the engine has it is never handed to the balancer.
+// A call must not reach the balancer if its caller disconnects before Serve has started it, whether
+// Cancel or the argument of Serve reports that.
 func TestServeSkipsBalancerForDisconnectedCaller(t *testing.T) {
 	e := newEngine(t, fake.EndpointList("127.0.0.1:1"))
-	for _, early := range []bool{false, true} {
+	for _, canceled := range []bool{false, true} {
 		c := newCall(t, e, testTimeout)
-		if early {
+		if canceled {
 			c.Cancel()
 		}
-		if f := e.Serve(c, !early); f.ServedBy != nil || f.Refused || e.Stats().CallsTotal != 0 {
+		if f := e.Serve(c, !canceled); f.ServedBy != nil || f.Refused || e.Stats().CallsTotal != 0 {
 			t.Errorf("%+v, %+v", f, e.Stats())
 		}
 		e.ReleaseCall(c)
 	}
 }
 
-// A call that nobody takes fails when its caller's time is up, whatever the balancer does.
+// A call must fail at its own deadline when no endpoint responds, even if the balancer assumes a later
+// one and does nothing.
 func TestCallFailsAtCallerDeadline(t *testing.T) {
 	e := newEngine(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})))
 	c := newCall(t, e, testTimeout)
-	c.Deadline = time.Now().Add(50 * time.Millisecond) // sooner than the balancer is told
+	c.Deadline = time.Now().Add(50 * time.Millisecond) // earlier than the Timeout that the balancer goes by
 	if f := e.Serve(c, false); f.ServedBy != nil || f.Refused {
 		t.Errorf("%+v", f)
 	}
@@ -228,13 +235,13 @@
 	waitUntilDrained(t, e)
 }
 
-// What an endpoint has begun to read goes on as the endpoint drains; what has not gone out by
-// then goes to another.
+// An attempt that has been sent must run to its end although its endpoint starts to drain meanwhile. (One
+// that has not been sent by then goes to another endpoint.)
 func TestAttemptInFlightCompletesWhileEndpointDrains(t *testing.T) {
-	began, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	list := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		close(began)
+		close(started)
 		<-finish
 		io.WriteString(w, "old")
 	}))
@@ -242,7 +249,7 @@
 	c := newCall(t, e, testTimeout)
 	finals := make(chan FinalResult, 1)
 	go func() { finals <- e.Serve(c, false) }()
-	waitFor(t, began, "attempt")
+	waitFor(t, started, "attempt")
 	list.Instances[0].Lifecycle = "draining"
 	e.UpdateEndpoints(&list)
 	close(finish)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine has the decision module decide. It owns the module and its clock, hands it what
-// happens under one lock, and carries out what it says: attempts by way of upstream, probes,
-// timers, final answers. It knows nothing of callers' connections: whoever has a request hands
-// it a [Call] and gets a [Final].
+// Package engine drives the balancer: it owns the [balance.Balancer] and its clock, passes every
+// event to it under one lock, and carries out the actions that it returns: attempts and probes
+// through package upstream, timers, and final results. It is independent of callers' connections:
+// whoever has a request passes it in as a [Call] and gets a [FinalResult].
 package engine
 
 import (
@@ -20,16 +20,17 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// Engine owns the balancer. Every event goes to it under one lock, and its
-// actions are started there in their order; none waits for I/O.
+// Engine owns the balancer. Every event is handled under one lock, and the
+// resulting actions are started there in order; none of them waits for I/O.
+// It is safe for concurrent use.
 type Engine struct {
-	clockOrigin        time.Time // of the module's clock, which read epoch then
-	clockEpoch         time.Duration
+	clockOrigin        time.Time     // the instant at which the balancer's clock read clockEpoch
+	clockEpoch         time.Duration // Unix time at clockOrigin
 	pool               *upstream.Pool
 	cfg                *config.Config
 	settings           *currentSettings
-	subscribeRequested chan struct{} // the module wants a watch
-	ready              atomic.Bool   // it knows of endpoints
+	subscribeRequested chan struct{} // holds a value when the balancer has requested a watch
+	ready              atomic.Bool   // at least one endpoint has been known
 	callPool           sync.Pool     // of *Call
 
 	mu               sync.Mutex
@@ -38,31 +39,31 @@
 	endpoints        map[balance.EndpointID]*endpoint
 	calls            map[balance.RequestID]*Call
 	lastRequestID    balance.RequestID
-	actions          []balance.Action
-	eventTime        time.Duration // of the event whose actions are carried out
+	actions          []balance.Action // reused from event to event
+	eventTime        time.Duration    // of the event whose actions are being carried out, on the balancer's clock
 	pendingTimers    timerHeap
-	timer            *time.Timer
-	timerSetFor      time.Duration // what the clock is set for, 0 for nothing
+	timer            *time.Timer   // fires for the earliest of pendingTimers
+	timerSetFor      time.Duration // when timer fires, on the balancer's clock; 0 if it isn't set
 	startTimes       startTimeEstimator
-	shutdownDeadline time.Time // by which every call is answered, zero for no such time
+	shutdownDeadline time.Time // every call fails that is still open then; zero if no shutdown is under way
 }
 
-// endpoint is where an endpoint is reached.
+// endpoint is an endpoint that is listed, or that still has an attempt or a probe in flight.
 type endpoint struct {
 	route     *upstream.Route
 	name      string
-	startedAt time.Duration // on the module's clock, 0 for long ago
+	startedAt time.Duration // on the balancer's clock; 0 if unknown, and then long ago
 
-	// reportedStart is what lists tell of that, in Unix time.
+	// reportedStart is the start time that discovery's lists give, as Unix time.
 	reportedStart    time.Duration
-	routeClosed      bool // its route keeps no connections
-	outOfService     bool // it drains or is gone
+	routeClosed      bool // the route keeps no idle connections any more
+	outOfService     bool // draining or removed
 	removed          bool
-	inFlightCount    int // attempts and probes that are out
+	inFlightCount    int // attempts and probes in flight
 	inFlightAttempts []*attempt
 }
 
-// New returns an Engine that knows the list in its configuration.
+// New returns an Engine that starts with the endpoint list in its configuration.
 func New(c *config.Config) (*Engine, error) {
 	b, err := balance.New(c.BalancerConfig, c.Seed)
 	if err != nil {
@@ -76,33 +77,34 @@
 		endpoints: make(map[balance.EndpointID]*endpoint),
 		calls:     make(map[balance.RequestID]*Call),
 	}
-	// The module's clock goes on from Unix time without steps, so that the time an
-	// endpoint started needs no conversion and is the same in every list.
+	// The balancer's clock starts at Unix time and is monotonic from then on. An endpoint's start
+	// time, which lists give as Unix time, thus needs no conversion and is the same in every list.
 	e.clockEpoch = time.Duration(e.clockOrigin.UnixNano())
 	e.applyList(balance.ListLastKnown, &c.KnownEndpoints)
 	return e, nil
 }
 
-// newPool returns the pool of a sidecar.
+// newPool returns the sidecar's pool of connections to endpoints.
 func newPool(c *config.Config, settings *currentSettings) *upstream.Pool {
-	keep := c.KeepAliveTimeout()
+	keepAlive := c.KeepAliveTimeout()
 	return upstream.NewPool(upstream.Config{
 		MaxConnections: c.MaxEndpointConnections(), ConnectTimeout: c.ConnectTimeout(),
-		// Idle connections must close here first: a request written as the endpoint closes is
-		// reset, and may have run for all that is known.
-		IdleTimeout: keep - keep/10,
+		// The sidecar must close idle connections before the endpoint does: a request that is written
+		// while the endpoint closes is reset, and may have run as far as the sidecar can tell.
+		IdleTimeout: keepAlive - keepAlive/10,
 		ResponseLimits: func() upstream.ResponseLimits {
-			most, flows := &settings.Load().Endpoints, &settings.Load().Streams
+			buffered, streamed := &settings.Load().Endpoints, &settings.Load().Streams
 			return upstream.ResponseLimits{
-				HeadBytes: int(most.MaxResponseHead), BufferedBodyBytes: int64(most.MaxResponseBody),
-				StreamedBodyBytes: int64(flows.MaxResponseBody), PrefetchBytes: int64(flows.ResponseCommitThreshold), StreamUnknownLength: flows.MaxResponseBody > 0 && flows.ChunkedEnabled(),
+				HeadBytes: int(buffered.MaxResponseHead), BufferedBodyBytes: int64(buffered.MaxResponseBody),
+				StreamedBodyBytes: int64(streamed.MaxResponseBody), PrefetchBytes: int64(streamed.ResponseCommitThreshold), StreamUnknownLength: streamed.MaxResponseBody > 0 && streamed.ChunkedEnabled(),
 			}
 		},
 		NewRateMeter: func() transferrate.Meter { return settings.Load().Streams.RateMeter() },
 	})
 }
 
-// SetShutdownDeadline has every call that is open, or begins, answered by a time: one that is still open then has failed.
+// SetShutdownDeadline sets the time by which every call, open or new, must have its final result. Calls that
+// are still open then fail.
 func (e *Engine) SetShutdownDeadline(t time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,51 +113,53 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		for _, c := range slices.Collect(maps.Values(e.calls)) {
-			e.abandonLocked(c, "the shutdown's time is up")
+			e.abandonLocked(c, "the shutdown deadline passed")
 		}
 	})
 }
 
-// now is the time on the module's clock.
+// now returns the current time on the balancer's clock.
 func (e *Engine) now() time.Duration { return e.clockEpoch + time.Since(e.clockOrigin) }
 
-// toTime is a time of the module's clock.
+// toTime converts a time on the balancer's clock.
 func (e *Engine) toTime(t time.Duration) time.Time { return e.clockOrigin.Add(t - e.clockEpoch) }
 
-// handleEvent gives the balancer an event and starts its actions.
-func (e *Engine) handleEvent(f func(now time.Duration, acts []balance.Action) []balance.Action) {
-	e.handleEventAt(e.now(), f)
+// handleEvent passes an event that happens now to the balancer and starts the resulting actions.
+// The caller must hold e.mu; the same goes for every method below that doesn't lock it.
+func (e *Engine) handleEvent(apply func(now time.Duration, actions []balance.Action) []balance.Action) {
+	e.handleEventAt(e.now(), apply)
 }
 
-// handleEventAt is event where the time is known.
-func (e *Engine) handleEventAt(now time.Duration, f func(now time.Duration, acts []balance.Action) []balance.Action) {
+// handleEventAt is handleEvent for an event at a given time on the balancer's clock.
+func (e *Engine) handleEventAt(now time.Duration, apply func(now time.Duration, actions []balance.Action) []balance.Action) {
 	e.eventTime = now
-	e.actions = f(now, e.actions[:0])
+	e.actions = apply(now, e.actions[:0])
 	for i := range e.actions {
 		e.execute(&e.actions[i])
 	}
 	e.setTimer()
 }
 
-func (e *Engine) execute(a *balance.Action) {
-	switch a.Kind {
+// execute starts one action of the balancer.
+func (e *Engine) execute(action *balance.Action) {
+	switch action.Kind {
 	case balance.Send:
-		e.startAttempt(a)
+		e.startAttempt(action)
 	case balance.Cancel:
-		if c := e.calls[a.Request]; c != nil && a.Attempt < len(c.attempts) {
-			c.attempts[a.Attempt].Cancel(upstream.ErrCanceled)
+		if c := e.calls[action.Request]; c != nil && action.Attempt < len(c.attempts) {
+			c.attempts[action.Attempt].Cancel(upstream.ErrCanceled)
 		}
 	case balance.Shed:
-		e.finishCall(e.calls[a.Request], FinalResult{Refused: true, RetryAfter: a.Delay}, "the balancer")
+		e.finishCall(e.calls[action.Request], FinalResult{Refused: true, RetryAfter: action.Delay}, "the balancer")
 	case balance.Fail:
-		e.finishCall(e.calls[a.Request], FinalResult{}, "the balancer")
+		e.finishCall(e.calls[action.Request], FinalResult{}, "the balancer")
 	case balance.SetTimer:
-		e.pendingTimers.push(scheduledTimer{e.eventTime + a.Delay, a.Timer})
+		e.pendingTimers.push(scheduledTimer{e.eventTime + action.Delay, action.Timer})
 	case balance.Probe:
-		e.startProbe(a.Endpoint)
+		e.startProbe(action.Endpoint)
 	case balance.CloseIdle:
-		if to := e.endpoints[a.Endpoint]; to != nil {
-			e.pool.CloseIdleConnections(to.route, !to.outOfService)
+		if ep := e.endpoints[action.Endpoint]; ep != nil {
+			e.pool.CloseIdleConnections(ep.route, !ep.outOfService)
 		}
 	case balance.Subscribe:
 		select {
@@ -165,86 +169,92 @@
 	}
 }
 
-// startProbe starts a probe. Nothing new goes to an endpoint that has left, not even that.
+// startProbe starts a probe in a goroutine of its own. An endpoint out of service gets no new
+// traffic, not even a probe: its probe ends as not sent.
 func (e *Engine) startProbe(id balance.EndpointID) {
-	to := e.endpoints[id]
-	if to == nil {
+	ep := e.endpoints[id]
+	if ep == nil {
 		return
 	}
-	to.inFlightCount++
-	way, left := to.route, to.outOfService
+	ep.inFlightCount++
+	route, outOfService := ep.route, ep.outOfService
 	go func() {
 		result, load := balance.NotSent, (*balance.Load)(nil)
-		if !left {
-			set := e.settings.Load()
-			result, load = e.pool.Probe(way, e.cfg.ProbePath(set), set.Probe.Timeout)
+		if !outOfService {
+			settings := e.settings.Load()
+			result, load = e.pool.Probe(route, e.cfg.ProbePath(settings), settings.Probe.Timeout)
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
-			return e.balancer.ProbeEnded(now, id, result, load, acts)
+		e.handleEvent(func(now time.Duration, actions []balance.Action) []balance.Action {
+			return e.balancer.ProbeEnded(now, id, result, load, actions)
 		})
-		e.releaseEndpoint(id, to)
+		e.releaseEndpoint(id, ep)
 	}()
 }
 
-// releaseEndpoint ends a use of an endpoint. The last one of an endpoint that is gone drops it, as the
-// balancer does: over a long day there are ever new ones.
-func (e *Engine) releaseEndpoint(id balance.EndpointID, to *endpoint) {
-	to.inFlightCount--
-	e.dropEndpointIfUnused(id, to)
+// releaseEndpoint ends an attempt's or a probe's use of an endpoint. The last release drops a
+// removed endpoint, as the balancer does: over a long run new endpoints keep appearing, and the
+// table would grow without bound.
+func (e *Engine) releaseEndpoint(id balance.EndpointID, ep *endpoint) {
+	ep.inFlightCount--
+	e.dropEndpointIfUnused(id, ep)
 }
 
-func (e *Engine) dropEndpointIfUnused(id balance.EndpointID, to *endpoint) {
-	if to.removed && to.inFlightCount == 0 && e.endpoints[id] == to {
+// dropEndpointIfUnused drops a removed endpoint that has no attempt or probe in flight.
+func (e *Engine) dropEndpointIfUnused(id balance.EndpointID, ep *endpoint) {
+	if ep.removed && ep.inFlightCount == 0 && e.endpoints[id] == ep {
 		delete(e.endpoints, id)
-		e.ids.release(to.name)
+		e.ids.release(ep.name)
 	}
 }
 
-// SubscribeRequested has something in it when the module wants the list to be watched.
+// SubscribeRequested returns a channel that holds a value when the balancer has requested a watch
+// of the endpoint list.
 func (e *Engine) SubscribeRequested() <-chan struct{} { return e.subscribeRequested }
 
-// Ready tells whether any endpoint is known.
+// Ready reports whether any endpoint has been known since the start.
 func (e *Engine) Ready() bool { return e.ready.Load() }
 
-// Settings are those at hand; SIGHUP may bring others.
+// Settings returns the current settings. A reload (SIGHUP) replaces them; they must not be modified.
 func (e *Engine) Settings() *config.Settings { return e.settings.Load() }
 
-// LookupEndpoint tells where an endpoint is that the list names, and whether it is in service.
+// LookupEndpoint returns the address of the endpoint that discovery lists under a name, and
+// reports whether it is in service and whether it is known at all.
 func (e *Engine) LookupEndpoint(name string) (addr string, inService, known bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	to := e.endpoints[e.ids.byName[name]]
-	if to == nil || to.name != name {
+	ep := e.endpoints[e.ids.byName[name]]
+	if ep == nil || ep.name != name {
 		return "", false, false
 	}
-	return to.route.Addr, !to.outOfService, true
+	return ep.route.Addr, !ep.outOfService, true
 }
 
-// Stats are what the engine holds.
+// Stats are counts of what the engine holds.
 type Stats struct {
-	CallsTotal       int // calls in all
-	OpenCalls        int // that are open, or have an attempt out
-	AttemptsInFlight int // that are out
-	WaitingExchanges int // exchanges that wait for a connection to be closed
-	Endpoints        int // that are known, or have an attempt or probe out
-	EndpointNames    int // of endpoints
+	CallsTotal       int // calls passed to the balancer since the start
+	OpenCalls        int // calls without a final result, or with an attempt in flight
+	AttemptsInFlight int
+	WaitingExchanges int // exchanges that wait for another's connection to be closed
+	Endpoints        int // endpoints that are known, or have an attempt or probe in flight
+	EndpointNames    int // endpoint names that have an ID
 }
 
-// Stats counts what the engine holds.
+// Stats returns the current counts.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := Stats{CallsTotal: int(e.lastRequestID), OpenCalls: len(e.calls), Endpoints: len(e.endpoints), EndpointNames: max(len(e.ids.byName), len(e.ids.used)),
 		WaitingExchanges: e.pool.WaitingExchanges()}
-	for _, to := range e.endpoints {
-		s.AttemptsInFlight += len(to.inFlightAttempts)
+	for _, ep := range e.endpoints {
+		s.AttemptsInFlight += len(ep.inFlightAttempts)
 	}
 	return s
 }
 
-// UpdateEndpoints takes a list from discovery.
+// UpdateEndpoints applies a list from discovery, full or of changes. The list must have passed
+// [discovery.List.Check].
 func (e *Engine) UpdateEndpoints(l *discovery.List) {
 	kind := balance.ListChanges
 	if l.Full {
@@ -253,57 +263,58 @@
 	e.applyList(kind, l)
 }
 
-// RecordDiscoveryResponse notes that discovery has answered, also where it had no news.
+// RecordDiscoveryResponse records that discovery has responded now, with or without changes.
 func (e *Engine) RecordDiscoveryResponse() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.startTimes.lastResponseAt = e.now()
 }
 
-// RecordDiscoveryFailure tells the balancer that a call to discovery has failed.
+// RecordDiscoveryFailure notifies the balancer that a discovery request has failed.
 func (e *Engine) RecordDiscoveryFailure() { e.applyList(balance.ListUnavailable, &discovery.List{}) }
 
+// applyList updates the endpoints and the balancer from a list. It locks e.mu.
 func (e *Engine) applyList(kind balance.ListKind, l *discovery.List) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if kind == balance.ListFull || kind == balance.ListLastKnown {
-		for _, to := range e.endpoints {
-			to.outOfService, to.removed = true, true
+		for _, ep := range e.endpoints {
+			ep.outOfService, ep.removed = true, true
 		}
 	}
 	entries := e.ids.listEntries(l)
 	list := make([]balance.Endpoint, len(entries))
 	now := e.now()
-	for i, in := range entries {
-		to := e.endpoints[in.ID]
-		reported := in.StartedAt
-		in.StartedAt = e.startTimes.startTime(reported, now, to)
-		list[i] = in.Endpoint
-		if to == nil {
-			to = &endpoint{name: in.name, route: &upstream.Route{Addr: in.addr}, startedAt: in.StartedAt}
-			e.endpoints[in.ID] = to
+	for i, entry := range entries {
+		ep := e.endpoints[entry.ID]
+		reportedStart := entry.StartedAt
+		entry.StartedAt = e.startTimes.startTime(reportedStart, now, ep)
+		list[i] = entry.Endpoint
+		if ep == nil {
+			ep = &endpoint{name: entry.name, route: &upstream.Route{Addr: entry.addr}, startedAt: entry.StartedAt}
+			e.endpoints[entry.ID] = ep
 		}
-		to.reportedStart = reported
-		// Connections to the old address or process are of no more use; one to a machine
-		// that vanished may stay open and silent, and the next request on it would be lost.
-		addr := cmp.Or(in.addr, to.route.Addr)
-		if addr != to.route.Addr || in.StartedAt != to.startedAt || to.routeClosed && in.State == balance.InService {
-			e.pool.CloseIdleConnections(to.route, false)
-			to.route, to.startedAt, to.routeClosed = &upstream.Route{Addr: addr}, in.StartedAt, false
+		ep.reportedStart = reportedStart
+		// Connections to the previous address or process must not be reused: one to a machine that
+		// vanished may stay open and silent, and the next request on it would be lost.
+		addr := cmp.Or(entry.addr, ep.route.Addr)
+		if addr != ep.route.Addr || entry.StartedAt != ep.startedAt || ep.routeClosed && entry.State == balance.InService {
+			e.pool.CloseIdleConnections(ep.route, false)
+			ep.route, ep.startedAt, ep.routeClosed = &upstream.Route{Addr: addr}, entry.StartedAt, false
 		}
-		to.outOfService, to.removed = in.State != balance.InService, in.State == balance.Removed
-		slog.Debug("endpoint", "name", in.name, "version", l.Generation, "whole list", kind != balance.ListChanges,
-			"in service", !to.outOfService, "gone", to.removed)
+		ep.outOfService, ep.removed = entry.State != balance.InService, entry.State == balance.Removed
+		slog.Debug("endpoint", "name", entry.name, "version", l.Generation, "whole list", kind != balance.ListChanges,
+			"in service", !ep.outOfService, "gone", ep.removed)
 	}
-	e.handleEvent(func(now time.Duration, acts []balance.Action) []balance.Action {
-		return e.balancer.EndpointsUpdated(now, kind, list, acts)
+	e.handleEvent(func(now time.Duration, actions []balance.Action) []balance.Action {
+		return e.balancer.EndpointsUpdated(now, kind, list, actions)
 	})
 	if len(e.endpoints) > 0 {
 		e.ready.Store(true)
 	}
 	if kind == balance.ListChanges {
-		for _, in := range entries {
-			e.withdrawIfOutOfService(in.ID)
+		for _, entry := range entries {
+			e.withdrawIfOutOfService(entry.ID)
 		}
 		return
 	}
@@ -312,17 +323,18 @@
 	}
 }
 
-// withdrawIfOutOfService carries out what follows for an endpoint from a list, if it has left. What waits for a
-// connection to it must not go out once it has one.
+// withdrawIfOutOfService cancels what has not been sent yet to an endpoint that is out of service,
+// closes its idle connections, and drops it if it is removed and unused. An attempt that waits for a
+// connection to it must not be sent once the connection is up.
 func (e *Engine) withdrawIfOutOfService(id balance.EndpointID) {
-	to := e.endpoints[id]
-	if to == nil || !to.outOfService {
+	ep := e.endpoints[id]
+	if ep == nil || !ep.outOfService {
 		return
 	}
-	for _, x := range to.inFlightAttempts {
-		x.CancelUnsent()
+	for _, a := range ep.inFlightAttempts {
+		a.CancelUnsent()
 	}
-	e.pool.CloseIdleConnections(to.route, false)
-	to.routeClosed = true
-	e.dropEndpointIfUnused(id, to)
+	e.pool.CloseIdleConnections(ep.route, false)
+	ep.routeClosed = true
+	e.dropEndpointIfUnused(id, ep)
 }
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -11,13 +11,14 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-// idTable gives instances and zones the numbers by which the module knows them.
+// idTable maps the names of instances and zones to the numbers by which the balancer identifies them.
 type idTable struct {
 	byName          map[string]balance.EndpointID
-	used            map[balance.EndpointID]bool
-	configuredZones []string // those of the settings
+	used            map[balance.EndpointID]bool // the IDs in byName
+	configuredZones []string                    // the zones of the settings, numbered by their index
 }
 
+// newIDTable returns a table without instances.
 func newIDTable(zones []string) *idTable {
 	return &idTable{
 		byName:          make(map[string]balance.EndpointID),
@@ -26,61 +27,62 @@
 	}
 }
 
-// endpointID hashes an instance's name, so that every sidecar has the same number for
-// it, also after a restart. A name whose number is taken is hashed again.
-func (n *idTable) endpointID(name string) balance.EndpointID {
-	if id, ok := n.byName[name]; ok {
+// endpointID returns the ID of an instance, and assigns one to a new name. The ID is a hash of the
+// name, so that every sidecar uses the same ID, also after a restart. On a collision the name is
+// appended to the hash's input until the ID is free.
+func (t *idTable) endpointID(name string) balance.EndpointID {
+	if id, ok := t.byName[name]; ok {
 		return id
 	}
 	h := fnv.New32a()
 	for {
 		io.WriteString(h, name)
-		if id := balance.EndpointID(h.Sum32()); !n.used[id] {
-			n.byName[name], n.used[id] = id, true
+		if id := balance.EndpointID(h.Sum32()); !t.used[id] {
+			t.byName[name], t.used[id] = id, true
 			return id
 		}
 	}
 }
 
-// release drops an instance that is gone.
-func (n *idTable) release(name string) {
-	delete(n.used, n.byName[name])
-	delete(n.byName, name)
+// release frees the ID of an instance that has been removed.
+func (t *idTable) release(name string) {
+	delete(t.used, t.byName[name])
+	delete(t.byName, name)
 }
 
-// zoneIndex returns a zone's index. One that the settings don't name is told by its hash: a
-// number for each would be one more thing that grows with what discovery says.
-func (n *idTable) zoneIndex(name string) int {
-	if i := slices.Index(n.configuredZones, name); i >= 0 {
+// zoneIndex returns the number of a zone. A zone that the settings don't name is numbered by a hash of
+// its name: a table of such zones would grow without bound with what discovery reports.
+func (t *idTable) zoneIndex(name string) int {
+	if i := slices.Index(t.configuredZones, name); i >= 0 {
 		return i
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	return len(n.configuredZones) + int(h.Sum32())
+	return len(t.configuredZones) + int(h.Sum32())
 }
 
-// listEntry is one endpoint of a list and its address.
+// listEntry is one endpoint of a list, with its name and address (HOST:PORT).
 type listEntry struct {
 	balance.Endpoint
 	name, addr string
 }
 
-// listEntries translates a list that has passed its check. It goes by name, so that
-// two names with one hash get the same numbers at every sidecar. The module's
-// clock reads Unix time, see Engine.
-func (n *idTable) listEntries(l *discovery.List) []listEntry {
-	list := slices.Clone(l.Instances)
-	slices.SortStableFunc(list, func(x, y discovery.Instance) int { return cmp.Compare(x.ID, y.ID) })
-	out := make([]listEntry, len(list))
-	for i, in := range list {
+// listEntries converts a list that has passed [discovery.List.Check]. It sorts the instances by name, so
+// that names with the same hash get the same IDs at every sidecar. StartedAt is in Unix time, which needs no
+// conversion to the balancer's clock, see [New].
+func (t *idTable) listEntries(l *discovery.List) []listEntry {
+	instances := slices.Clone(l.Instances)
+	slices.SortStableFunc(instances, func(x, y discovery.Instance) int { return cmp.Compare(x.ID, y.ID) })
+	entries := make([]listEntry, len(instances))
+	for i, instance := range instances {
 		weight := 1.0
-		if in.Weight != nil {
-			weight = *in.Weight
+		if instance.Weight != nil {
+			weight = *instance.Weight
 		}
-		out[i] = listEntry{name: in.ID, addr: in.HostPort, Endpoint: balance.Endpoint{
-			ID: n.endpointID(in.ID), Zone: n.zoneIndex(in.Zone), Cell: in.Cell, State: discovery.StatesByLifecycle[in.Lifecycle],
-			Weight: weight, StartedAt: time.Duration(in.StartedAtUnixMilli) * time.Millisecond,
+		entries[i] = listEntry{name: instance.ID, addr: instance.HostPort, Endpoint: balance.Endpoint{
+			ID: t.endpointID(instance.ID), Zone: t.zoneIndex(instance.Zone), Cell: instance.Cell, State: discovery.StatesByLifecycle[instance.Lifecycle],
+			Weight: weight, StartedAt: time.Duration(instance.StartedAtUnixMilli) * time.Millisecond,
 		}}
 	}
-	return out
+	return entries
 }
--- a/internal/engine/ids_test.go
+++ b/internal/engine/ids_test.go
@@ -11,8 +11,8 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// Every sidecar has the same number for an endpoint, whatever the order of the list,
-// and two names with one hash have two numbers.
+// All sidecars must use the same ID for an endpoint, whatever the order of the list, and two names
+// with the same hash must get different IDs.
 func TestEndpointIDsAreStableAndUnique(t *testing.T) {
 	hash := func(s string) uint32 {
 		h := fnv.New32a()
@@ -20,11 +20,11 @@
 		return h.Sum32()
 	}
 	seen := make(map[uint32]string)
-	var twins []string
-	for i := 0; twins == nil; i++ {
+	var colliding []string // two names with the same hash
+	for i := 0; colliding == nil; i++ {
 		name := fmt.Sprint("s-", i)
 		if other, ok := seen[hash(name)]; ok {
-			twins = []string{other, name}
+			colliding = []string{other, name}
 		}
 		seen[hash(name)] = name
 	}
@@ -35,32 +35,33 @@
 		}
 		return l
 	}
-	one, other := newIDTable(nil), newIDTable(nil)
-	a, b := one.listEntries(list(twins[0], "x", twins[1])), other.listEntries(list(twins[1], twins[0], "x"))
+	first, second := newIDTable(nil), newIDTable(nil)
+	a, b := first.listEntries(list(colliding[0], "x", colliding[1])), second.listEntries(list(colliding[1], colliding[0], "x"))
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v and %+v differ", a, b)
 	}
-	if one.endpointID(twins[0]) == one.endpointID(twins[1]) {
-		t.Errorf("%v share a number", twins)
+	if first.endpointID(colliding[0]) == first.endpointID(colliding[1]) {
+		t.Errorf("%v have the same ID", colliding)
 	}
-	if again := one.listEntries(list(twins[1])); again[0].ID != one.endpointID(twins[1]) {
-		t.Error("a number changed")
+	if again := first.listEntries(list(colliding[1])); again[0].ID != first.endpointID(colliding[1]) {
+		t.Error("an ID changed")
 	}
 }
 
-// The start of an endpoint, in Unix time, is at its place on the module's clock.
+// An endpoint's start time, which a list gives in Unix time, must mean the same instant on the
+// balancer's clock; otherwise the balancer takes endpoints for newer or older than they are.
 func TestEndpointStartTimeIsOnBalancerClock(t *testing.T) {
-	l := fake.EndpointList("127.0.0.1:2")
-	l.Instances[0].StartedAtUnixMilli = time.Now().Add(-time.Minute).UnixMilli()
-	e, err := New(fake.NewConfig(t, l))
+	list := fake.EndpointList("127.0.0.1:2")
+	list.Instances[0].StartedAtUnixMilli = time.Now().Add(-time.Minute).UnixMilli()
+	e, err := New(fake.NewConfig(t, list))
 	if err != nil {
 		t.Fatal(err)
 	}
-	age := e.now() - e.ids.listEntries(&l)[0].StartedAt
+	age := e.now() - e.ids.listEntries(&list)[0].StartedAt
 	if age < time.Minute || age > time.Minute+testTimeout {
 		t.Errorf("age %v, want a minute", age)
 	}
 	if got := e.toTime(e.now()); time.Until(got).Abs() > testTimeout {
-		t.Errorf("now is %v on the machine's clock", got)
+		t.Errorf("the balancer's current time is %v on the machine's clock", got)
 	}
 }
--- a/internal/engine/starttime.go
+++ b/internal/engine/starttime.go
@@ -2,18 +2,21 @@
 
 import "time"
 
-// maxListDelay is how long after its start an endpoint may come to be listed.
+// maxListDelay is the longest time from an endpoint's start until discovery lists it.
 const maxListDelay = 5 * time.Second
 
-// startTimeEstimator turns the times at which endpoints started, as lists tell them, into times of the module's clock.
-// Lists tell wall-clock times, and a machine's wall clock may be stepped before or while the sidecar runs.
+// startTimeEstimator converts the start times of endpoints that discovery's lists give to the
+// balancer's clock. Lists give wall-clock times, and a machine's wall clock may be stepped before or
+// while the sidecar runs.
 type startTimeEstimator struct {
-	lastResponseAt time.Duration // when discovery last answered, on the module's clock; 0 for not yet
+	lastResponseAt time.Duration // last response from discovery, on the balancer's clock; 0 if there was none
 }
 
-// startTime returns when an endpoint started whose list tells reported now. known is what was made of the same
-// endpoint before, nil for nothing. No start lies ahead. One that is news lies no further back than the last
-// answer of discovery that did not tell of it, and the list's delay.
+// startTime returns when an endpoint started, on the balancer's clock, or 0 if unknown. reported is the
+// Unix time that the list gives, now the current time on the balancer's clock, and known the endpoint as
+// it was before this list, or nil if it is new. While reported stays the same, so does the result. A new
+// start time is never later than now, and no earlier than maxListDelay before the last response from
+// discovery, since that one did not report it.
 func (s *startTimeEstimator) startTime(reported, now time.Duration, known *endpoint) time.Duration {
 	switch {
 	case reported == 0:
--- a/internal/engine/starttime_test.go
+++ b/internal/engine/starttime_test.go
@@ -7,6 +7,8 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
+// An endpoint's slow start must neither end early nor last longer if the sidecar's wall clock was off by
+// a step when the sidecar started: start times in lists are wall-clock times of another machine.
 func TestSteppedWallClockDoesNotChangeSlowStart(t *testing.T) {
 	for name, step := range map[string]time.Duration{
 		"no step": 0, "an hour ahead": time.Hour, "an hour behind": -time.Hour, "seconds behind": -5 * time.Second,
@@ -14,10 +16,10 @@
 		t.Run(name, func(t *testing.T) {
 			e := newEngine(t, discovery.List{Generation: 1, Full: true})
 			e.RecordDiscoveryResponse()
-			// The list's clock is right, and the sidecar's own was off by the step as it started.
-			started := time.Now().Add(-step)
+			// The clock behind the list is right; the sidecar's own was off by the step when it started.
+			startedAt := time.Now().Add(-step)
 			list := discovery.List{Generation: 2, Instances: []discovery.Instance{
-				{ID: "new", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedAtUnixMilli: started.UnixMilli()},
+				{ID: "new", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedAtUnixMilli: startedAt.UnixMilli()},
 			}}
 			e.UpdateEndpoints(&list)
 			e.mu.Lock()
@@ -25,29 +27,31 @@
 			age := e.now() - first
 			e.mu.Unlock()
 			if age < 0 || age > maxListDelay+time.Second {
-				t.Errorf("it is held to have started %v ago", age)
+				t.Errorf("the endpoint's start time is %v ago", age)
 			}
 			time.Sleep(2 * time.Millisecond)
-			e.UpdateEndpoints(&list) // the same again is the same process
+			e.UpdateEndpoints(&list) // the same start time means the same process
 			e.mu.Lock()
 			again := e.endpoints[e.ids.byName["new"]].startedAt
 			e.mu.Unlock()
 			if again != first {
-				t.Errorf("told again, it has started %v later", again-first)
+				t.Errorf("listed again, its start time moved by %v", again-first)
 			}
 		})
 	}
 }
 
+// Without an earlier response from discovery there is no bound for a start time: an endpoint that has run
+// for long must not be taken for new.
 func TestStartTimeBeforeFirstDiscoveryResponseIsKept(t *testing.T) {
 	e := newEngine(t, discovery.List{Generation: 1, Full: true})
-	told := time.Now().Add(-time.Minute)
+	startedAt := time.Now().Add(-time.Minute)
 	e.UpdateEndpoints(&discovery.List{Generation: 2, Full: true, Instances: []discovery.Instance{
-		{ID: "old", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedAtUnixMilli: told.UnixMilli()},
+		{ID: "old", HostPort: "127.0.0.1:1", Lifecycle: "up", StartedAtUnixMilli: startedAt.UnixMilli()},
 	}})
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if age := e.now() - e.endpoints[e.ids.byName["old"]].startedAt; age < 59*time.Second || age > 61*time.Second {
-		t.Errorf("it is held to have started %v ago, want a minute", age)
+		t.Errorf("the endpoint's start time is %v ago, want a minute", age)
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -6,55 +6,56 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// scheduledTimer is a timer of the module's and when it is due, on its clock.
+// scheduledTimer is a timer that the balancer has set and that has not fired yet.
 type scheduledTimer struct {
-	dueAt time.Duration
+	dueAt time.Duration // on the balancer's clock
 	timer balance.Timer
 }
 
-// timerHeap are those that are not due yet, the earliest first: a binary heap. The module can't
-// take one back, so there are as many as it sets within the longest delay.
+// timerHeap is a binary heap of timers, the earliest first. The balancer can't stop a timer, so the
+// heap holds as many as the balancer sets within the longest delay.
 type timerHeap []scheduledTimer
 
-func (t *timerHeap) push(d scheduledTimer) {
-	h := append(*t, d)
+// push adds a timer.
+func (t *timerHeap) push(timer scheduledTimer) {
+	h := append(*t, timer)
 	i := len(h) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if h[up].dueAt <= h[i].dueAt {
+		parent := (i - 1) / 2
+		if h[parent].dueAt <= h[i].dueAt {
 			break
 		}
-		h[up], h[i] = h[i], h[up]
-		i = up
+		h[parent], h[i] = h[i], h[parent]
+		i = parent
 	}
 	*t = h
 }
 
-// pop removes and returns the earliest.
+// pop removes and returns the earliest timer. The heap must not be empty.
 func (t *timerHeap) pop() scheduledTimer {
 	h := *t
-	first, last := h[0], len(h)-1
+	earliest, last := h[0], len(h)-1
 	h[0] = h[last]
 	h = h[:last]
 	for i := 0; ; {
-		down := 2*i + 1
-		if down >= last {
+		child := 2*i + 1
+		if child >= last {
 			break
 		}
-		if down+1 < last && h[down+1].dueAt < h[down].dueAt {
-			down++
+		if child+1 < last && h[child+1].dueAt < h[child].dueAt {
+			child++
 		}
-		if h[i].dueAt <= h[down].dueAt {
+		if h[i].dueAt <= h[child].dueAt {
 			break
 		}
-		h[i], h[down] = h[down], h[i]
-		i = down
+		h[i], h[child] = h[child], h[i]
+		i = child
 	}
 	*t = h
-	return first
+	return earliest
 }
 
-// setTimer sets the one timer of the engine for the earliest of the module's.
+// setTimer sets the engine's only runtime timer for the earliest timer of the balancer.
 func (e *Engine) setTimer() {
 	if len(e.pendingTimers) == 0 || e.timerSetFor != 0 && e.timerSetFor <= e.pendingTimers[0].dueAt {
 		return
@@ -68,15 +69,15 @@
 	}
 }
 
-// fireDueTimers hands the module the timers that are due.
+// fireDueTimers passes the timers that are due to the balancer.
 func (e *Engine) fireDueTimers() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.timerSetFor = 0
 	for now := e.now(); len(e.pendingTimers) > 0 && e.pendingTimers[0].dueAt <= now; {
-		t := e.pendingTimers.pop().timer
-		e.handleEventAt(now, func(now time.Duration, acts []balance.Action) []balance.Action {
-			return e.balancer.TimerFired(now, t, acts)
+		timer := e.pendingTimers.pop().timer
+		e.handleEventAt(now, func(now time.Duration, actions []balance.Action) []balance.Action {
+			return e.balancer.TimerFired(now, timer, actions)
 		})
 	}
 	e.eventTime = e.now()
