--- a/cmd/barleydrum/arguments_test.go
+++ b/cmd/barleydrum/arguments_test.go
@@ -6,12 +6,14 @@
 	"testing"
 )
 
+// The log level comes from -log-level, else from BARLEYDRUM_LOG_LEVEL, else it is info. Any other
+// level and any further argument must be refused with a message that quotes it.
 func TestLogLevelComesFromFlagThenEnvironment(t *testing.T) {
 	for _, c := range []struct {
-		args   []string
-		env    string
-		want   slog.Level
-		refuse string
+		args    []string
+		env     string
+		want    slog.Level
+		wantErr string
 	}{
 		{nil, "", slog.LevelInfo, ""},
 		{nil, "debug", slog.LevelDebug, ""},
@@ -23,8 +25,8 @@
 		var out strings.Builder
 		opts, err := parseArguments(c.args, func(string) string { return c.env }, &out)
 		switch {
-		case c.refuse != "":
-			if err == nil || !strings.Contains(out.String(), c.refuse) {
+		case c.wantErr != "":
+			if err == nil || !strings.Contains(out.String(), c.wantErr) {
 				t.Errorf("%v %q: %v, %q", c.args, c.env, err, out.String())
 			}
 		case err != nil || opts.logLevel != c.want:
--- a/cmd/barleydrum/main.go
+++ b/cmd/barleydrum/main.go
@@ -1,11 +1,12 @@
-// Command barleydrum is one sidecar: it balances its callers' requests over the
-// endpoints of a tier.
+// Command barleydrum is a sidecar load balancer: it distributes its callers' requests over the
+// endpoints of one tier.
 //
 //	barleydrum [-settings FILE] [-log-level LEVEL]
 //
-// PROXY_CONFIG names the platform's configuration. The operators' file narrows it, and says
-// all where there is none. SIGHUP has both read again, SIGTERM ends the program once what it
-// has taken is answered.
+// The environment variable PROXY_CONFIG names the platform's configuration file. The operators'
+// settings FILE may only narrow it; without a platform configuration, FILE alone configures the
+// program. SIGHUP reloads both files. On SIGTERM or SIGINT the program stops accepting requests,
+// finishes those that it has accepted, and exits.
 package main
 
 import (
@@ -42,48 +43,49 @@
 	}
 }
 
-// options are what the command line says.
+// options are the command-line options.
 type options struct {
-	settingsPath string // the operators' file, empty for none
+	settingsPath string // the operators' settings file, empty if there is none
 	logLevel     slog.Level
 }
 
-// logLevelVariable names the environment variable that sets the log level where no flag does.
+// logLevelVariable is the environment variable that sets the log level when -log-level is not given.
 const logLevelVariable = "BARLEYDRUM_LOG_LEVEL"
 
-// parseArguments reads the command line. It says itself what is wrong with it.
-func parseArguments(args []string, getenv func(string) string, out io.Writer) (options, error) {
+// parseArguments parses the command line. It prints errors, with the usage, to output before it returns them.
+func parseArguments(args []string, getenv func(string) string, output io.Writer) (options, error) {
 	var opts options
-	f := flag.NewFlagSet("barleydrum", flag.ContinueOnError)
-	f.SetOutput(out)
-	f.StringVar(&opts.settingsPath, "settings", "", "the operators' `FILE`; see docs/operators/settings.md")
-	level := f.String("log-level", cmp.Or(getenv(logLevelVariable), slog.LevelInfo.String()),
-		"debug, info, warn or error; debug logs every connection, attempt and answer. Left out: $"+logLevelVariable+", else info. `LEVEL`")
-	if err := f.Parse(args); err != nil {
+	flags := flag.NewFlagSet("barleydrum", flag.ContinueOnError)
+	flags.SetOutput(output)
+	flags.StringVar(&opts.settingsPath, "settings", "", "the operators' `FILE`; see docs/operators/settings.md")
+	level := flags.String("log-level", cmp.Or(getenv(logLevelVariable), slog.LevelInfo.String()),
+		"debug, info, warn or error; debug logs every connection, attempt and response. Default: $"+logLevelVariable+", else info. `LEVEL`")
+	if err := flags.Parse(args); err != nil {
 		return opts, err
 	}
 	err := opts.logLevel.UnmarshalText([]byte(*level))
 	switch {
 	case err != nil:
 		err = fmt.Errorf("log level %q: not debug, info, warn or error", *level)
-	case f.NArg() > 0:
-		err = fmt.Errorf("unknown argument %q", f.Arg(0))
+	case flags.NArg() > 0:
+		err = fmt.Errorf("unknown argument %q", flags.Arg(0))
 	default:
 		return opts, nil
 	}
-	fmt.Fprintf(out, "barleydrum: %v\n", err)
-	f.Usage()
+	fmt.Fprintf(output, "barleydrum: %v\n", err)
+	flags.Usage()
 	return opts, err
 }
 
-// run serves until SIGTERM or SIGINT.
-func run(settings string) error {
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP) // before all else: unhandled it would end the program
+// run runs the sidecar until SIGTERM or SIGINT. settingsPath is the operators' settings file, empty if
+// there is none.
+func run(settingsPath string) error {
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP) // before anything else: an unhandled SIGHUP ends the program
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	source := configLoader{settingsPath: settings, getenv: os.Getenv}
-	cfg, err := source.loadInitial()
+	loader := configLoader{settingsPath: settingsPath, getenv: os.Getenv}
+	cfg, err := loader.loadInitial()
 	if err != nil {
 		return err
 	}
@@ -91,7 +93,7 @@
 	debug.SetMemoryLimit(int64(float64(cfg.Limits.MemoryMB<<20) * cfg.Settings.Limits.HeapShare))
 	slog.SetDefault(slog.With("name", cfg.Name))
 
-	decider, err := engine.New(cfg)
+	eng, err := engine.New(cfg)
 	if err != nil {
 		return err
 	}
@@ -103,25 +105,25 @@
 		}
 		listeners = append(listeners, l)
 	}
-	server, err := sidecar.NewServer(cfg, decider)
+	server, err := sidecar.NewServer(cfg, eng)
 	if err != nil {
 		return err
 	}
-	served := make(chan error, len(listeners))
+	serveErrs := make(chan error, len(listeners))
 	for _, l := range listeners {
-		go func() { served <- server.Serve(l) }()
+		go func() { serveErrs <- server.Serve(l) }()
 	}
-	discovery := sidecar.NewDiscoveryClient(cfg, decider)
-	go discovery.Run(context.Background()) // also while the last requests are answered
+	discoveryClient := sidecar.NewDiscoveryClient(cfg, eng)
+	go discoveryClient.Run(context.Background()) // not ctx: discovery is also needed while the last requests finish
 	go func() {
-		running := settingsReloader{loader: source, startConfig: cfg, lastSettings: cfg.Settings}
-		for range hangup {
-			running.reload(decider, discovery)
+		reloader := settingsReloader{loader: loader, startConfig: cfg, lastSettings: cfg.Settings}
+		for range sighup {
+			reloader.reload(eng, discoveryClient)
 		}
 	}()
 
 	select {
-	case err := <-served:
+	case err := <-serveErrs:
 		return err
 	case <-ctx.Done():
 		server.Shutdown()
--- a/cmd/barleydrum/main_test.go
+++ b/cmd/barleydrum/main_test.go
@@ -14,7 +14,8 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program itself if BARLEYDRUM_TEST_MAIN is set, so that tests can start the test
+// binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("BARLEYDRUM_TEST_MAIN") != "" {
 		main()
@@ -23,6 +24,7 @@
 	os.Exit(m.Run())
 }
 
+// platformConfig is a platform configuration whose addresses tests replace.
 const platformConfig = `{"name": "n1", "listen": "127.83.19.7:1", "discovery": "127.83.19.8:1", "seed": "1f",
 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 "known": {"generation": 1, "reset": true, "instances": [
@@ -30,11 +32,12 @@
 "settings": {"balancers": 1, "zones": ["a"], "discovery": "push", "stepNs": 1000000,
  "classes": [{"name": "read", "goalTimeNs": 100000000, "hardLimitNs": 200000000, "importance": 1, "semantics": "safe"}]}}`
 
-// newProgram prepares the program with a configuration.
-func newProgram(t *testing.T, text string) (*exec.Cmd, *lockedBuffer) {
+// newProgram returns a command that runs the program with a platform configuration, and the buffer for
+// its log. It is not started.
+func newProgram(t *testing.T, configText string) (*exec.Cmd, *lockedBuffer) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(configText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
@@ -44,9 +47,9 @@
 	return cmd, log
 }
 
-// A planned restart is no crash: SIGTERM ends the program with 0.
+// SIGTERM must end the program with exit status 0, since a planned restart is not a crash.
 func TestSIGTERMExitsWithStatusZero(t *testing.T) {
-	l, err := net.Listen("tcp", "127.83.19.7:0") // a port that is free there
+	l, err := net.Listen("tcp", "127.83.19.7:0") // to find a free port
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +61,7 @@
 		t.Fatal(err)
 	}
 	ready := false
-	for end := time.Now().Add(20 * time.Second); !ready && time.Now().Before(end); {
+	for deadline := time.Now().Add(20 * time.Second); !ready && time.Now().Before(deadline); {
 		if resp, err := http.Get("http://" + address + "/healthz"); err == nil {
 			resp.Body.Close()
 			ready = resp.StatusCode == http.StatusOK
@@ -72,20 +75,21 @@
 		t.Error(err)
 	}
 	if err := cmd.Wait(); err != nil || !ready {
-		t.Errorf("ready %v, ended with %v: %s", ready, err, log)
+		t.Errorf("ready %v, exited with %v: %s", ready, err, log)
 	}
 }
 
-// SIGHUP, which ended the program, has it follow the discovery that its file names then,
-// whatever PROXY_DISCOVERY says; a bad file changes nothing; SIGTERM ends it as ever.
+// SIGHUP, which ends a program that does not handle it, must make the program use the discovery address in
+// the reloaded file, whatever PROXY_DISCOVERY says. An invalid file must change nothing. SIGTERM must still
+// end the program, also with a SIGHUP while it drains.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	first, second, third := startService(t), startService(t), startService(t)
-	text := strings.Replace(platformConfig, "127.83.19.7:1", "127.83.19.10:41763", 1)
-	cmd, log := newProgram(t, text)
+	configText := strings.Replace(platformConfig, "127.83.19.7:1", "127.83.19.10:41763", 1)
+	cmd, log := newProgram(t, configText)
 	var path string
-	for _, v := range cmd.Env {
-		if name, ok := strings.CutPrefix(v, "PROXY_CONFIG="); ok {
-			path = name
+	for _, variable := range cmd.Env {
+		if value, ok := strings.CutPrefix(variable, "PROXY_CONFIG="); ok {
+			path = value
 		}
 	}
 	replace := func(text string) {
@@ -104,26 +108,26 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	asked := func(d *fake.Discovery, which string) {
+	waitForRequest := func(d *fake.Discovery, which string) {
 		t.Helper()
-		waitUntil(t, log, "asked "+which, func() bool { return d.RequestCount() > 0 })
+		waitUntil(t, log, "requested a list from "+which, func() bool { return d.RequestCount() > 0 })
 	}
-	asked(first, "the first")
+	waitForRequest(first, "the first")
 	replace("{")
-	replace(strings.Replace(text, "127.83.19.8:1", second.Addr(), 1))
-	asked(second, "the second")
-	replace(strings.Replace(text, "127.83.19.8:1", third.Addr(), 1))
-	asked(third, "the third")
+	replace(strings.Replace(configText, "127.83.19.8:1", second.Addr(), 1))
+	waitForRequest(second, "the second")
+	replace(strings.Replace(configText, "127.83.19.8:1", third.Addr(), 1))
+	waitForRequest(third, "the third")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP) // while it drains
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("ended with %v: %s", err, log)
+		t.Errorf("exited with %v: %s", err, log)
 	}
 }
 
-// A bad configuration ends the program, and its message names the setting.
+// The program must not start with an invalid configuration, and its message must name the setting.
 func TestInvalidConfigNamesSetting(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"seed": "1f"`, `"seed": ""`, "seed"},
@@ -132,7 +136,7 @@
 	} {
 		cmd, log := newProgram(t, strings.Replace(platformConfig, c.old, c.new, 1))
 		if err := cmd.Run(); err == nil || !strings.Contains(log.String(), c.want) {
-			t.Errorf("%s: ended with %v: %s", c.new, err, log)
+			t.Errorf("%s: exited with %v: %s", c.new, err, log)
 		}
 	}
 }
--- a/cmd/barleydrum/reload.go
+++ b/cmd/barleydrum/reload.go
@@ -12,29 +12,32 @@
 	"barleydrum.example/barleydrum/internal/sidecar"
 )
 
-// configLoader is where the configuration comes from.
+// configLoader reads the configuration from the platform's file and the operators' settings file.
 type configLoader struct {
-	settingsPath string // the operators' file, empty for none
+	settingsPath string // the operators' settings file, empty if there is none
 	getenv       func(string) string
 }
 
-// loadInitial reads the configuration to begin with.
-func (s configLoader) loadInitial() (*config.Config, error) { return s.load(config.LoadPlatform) }
+// loadInitial reads the configuration at the start of the program.
+func (l configLoader) loadInitial() (*config.Config, error) { return l.load(config.LoadPlatform) }
 
-// reload reads it as it is now.
-func (s configLoader) reload() (*config.Config, error) { return s.load(config.ReloadPlatform) }
+// reload reads the configuration again while the program runs.
+func (l configLoader) reload() (*config.Config, error) { return l.load(config.ReloadPlatform) }
 
-func (s configLoader) load(platform func(func(string) string) (*config.Platform, error)) (*config.Config, error) {
+// load reads, merges and checks the configuration, the platform's part through loadPlatform. Findings
+// that forbid the use of a settings file are returned as an error, all others are logged.
+func (l configLoader) load(loadPlatform func(func(string) string) (*config.Platform, error)) (*config.Config, error) {
 	var p *config.Platform
-	if s.settingsPath == "" || s.getenv("PROXY_CONFIG") != "" {
+	if l.settingsPath == "" || l.getenv("PROXY_CONFIG") != "" {
 		var err error
-		if p, err = platform(s.getenv); err != nil {
+		if p, err = loadPlatform(l.getenv); err != nil {
 			return nil, err
 		}
 	}
-	if s.settingsPath == "" {
-		// The platform's word stands: the module guards the rules by itself, whatever it is told.
-		cfg, findings := check.Sidecar(p, s.getenv("PROXY_CONFIG"), nil, "")
+	if l.settingsPath == "" {
+		// The platform's configuration is used in spite of findings: the balancer enforces its rules itself,
+		// whatever its configuration says.
+		cfg, findings := check.Sidecar(p, l.getenv("PROXY_CONFIG"), nil, "")
 		for _, f := range findings {
 			if f.Level == config.LevelRefused {
 				slog.Error("configuration", "finding", f.String())
@@ -45,10 +48,10 @@
 		}
 		return cfg, nil
 	}
-	file, findings := config.LoadSettings(s.settingsPath)
+	settings, findings := config.LoadSettings(l.settingsPath)
 	var cfg *config.Config
 	if !config.HasRefusal(findings) {
-		cfg, findings = check.Sidecar(p, s.getenv("PROXY_CONFIG"), file, s.settingsPath)
+		cfg, findings = check.Sidecar(p, l.getenv("PROXY_CONFIG"), settings, l.settingsPath)
 	}
 	var refused []string
 	for _, f := range findings {
@@ -64,41 +67,41 @@
 	return cfg, nil
 }
 
-// settingsReloader is the configuration that the program runs with.
+// settingsReloader applies reloaded configurations to the running program.
 type settingsReloader struct {
 	loader       configLoader
-	startConfig  *config.Config
-	lastSettings *config.Settings // those of the last reload
+	startConfig  *config.Config   // the configuration at the start of the program
+	lastSettings *config.Settings // the settings in effect, from the last successful reload or the start
 }
 
-// reload follows the discovery that the configuration names now, and has those settings take
-// effect that need no restart. If any of it can't be used, all stays as it is.
-func (r *settingsReloader) reload(e *engine.Engine, d *sidecar.DiscoveryClient) {
+// reload reads the configuration again, switches to the discovery address in it and applies those
+// settings that need no restart. If any part of the configuration is not usable, nothing changes.
+func (r *settingsReloader) reload(eng *engine.Engine, discoveryClient *sidecar.DiscoveryClient) {
 	cfg, err := r.loader.reload()
 	if err != nil {
-		slog.Error("reload: keeping the configuration at hand", "err", err)
+		slog.Error("reload failed: keeping the current configuration", "err", err)
 		return
 	}
-	d.SetAddress(cfg.DiscoveryAddress)
+	discoveryClient.SetAddress(cfg.DiscoveryAddress)
 	if r.loader.settingsPath == "" {
 		return
 	}
-	var live []string
-	for _, c := range config.Diff(r.lastSettings.Values(), cfg.Settings.Values()) {
-		if c.Reloadable {
-			live = append(live, c.String())
+	var applied []string
+	for _, change := range config.Diff(r.lastSettings.Values(), cfg.Settings.Values()) {
+		if change.Reloadable {
+			applied = append(applied, change.String())
 		}
 	}
-	var restart []string
-	for _, c := range config.Diff(r.startConfig.Settings.Values(), cfg.Settings.Values()) {
-		if !c.Reloadable {
-			restart = append(restart, c.String())
+	var needRestart []string
+	for _, change := range config.Diff(r.startConfig.Settings.Values(), cfg.Settings.Values()) {
+		if !change.Reloadable {
+			needRestart = append(needRestart, change.String())
 		}
 	}
-	e.ApplySettings(cfg.Settings)
+	eng.ApplySettings(cfg.Settings)
 	r.lastSettings = cfg.Settings
-	slog.Info("reload: settings", "changed", fmt.Sprint(len(live)), "live", live)
-	if len(restart) > 0 {
-		slog.Warn("reload: these take effect at a restart", "settings", restart)
+	slog.Info("reload: settings applied", "changed", fmt.Sprint(len(applied)), "live", applied)
+	if len(needRestart) > 0 {
+		slog.Warn("reload: these settings take effect only after a restart", "settings", needRestart)
 	}
 }
--- a/cmd/barleydrum/soak_test.go
+++ b/cmd/barleydrum/soak_test.go
@@ -22,37 +22,40 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// The soak's times. SIGKILL comes at the platform's earliest: the longest deadline and killAfter.
+// The length and the size of a run. SIGKILL follows SIGTERM as early as the platform may send it: after
+// the longest deadline and killAfter.
 const (
-	soakDuration = 2400 * time.Millisecond // before SIGTERM
+	soakDuration = 2400 * time.Millisecond // from the start to SIGTERM
 	killAfter    = 700 * time.Millisecond
 	soakCallers  = 24
 	soakServers  = 4
 
-	// Every crowdEvery-th seed has a crowd: more idle callers than there is room for.
+	// Every crowdSeedInterval-th seed is crowded: crowdIdleCallers further callers hold idle connections,
+	// more than the crowdConnectionLimit that the program allows.
 	crowdSeedInterval    = 3
 	crowdConnectionLimit = 40
 	crowdIdleCallers     = 60
 )
 
-// soakDeadlines are the classes' deadlines, by seed.
+// soakDeadlines are the deadlines of all classes; the seed selects one.
 var soakDeadlines = []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond}
 
-// The bounds of the rules, each with the slack that the protocol gives.
+// The bounds of the rules that the test checks, each with the slack that the protocol allows.
 const (
-	drainGrace      = 550 * time.Millisecond
-	disconnectGrace = 100 * time.Millisecond
-	timeoutSlack    = 150 * time.Millisecond
-	responseSlack   = 500 * time.Millisecond
+	drainGrace      = 550 * time.Millisecond // a draining server may still get requests for this long
+	disconnectGrace = 100 * time.Millisecond // a request may reach a server for this long after its caller disconnected
+	timeoutSlack    = 150 * time.Millisecond // X-Timeout may exceed the time that is left by this much
+	responseSlack   = 500 * time.Millisecond // a response may be later than the deadline by this much
 )
 
-// seedsVariable names the environment variable that sets how many seeds the soak plays; some by default.
+// The environment variable seedsVariable sets the number of seeds, defaultSeeds by default.
 const (
 	seedsVariable = "BARLEYDRUM_SOAK_SEEDS"
 	defaultSeeds  = 6
 )
 
-// soakSettings are the operators' file but for its addresses; the times are wanted and deadline.
+// soakSettings is the operators' settings file without its addresses. It is a format whose arguments are
+// the target latency (wanted) and the deadline.
 const soakSettings = `
 [class.read]
 wanted = "%[1]s"
@@ -76,115 +79,118 @@
 time = "50ms"
 `
 
-// sentRequest is a request as its caller saw it.
+// sentRequest is a request as its caller observed it.
 type sentRequest struct {
 	id, class      string
-	firstOnConn    bool // on its connection
+	firstOnConn    bool // it is the first request on its connection
 	sentAt         time.Time
-	respondedAt    time.Time // zero for never
+	respondedAt    time.Time // zero if there was no response
 	status         int
 	body           string
-	closeErr       error     // the connection's end in place of an answer
-	closedAt       time.Time // when that was seen
-	disconnectedAt time.Time // its caller left, zero for never
+	closeErr       error     // why there was no response
+	closedAt       time.Time // when closeErr was observed
+	disconnectedAt time.Time // zero if its caller did not disconnect
 }
 
-// receivedRequest is a request as a server saw it, whole.
+// receivedRequest is a request as a server observed it, after its last byte.
 type receivedRequest struct {
 	id, server string
 	receivedAt time.Time
-	timeout    time.Duration
-	mayHaveRun bool // or may have
+	timeout    time.Duration // X-Timeout
+	mayHaveRun bool
 }
 
-// observations are what callers and servers saw, on one monotonic clock.
+// observations are what callers and servers observed, on one monotonic clock.
 type observations struct {
 	mu             sync.Mutex
 	sent           []*sentRequest
 	received       []receivedRequest
-	drainedAt      map[string]time.Time // when servers were told to drain
+	drainedAt      map[string]time.Time // when discovery listed servers as draining, by name
 	sigtermAt      time.Time
 	deadline       time.Duration
-	crowded        bool          // a connection may be shut with a request unread
-	maxWakeupDelay time.Duration // the longest by which this machine has held the judge's own clock up
+	crowded        bool          // connections may be closed with a request unread
+	maxWakeupDelay time.Duration // the longest by which this machine delayed a timer of the test
 }
 
-// measureWakeupDelay notes by how much this machine is late to wake a sleeper, until stop.
-func (r *observations) measureWakeupDelay(stop <-chan struct{}) {
-	const nap = 5 * time.Millisecond
+// measureWakeupDelay records by how much this machine is late to fire timers, until stop is closed. The
+// time bounds allow for that delay.
+func (o *observations) measureWakeupDelay(stop <-chan struct{}) {
+	const interval = 5 * time.Millisecond
 	for last := time.Now(); ; {
 		select {
 		case <-stop:
 			return
-		case <-time.After(nap):
+		case <-time.After(interval):
 		}
 		now := time.Now()
-		r.mu.Lock()
-		r.maxWakeupDelay = max(r.maxWakeupDelay, now.Sub(last)-nap)
-		r.mu.Unlock()
+		o.mu.Lock()
+		o.maxWakeupDelay = max(o.maxWakeupDelay, now.Sub(last)-interval)
+		o.mu.Unlock()
 		last = now
 	}
 }
 
-// violations returns what breaks a rule.
-func (r *observations) violations() (breaks []string) {
-	seen := make(map[string][]receivedRequest)
-	for _, a := range r.received {
-		seen[a.id] = append(seen[a.id], a)
-		if at, ok := r.drainedAt[a.server]; ok && a.receivedAt.Sub(at) > drainGrace+r.maxWakeupDelay {
-			breaks = append(breaks, fmt.Sprintf("drain: %s reached %s %v after its drain", a.id, a.server, a.receivedAt.Sub(at)))
+// violations returns a description of each violation of a rule.
+func (o *observations) violations() (violations []string) {
+	receivedByID := make(map[string][]receivedRequest)
+	for _, r := range o.received {
+		receivedByID[r.id] = append(receivedByID[r.id], r)
+		if drainedAt, ok := o.drainedAt[r.server]; ok && r.receivedAt.Sub(drainedAt) > drainGrace+o.maxWakeupDelay {
+			violations = append(violations, fmt.Sprintf("drain: %s reached %s %v after it was listed as draining", r.id, r.server, r.receivedAt.Sub(drainedAt)))
 		}
 	}
-	for _, q := range r.sent {
-		breaks = append(breaks, r.requestViolations(q, seen[q.id])...)
+	for _, req := range o.sent {
+		violations = append(violations, o.requestViolations(req, receivedByID[req.id])...)
 	}
-	return breaks
+	return violations
 }
 
-func (r *observations) requestViolations(q *sentRequest, arrivals []receivedRequest) (breaks []string) {
+// requestViolations returns the violations that concern one request. received are its attempts as the
+// servers observed them.
+func (o *observations) requestViolations(req *sentRequest, received []receivedRequest) (violations []string) {
 	add := func(format string, args ...any) {
-		breaks = append(breaks, fmt.Sprintf("%s (%s): ", q.id, q.class)+fmt.Sprintf(format, args...))
+		violations = append(violations, fmt.Sprintf("%s (%s): ", req.id, req.class)+fmt.Sprintf(format, args...))
 	}
 	runs := 0
-	for _, a := range arrivals {
-		if a.mayHaveRun {
+	for _, r := range received {
+		if r.mayHaveRun {
 			runs++
 		}
-		if !q.disconnectedAt.IsZero() && a.receivedAt.Sub(q.disconnectedAt) > disconnectGrace+r.maxWakeupDelay {
-			add("lost: reached %s %v after its caller left", a.server, a.receivedAt.Sub(q.disconnectedAt))
+		if !req.disconnectedAt.IsZero() && r.receivedAt.Sub(req.disconnectedAt) > disconnectGrace+o.maxWakeupDelay {
+			add("lost: reached %s %v after its caller disconnected", r.server, r.receivedAt.Sub(req.disconnectedAt))
 		}
-		if left := r.deadline - a.receivedAt.Sub(q.sentAt); a.timeout-left > timeoutSlack+r.maxWakeupDelay {
-			add("told %s to take %v with %v left", a.server, a.timeout, left)
+		if remaining := o.deadline - r.receivedAt.Sub(req.sentAt); r.timeout-remaining > timeoutSlack+o.maxWakeupDelay {
+			add("%s got X-Timeout %v with %v left", r.server, r.timeout, remaining)
 		}
 	}
-	if q.class == "pay" && runs > 1 {
+	if req.class == "pay" && runs > 1 {
 		add("duplicate: ran %d times", runs)
 	}
-	if q.class == "pay" && runs > 0 && q.status == http.StatusServiceUnavailable {
-		add("duplicate: refused, and ran")
+	if req.class == "pay" && runs > 0 && req.status == http.StatusServiceUnavailable {
+		add("duplicate: refused, but it ran")
 	}
-	if q.status == http.StatusOK && !strings.Contains(q.body, q.id) {
-		add("lost: answered with %.40q", q.body)
+	if req.status == http.StatusOK && !strings.Contains(req.body, req.id) {
+		add("lost: got the response %.40q", req.body)
 	}
-	if !q.disconnectedAt.IsZero() || !q.respondedAt.IsZero() {
-		if !q.respondedAt.IsZero() && q.respondedAt.Sub(q.sentAt) > r.deadline+responseSlack+r.maxWakeupDelay {
-			add("lost: answered after %v", q.respondedAt.Sub(q.sentAt))
+	if !req.disconnectedAt.IsZero() || !req.respondedAt.IsZero() {
+		if !req.respondedAt.IsZero() && req.respondedAt.Sub(req.sentAt) > o.deadline+responseSlack+o.maxWakeupDelay {
+			add("lost: response only after %v", req.respondedAt.Sub(req.sentAt))
 		}
-		return breaks
+		return violations
 	}
 	switch {
-	case len(arrivals) > 0:
-		add("lost: sent on, and %v after %v, %v after SIGTERM", q.closeErr, q.closedAt.Sub(q.sentAt), q.closedAt.Sub(r.sigtermAt))
-	case r.crowded:
-	case q.closedAt.Before(r.sigtermAt):
-		add("lost: %v after %v, with no shutdown", q.closeErr, q.closedAt.Sub(q.sentAt))
-	case q.firstOnConn && q.sentAt.Before(r.sigtermAt):
-		add("lost: first on its connection, %v", q.closeErr)
-	}
-	return breaks
+	case len(received) > 0:
+		add("lost: forwarded, but no response: %v after %v, %v after SIGTERM", req.closeErr, req.closedAt.Sub(req.sentAt), req.closedAt.Sub(o.sigtermAt))
+	case o.crowded:
+	case req.closedAt.Before(o.sigtermAt):
+		add("lost: %v after %v, before SIGTERM", req.closeErr, req.closedAt.Sub(req.sentAt))
+	case req.firstOnConn && req.sentAt.Before(o.sigtermAt):
+		add("lost: first request on its connection, sent before SIGTERM: %v", req.closeErr)
+	}
+	return violations
 }
 
-// soakServer is an endpoint that misbehaves by a seed.
+// soakServer is an endpoint that responds with faults, which it draws from a seeded generator.
 type soakServer struct {
 	name     string
 	listener net.Listener
@@ -193,37 +199,40 @@
 	random   *rand.Rand
 }
 
-func newSoakServer(t *testing.T, name string, rec *observations, random *rand.Rand) *soakServer {
+// newSoakServer starts a server that records the requests that it receives in observed.
+func newSoakServer(t *testing.T, name string, observed *observations, random *rand.Rand) *soakServer {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	s := &soakServer{name: name, listener: l, observed: rec, random: random}
+	t.Cleanup(func() { listener.Close() })
+	s := &soakServer{name: name, listener: listener, observed: observed, random: random}
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go s.serve(c.(*net.TCPConn))
+			go s.serve(conn.(*net.TCPConn))
 		}
 	}()
 	return s
 }
 
+// randomInt returns a random number in [0, n). It is safe for concurrent use.
 func (s *soakServer) randomInt(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-func (s *soakServer) serve(c *net.TCPConn) {
-	defer c.Close()
-	in := bufio.NewReader(c)
+// serve serves one connection until it ends or a fault closes it.
+func (s *soakServer) serve(conn *net.TCPConn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -232,68 +241,69 @@
 		}
 		id := req.Header.Get("X-Request-ID")
 		if id == "" { // a probe
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\nTEXT inflight=0, queue=0, util=0.10")
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 35\r\n\r\nTEXT inflight=0, queue=0, util=0.10")
 			continue
 		}
 		fault := s.randomInt(20)
-		us, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Timeout"), "u"))
+		timeoutMicros, _ := strconv.Atoi(strings.TrimSuffix(req.Header.Get("X-Timeout"), "u"))
 		s.observed.mu.Lock()
-		s.observed.received = append(s.observed.received, receivedRequest{id, s.name, time.Now(), time.Duration(us) * time.Microsecond, fault != 0})
+		s.observed.received = append(s.observed.received, receivedRequest{id, s.name, time.Now(), time.Duration(timeoutMicros) * time.Microsecond, fault != 0})
 		s.observed.mu.Unlock()
-		if !s.respond(c, id, fault) {
+		if !s.respond(conn, id, fault) {
 			return
 		}
 	}
 }
 
-// respond answers a request with a fault, and tells whether the connection goes on.
-func (s *soakServer) respond(c *net.TCPConn, id string, fault int) bool {
+// respond responds to a request with a fault, or properly for any number above 9. It reports whether the
+// connection stays open.
+func (s *soakServer) respond(conn *net.TCPConn, id string, fault int) bool {
 	body := "made for " + id
 	text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	time.Sleep(time.Duration(s.randomInt(30)) * time.Millisecond)
 	switch fault {
-	case 0: // turned away
-		io.WriteString(c, "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
+	case 0: // refused
+		io.WriteString(conn, "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	case 1: // reset
-		c.SetLinger(0)
+		conn.SetLinger(0)
 		return false
-	case 2: // hangs until it is given up
-		c.SetReadDeadline(time.Now().Add(testTimeout))
-		c.Read(make([]byte, 1))
+	case 2: // no response until the sidecar gives up
+		conn.SetReadDeadline(time.Now().Add(testTimeout))
+		conn.Read(make([]byte, 1))
 		return false
-	case 3: // breaks off in its answer
-		io.WriteString(c, text[:len(text)-3])
-		c.SetLinger(0)
+	case 3: // reset within the response
+		io.WriteString(conn, text[:len(text)-3])
+		conn.SetLinger(0)
 		return false
-	case 4: // ends with no length, which is whole
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+body)
+	case 4: // no length: complete when the connection closes
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+body)
 		return false
-	case 5: // a second answer behind
-		io.WriteString(c, text+text)
+	case 5: // a second, unsolicited response
+		io.WriteString(conn, text+text)
 		return true
 	case 6: // an error
-		io.WriteString(c, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
+		io.WriteString(conn, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 		return true
-	case 7: // in pieces
+	case 7: // written byte by byte
 		for _, b := range []byte(text) {
-			c.Write([]byte{b})
+			conn.Write([]byte{b})
 		}
 		return true
-	case 9: // resets after a while
+	case 9: // reset after a while
 		time.Sleep(time.Duration(150+s.randomInt(150)) * time.Millisecond)
-		c.SetLinger(0)
+		conn.SetLinger(0)
 		return false
-	case 8: // closes the idle connection early
-		io.WriteString(c, text)
+	case 8: // the idle connection closed early
+		io.WriteString(conn, text)
 		time.Sleep(time.Duration(s.randomInt(20)) * time.Millisecond)
 		return false
 	}
-	io.WriteString(c, text)
+	io.WriteString(conn, text)
 	return true
 }
 
-// soakCaller is a caller that draws what it does by a seed.
+// soakCaller is a caller whose actions are drawn from a seeded generator.
 type soakCaller struct {
 	number   int
 	addr     string
@@ -302,6 +312,7 @@
 	nextID   int
 }
 
+// run opens one connection after another until stop is closed.
 func (c *soakCaller) run(stop <-chan struct{}) {
 	for {
 		select {
@@ -314,15 +325,15 @@
 	}
 }
 
-// useConnection uses one connection for some requests.
+// useConnection opens a connection and sends up to 20 batches of requests on it.
 func (c *soakCaller) useConnection(stop <-chan struct{}) {
-	nc, err := net.Dial("tcp", c.addr)
+	netConn, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		return
 	}
-	conn := nc.(*net.TCPConn)
+	conn := netConn.(*net.TCPConn)
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for n := 0; n < 20; n++ {
 		select {
 		case <-stop:
@@ -330,15 +341,15 @@
 		default:
 		}
 		time.Sleep(time.Duration(c.random.IntN(40)) * time.Millisecond)
-		if !c.exchange(conn, in, n == 0) {
+		if !c.exchange(conn, reader, n == 0) {
 			return
 		}
 	}
 }
 
-// exchange sends one request or several together and reads their answers. It tells whether the connection
-// goes on.
-func (c *soakCaller) exchange(conn *net.TCPConn, in *bufio.Reader, first bool) bool {
+// exchange sends one request, or several together, and reads their responses. It reports whether the
+// connection stays open.
+func (c *soakCaller) exchange(conn *net.TCPConn, reader *bufio.Reader, first bool) bool {
 	count := 1
 	if c.random.IntN(8) == 0 {
 		count = 3
@@ -346,17 +357,17 @@
 	var batch []*sentRequest
 	var text strings.Builder
 	for i := range count {
-		q := &sentRequest{id: fmt.Sprintf("c%d-%d", c.number, c.nextID), class: []string{"read", "book", "pay"}[c.random.IntN(3)], firstOnConn: first && i == 0}
+		req := &sentRequest{id: fmt.Sprintf("c%d-%d", c.number, c.nextID), class: []string{"read", "book", "pay"}[c.random.IntN(3)], firstOnConn: first && i == 0}
 		c.nextID++
-		batch = append(batch, q)
-		text.WriteString(c.requestText(q))
+		batch = append(batch, req)
+		text.WriteString(c.requestText(req))
 	}
 	if !c.writeInPieces(conn, text.String()) {
-		return false // it was not sent whole, so that nothing is owed
+		return false // not sent whole: the caller can expect no response
 	}
 	now := time.Now()
-	for _, q := range batch {
-		q.sentAt = now
+	for _, req := range batch {
+		req.sentAt = now
 	}
 	c.observed.mu.Lock()
 	c.observed.sent = append(c.observed.sent, batch...)
@@ -365,21 +376,21 @@
 		c.disconnect(conn, batch)
 		return false
 	}
-	for i, q := range batch {
+	for i, req := range batch {
 		conn.SetReadDeadline(time.Now().Add(testTimeout))
-		status, body, closes, err := readResponse(in)
-		at := time.Now()
+		status, body, closes, err := readResponse(reader)
+		readAt := time.Now()
 		c.observed.mu.Lock()
 		if err != nil {
 			for _, lost := range batch[i:] {
-				lost.closeErr, lost.closedAt = err, at
+				lost.closeErr, lost.closedAt = err, readAt
 			}
 		} else {
-			q.status, q.body, q.respondedAt = status, body, at
+			req.status, req.body, req.respondedAt = status, body, readAt
 		}
-		if err == nil && closes { // what follows was not taken, and its caller may send it again
+		if err == nil && closes { // the rest was not accepted, and the caller may send it again
 			for _, rest := range batch[i+1:] {
-				rest.closeErr, rest.closedAt, rest.firstOnConn = errors.New("an answer that ends the connection"), at, false
+				rest.closeErr, rest.closedAt, rest.firstOnConn = errors.New("an earlier response closed the connection"), readAt, false
 			}
 		}
 		c.observed.mu.Unlock()
@@ -390,7 +401,8 @@
 	return true
 }
 
-// runIdleCaller holds a connection open on which it says nothing, and another once that is closed.
+// runIdleCaller holds a connection open without sending on it, and opens another when that is closed,
+// until stop is closed.
 func runIdleCaller(addr string, stop <-chan struct{}) {
 	for {
 		select {
@@ -408,14 +420,15 @@
 	}
 }
 
-// requestText is a request as it goes over the wire, in one of the forms that the protocol allows.
-func (c *soakCaller) requestText(q *sentRequest) string {
-	head := fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: %dm\r\n", q.id, q.class, c.observed.deadline.Milliseconds())
-	switch q.class {
+// requestText returns a request as it is written to the connection, in one of the forms that the protocol
+// allows.
+func (c *soakCaller) requestText(req *sentRequest) string {
+	head := fmt.Sprintf("POST /api/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Timeout: %dm\r\n", req.id, req.class, c.observed.deadline.Milliseconds())
+	switch req.class {
 	case "read":
 		return strings.Replace(head, "POST", "GET", 1) + "\r\n"
 	case "book":
-		head += "Idempotency-Key: " + q.id + "\r\n"
+		head += "Idempotency-Key: " + req.id + "\r\n"
 	}
 	if c.random.IntN(4) == 0 {
 		return head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
@@ -423,7 +436,7 @@
 	return head + "Content-Length: 4\r\n\r\nbody"
 }
 
-// writeInPieces writes a text, at times in pieces.
+// writeInPieces writes a text, sometimes in pieces, and reports whether it was written whole.
 func (c *soakCaller) writeInPieces(conn net.Conn, text string) bool {
 	pieces := 1
 	if c.random.IntN(5) == 0 {
@@ -441,7 +454,8 @@
 	return true
 }
 
-// disconnect leaves in one of the ways in which callers do.
+// disconnect ends a connection in one of the ways in which callers do: by a reset, by closing its sending
+// side, or by closing it.
 func (c *soakCaller) disconnect(conn *net.TCPConn, batch []*sentRequest) {
 	time.Sleep(time.Duration(c.random.IntN(30)) * time.Millisecond)
 	switch c.random.IntN(3) {
@@ -453,17 +467,17 @@
 	default:
 		conn.Close()
 	}
-	at := time.Now()
+	disconnectedAt := time.Now()
 	c.observed.mu.Lock()
-	for _, q := range batch {
-		q.disconnectedAt = at
+	for _, req := range batch {
+		req.disconnectedAt = disconnectedAt
 	}
 	c.observed.mu.Unlock()
 }
 
-// readResponse reads one final answer.
-func readResponse(in *bufio.Reader) (status int, body string, closes bool, err error) {
-	resp, err := http.ReadResponse(in, nil)
+// readResponse reads one final response. closes reports whether it closes the connection.
+func readResponse(reader *bufio.Reader) (status int, body string, closes bool, err error) {
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return 0, "", false, err
 	}
@@ -472,111 +486,115 @@
 	return resp.StatusCode, string(text), resp.Close, err
 }
 
-// runSoak plays one seed and returns what broke, and how many requests were sent and served.
-func runSoak(t *testing.T, seed uint64) (breaks []string, sent, served int, log string) {
+// runSoak runs the program once with a seed. It returns the violations, how many requests were sent and
+// served, and the program's log.
+func runSoak(t *testing.T, seed uint64) (violations []string, sent, served int, log string) {
 	t.Helper()
-	random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+	newRandom := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 	deadline := soakDeadlines[seed%uint64(len(soakDeadlines))]
-	rec := &observations{drainedAt: make(map[string]time.Time), deadline: deadline}
-	d, err := fake.NewDiscovery("127.0.0.1:0", false)
+	observed := &observations{drainedAt: make(map[string]time.Time), deadline: deadline}
+	discoveryServer, err := fake.NewDiscovery("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Close()
+	defer discoveryServer.Close()
 	var servers []discovery.Instance
 	for i := range soakServers {
-		s := newSoakServer(t, fmt.Sprint("s-", i), rec, random(uint64(1000+i)))
+		s := newSoakServer(t, fmt.Sprint("s-", i), observed, newRandom(uint64(1000+i)))
 		servers = append(servers, discovery.Instance{ID: s.name, HostPort: s.listener.Addr().String(), Zone: "a", Lifecycle: "up"})
 	}
-	d.Update(servers...)
+	discoveryServer.Update(servers...)
 	addr := freeAddress(t)
 	path := filepath.Join(t.TempDir(), "settings.toml")
-	rec.crowded = seed%crowdSeedInterval == 0
-	text := fmt.Sprintf("schema = 1\n[application]\nname = \"soak\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s", addr, d.Addr(),
+	observed.crowded = seed%crowdSeedInterval == 0
+	text := fmt.Sprintf("schema = 1\n[application]\nname = \"soak\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s", addr, discoveryServer.Addr(),
 		fmt.Sprintf(soakSettings, deadline*2/3, deadline))
-	if rec.crowded {
+	if observed.crowded {
 		text += fmt.Sprintf("[callers]\nconnections = %d\n", crowdConnectionLimit)
 	}
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd, output := startProgram(t, addr, []string{"PROXY_CONFIG="}, "-settings", path, "-log-level", "debug")
-	began, stop := time.Now(), make(chan struct{})
+	startedAt, stop := time.Now(), make(chan struct{})
 	var callers sync.WaitGroup
-	callers.Go(func() { rec.measureWakeupDelay(stop) })
+	callers.Go(func() { observed.measureWakeupDelay(stop) })
 	for i := range soakCallers {
-		c := &soakCaller{number: i, addr: addr, observed: rec, random: random(uint64(i))}
+		c := &soakCaller{number: i, addr: addr, observed: observed, random: newRandom(uint64(i))}
 		callers.Go(func() { c.run(stop) })
 	}
-	if rec.crowded {
+	if observed.crowded {
 		for range crowdIdleCallers {
 			callers.Go(func() { runIdleCaller(addr, stop) })
 		}
 	}
-	plan := random(1 << 32)
-	draining := servers[plan.IntN(len(servers))]
+	schedule := newRandom(1 << 32)
+	draining := servers[schedule.IntN(len(servers))]
 	draining.Lifecycle = "draining"
 	time.Sleep(soakDuration / 4)
-	d.Update(draining)
-	rec.mu.Lock()
-	rec.drainedAt[draining.ID] = time.Now()
-	rec.mu.Unlock()
-	for range 3 { // a series of SIGHUP
-		time.Sleep(time.Duration(plan.Int64N(int64(soakDuration / 4))))
+	discoveryServer.Update(draining)
+	observed.mu.Lock()
+	observed.drainedAt[draining.ID] = time.Now()
+	observed.mu.Unlock()
+	for range 3 { // several reloads
+		time.Sleep(time.Duration(schedule.Int64N(int64(soakDuration / 4))))
 		cmd.Process.Signal(syscall.SIGHUP)
 	}
-	time.Sleep(time.Until(began.Add(soakDuration)))
-	rec.mu.Lock()
-	rec.sigtermAt = time.Now()
-	rec.mu.Unlock()
+	time.Sleep(time.Until(startedAt.Add(soakDuration)))
+	observed.mu.Lock()
+	observed.sigtermAt = time.Now()
+	observed.mu.Unlock()
 	cmd.Process.Signal(syscall.SIGTERM)
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
-			breaks = append(breaks, fmt.Sprintf("crash: it ended with %v", err))
+			violations = append(violations, fmt.Sprintf("crash: exited with %v", err))
 		}
 	case <-time.After(deadline + killAfter):
 		cmd.Process.Kill()
-		<-ended
+		<-exited
 	}
 	close(stop)
 	callers.Wait()
-	rec.mu.Lock()
-	defer rec.mu.Unlock()
-	for _, q := range rec.sent {
+	observed.mu.Lock()
+	defer observed.mu.Unlock()
+	for _, req := range observed.sent {
 		sent++
-		if q.status == http.StatusOK {
+		if req.status == http.StatusOK {
 			served++
 		}
 	}
-	return append(breaks, rec.violations()...), sent, served, output.String()
+	return append(violations, observed.violations()...), sent, served, output.String()
 }
 
+// The program must lose, duplicate or delay no request beyond the bounds while callers disconnect, servers
+// fail in many ways, one endpoint drains, reloads (SIGHUP) happen and SIGTERM comes under load. Each seed
+// is one run of the program, with callers and servers that draw what they do from generators of that seed.
 func TestSoakWithSignalsDisconnectsAndFaultyServers(t *testing.T) {
 	seeds, err := strconv.Atoi(cmp.Or(os.Getenv(seedsVariable), strconv.Itoa(defaultSeeds)))
 	if err != nil {
 		t.Fatalf("%s: %v", seedsVariable, err)
 	}
 	for seed := range uint64(seeds) {
-		breaks, sent, served, log := runSoak(t, seed+1)
-		t.Logf("seed %d: %d requests, %d served, %d breaks", seed+1, sent, served, len(breaks))
-		least := sent / 2 // one that refuses all keeps the rules too
+		violations, sent, served, log := runSoak(t, seed+1)
+		t.Logf("seed %d: %d requests, %d served, %d violations", seed+1, sent, served, len(violations))
+		minServed := sent / 2 // a sidecar that refuses everything would violate no rule
 		if (seed+1)%crowdSeedInterval == 0 {
-			least = sent / 5
+			minServed = sent / 5
 		}
-		if served < least {
-			t.Errorf("seed %d: %d of %d requests served, want %d", seed+1, served, sent, least)
+		if served < minServed {
+			t.Errorf("seed %d: %d of %d requests served, want at least %d", seed+1, served, sent, minServed)
 		}
-		for _, b := range breaks {
-			id, _, _ := strings.Cut(b, " ")
-			t.Errorf("seed %d: %s\n%s", seed+1, b, linesContaining(log, "request="+id+" "))
+		for _, violation := range violations {
+			id, _, _ := strings.Cut(violation, " ")
+			t.Errorf("seed %d: %s\n%s", seed+1, violation, linesContaining(log, "request="+id+" "))
 		}
 	}
 }
 
-// linesContaining are the lines of a log that hold a text.
+// linesContaining returns the lines of a log that contain a text, indented.
 func linesContaining(log, text string) string {
 	var b strings.Builder
 	for line := range strings.Lines(log) {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -28,7 +28,7 @@
 	Cell               int      `json:"cell"`
 	Lifecycle          string   `json:"lifecycle"` // a key of StatesByLifecycle
 	Weight             *float64 `json:"weight,omitempty"`
-	StartedAtUnixMilli int64    `json:"startedAtMs"` // Unix time in milliseconds; 0 if unknown, and then long ago
+	StartedAtUnixMilli int64    `json:"startedAtMs"` // Unix time in milliseconds; 0 if unknown, which is treated as long ago
 }
 
 // StatesByLifecycle maps the values of Instance.Lifecycle to the balancer's endpoint states.
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -13,7 +13,7 @@
 
 // Call is a request with its attempts, until the last attempt has ended. The goroutine that serves
 // it runs the first attempt itself, and every later one that starts while it runs no other.
-// The exported fields are set by whoever made the call, before Serve.
+// The exported fields must be set before Serve.
 type Call struct {
 	balance.Request // the engine sets its ID
 
@@ -32,7 +32,7 @@
 	clockDeadline time.Duration // Deadline on the balancer's clock
 
 	// Guarded by Engine.mu.
-	finished         bool // final is set, or the call ended before it was started
+	finished         bool // final is valid; it is zero, a failure, if the call ended before it was started
 	final            FinalResult
 	attempts         []*attempt
 	attemptsInFlight int
@@ -68,7 +68,8 @@
 	streamStartElapsed time.Duration // what elapsed returned when the response started to stream, 0 before
 }
 
-// NewCall returns an empty call for the caller to fill in. Callers must pass it to ReleaseCall in the end.
+// NewCall returns an empty call, whose exported fields must be set before Serve. Every call must be passed
+// to ReleaseCall in the end.
 func (e *Engine) NewCall() *Call {
 	c, ok := e.callPool.Get().(*Call)
 	if !ok {
@@ -236,7 +237,7 @@
 
 // finishCall sets the final result of a call, unless it is finished, and wakes the serving goroutine.
 // Attempts that have not been sent yet are canceled; the balancer decides about the others. decidedBy
-// is logged.
+// is logged. The caller must hold e.mu.
 func (e *Engine) finishCall(c *Call, result FinalResult, decidedBy string) {
 	if c == nil || c.finished {
 		return
@@ -257,7 +258,7 @@
 	e.dropCallIfDone(c)
 }
 
-// wakeCall wakes the serving goroutine of a call if it waits in waitForAttempt.
+// wakeCall wakes the serving goroutine of a call if it waits in waitForAttempt. The caller must hold e.mu.
 func (e *Engine) wakeCall(c *Call) {
 	if c.waitingForWake {
 		c.waitingForWake = false
@@ -265,7 +266,7 @@
 	}
 }
 
-// dropCallIfDone drops a call that is finished and has no attempt in flight.
+// dropCallIfDone drops a call that is finished and has no attempt in flight. The caller must hold e.mu.
 func (e *Engine) dropCallIfDone(c *Call) {
 	if c.finished && c.attemptsInFlight == 0 {
 		delete(e.calls, c.ID)
@@ -273,7 +274,7 @@
 }
 
 // startAttempt starts the attempt that the balancer decided on: in the serving goroutine if that
-// runs no other, else in a goroutine of its own.
+// runs no other, else in a goroutine of its own. The caller must hold e.mu.
 func (e *Engine) startAttempt(action *balance.Action) {
 	c, ep := e.calls[action.Request], e.endpoints[action.Endpoint]
 	if c == nil || ep == nil {
@@ -311,7 +312,7 @@
 	case c.finished || ep.outOfService:
 		a.CancelUnsent()
 		go e.runAttempt(a)
-	case c.StreamedBody != nil: // the serving goroutine only waits for whatever happens first
+	case c.StreamedBody != nil: // the serving goroutine stays in waitForAttempt until the call is finished
 		go e.runAttempt(a)
 	case c.pendingAttempt == nil && c.inlineAttempt == nil:
 		c.pendingAttempt = a
@@ -371,7 +372,8 @@
 }
 
 // elapsed returns how long an endpoint has taken for an attempt, at least 1 ns. The time during which
-// the request's body was still arriving doesn't count: then the endpoint waited for the caller.
+// the request's body was still arriving doesn't count: then the endpoint waited for the caller. The caller
+// must hold e.mu.
 func (e *Engine) elapsed(a *attempt, now time.Duration) time.Duration {
 	if a.streamStartElapsed > 0 {
 		return a.streamStartElapsed
@@ -458,10 +460,10 @@
 // offset at which the value of X-Timeout must be inserted. Other end-to-end fields are forwarded as
 // received; the body is framed anew. A streamed body is not appended.
 func appendRequest(b []byte, c *Call) (text []byte, timeoutAt int) {
-	r := c.Head
-	b = http1.AppendRequestLine(b, r.Method(), r.Target())
-	for i := range r.NumFields() {
-		if f := r.Field(i); !http1.EqualFieldName(f.Name, "X-Timeout") && r.IsEndToEnd(f.Name) {
+	head := c.Head
+	b = http1.AppendRequestLine(b, head.Method(), head.Target())
+	for i := range head.NumFields() {
+		if f := head.Field(i); !http1.EqualFieldName(f.Name, "X-Timeout") && head.IsEndToEnd(f.Name) {
 			b = http1.AppendParsedField(b, f)
 		}
 	}
@@ -470,7 +472,7 @@
 		b = http1.AppendChunkedEncoding(b)
 	case c.StreamedBody != nil:
 		b = http1.AppendContentLength(b, c.StreamedBodyLength)
-	case len(c.Body) > 0 || string(r.Method()) != http.MethodGet:
+	case len(c.Body) > 0 || string(head.Method()) != http.MethodGet:
 		b = http1.AppendContentLength(b, int64(len(c.Body)))
 	}
 	b = append(b, "X-Timeout: "...)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -45,14 +45,14 @@
 	timer            *time.Timer   // fires for the earliest of pendingTimers
 	timerSetFor      time.Duration // when timer fires, on the balancer's clock; 0 if it isn't set
 	startTimes       startTimeEstimator
-	shutdownDeadline time.Time // every call fails that is still open then; zero if no shutdown is under way
+	shutdownDeadline time.Time // calls that are still open then fail; zero if there is no shutdown
 }
 
 // endpoint is an endpoint that is listed, or that still has an attempt or a probe in flight.
 type endpoint struct {
 	route     *upstream.Route
 	name      string
-	startedAt time.Duration // on the balancer's clock; 0 if unknown, and then long ago
+	startedAt time.Duration // on the balancer's clock; 0 if unknown, which is treated as long ago
 
 	// reportedStart is the start time that discovery's lists give, as Unix time.
 	reportedStart    time.Duration
@@ -64,31 +64,31 @@
 }
 
 // New returns an Engine that starts with the endpoint list in its configuration.
-func New(c *config.Config) (*Engine, error) {
-	b, err := balance.New(c.BalancerConfig, c.Seed)
+func New(cfg *config.Config) (*Engine, error) {
+	balancer, err := balance.New(cfg.BalancerConfig, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	settings := newCurrentSettings(c.Settings)
+	settings := newCurrentSettings(cfg.Settings)
 	e := &Engine{
-		clockOrigin: time.Now(), pool: newPool(c, settings), cfg: c, settings: settings,
+		clockOrigin: time.Now(), pool: newPool(cfg, settings), cfg: cfg, settings: settings,
 		subscribeRequested: make(chan struct{}, 1),
-		balancer:           b, ids: newIDTable(c.Zones),
+		balancer:           balancer, ids: newIDTable(cfg.Zones),
 		endpoints: make(map[balance.EndpointID]*endpoint),
 		calls:     make(map[balance.RequestID]*Call),
 	}
 	// The balancer's clock starts at Unix time and is monotonic from then on. An endpoint's start
 	// time, which lists give as Unix time, thus needs no conversion and is the same in every list.
 	e.clockEpoch = time.Duration(e.clockOrigin.UnixNano())
-	e.applyList(balance.ListLastKnown, &c.KnownEndpoints)
+	e.applyList(balance.ListLastKnown, &cfg.KnownEndpoints)
 	return e, nil
 }
 
 // newPool returns the sidecar's pool of connections to endpoints.
-func newPool(c *config.Config, settings *currentSettings) *upstream.Pool {
-	keepAlive := c.KeepAliveTimeout()
+func newPool(cfg *config.Config, settings *currentSettings) *upstream.Pool {
+	keepAlive := cfg.KeepAliveTimeout()
 	return upstream.NewPool(upstream.Config{
-		MaxConnections: c.MaxEndpointConnections(), ConnectTimeout: c.ConnectTimeout(),
+		MaxConnections: cfg.MaxEndpointConnections(), ConnectTimeout: cfg.ConnectTimeout(),
 		// The sidecar must close idle connections before the endpoint does: a request that is written
 		// while the endpoint closes is reset, and may have run as far as the sidecar can tell.
 		IdleTimeout: keepAlive - keepAlive/10,
@@ -121,16 +121,16 @@
 // now returns the current time on the balancer's clock.
 func (e *Engine) now() time.Duration { return e.clockEpoch + time.Since(e.clockOrigin) }
 
-// toTime converts a time on the balancer's clock.
+// toTime converts a time on the balancer's clock to a time.Time.
 func (e *Engine) toTime(t time.Duration) time.Time { return e.clockOrigin.Add(t - e.clockEpoch) }
 
 // handleEvent passes an event that happens now to the balancer and starts the resulting actions.
-// The caller must hold e.mu; the same goes for every method below that doesn't lock it.
+// The caller must hold e.mu.
 func (e *Engine) handleEvent(apply func(now time.Duration, actions []balance.Action) []balance.Action) {
 	e.handleEventAt(e.now(), apply)
 }
 
-// handleEventAt is handleEvent for an event at a given time on the balancer's clock.
+// handleEventAt is handleEvent for an event at a given time on the balancer's clock. The caller must hold e.mu.
 func (e *Engine) handleEventAt(now time.Duration, apply func(now time.Duration, actions []balance.Action) []balance.Action) {
 	e.eventTime = now
 	e.actions = apply(now, e.actions[:0])
@@ -140,7 +140,7 @@
 	e.setTimer()
 }
 
-// execute starts one action of the balancer.
+// execute starts one action of the balancer. The caller must hold e.mu.
 func (e *Engine) execute(action *balance.Action) {
 	switch action.Kind {
 	case balance.Send:
@@ -170,7 +170,7 @@
 }
 
 // startProbe starts a probe in a goroutine of its own. An endpoint out of service gets no new
-// traffic, not even a probe: its probe ends as not sent.
+// traffic, not even a probe: its probe ends as not sent. The caller must hold e.mu.
 func (e *Engine) startProbe(id balance.EndpointID) {
 	ep := e.endpoints[id]
 	if ep == nil {
@@ -195,13 +195,14 @@
 
 // releaseEndpoint ends an attempt's or a probe's use of an endpoint. The last release drops a
 // removed endpoint, as the balancer does: over a long run new endpoints keep appearing, and the
-// table would grow without bound.
+// table would grow without bound. The caller must hold e.mu.
 func (e *Engine) releaseEndpoint(id balance.EndpointID, ep *endpoint) {
 	ep.inFlightCount--
 	e.dropEndpointIfUnused(id, ep)
 }
 
-// dropEndpointIfUnused drops a removed endpoint that has no attempt or probe in flight.
+// dropEndpointIfUnused drops a removed endpoint that has no attempt or probe in flight. The caller must
+// hold e.mu.
 func (e *Engine) dropEndpointIfUnused(id balance.EndpointID, ep *endpoint) {
 	if ep.removed && ep.inFlightCount == 0 && e.endpoints[id] == ep {
 		delete(e.endpoints, id)
@@ -255,12 +256,12 @@
 
 // UpdateEndpoints applies a list from discovery, full or of changes. The list must have passed
 // [discovery.List.Check].
-func (e *Engine) UpdateEndpoints(l *discovery.List) {
+func (e *Engine) UpdateEndpoints(list *discovery.List) {
 	kind := balance.ListChanges
-	if l.Full {
+	if list.Full {
 		kind = balance.ListFull
 	}
-	e.applyList(kind, l)
+	e.applyList(kind, list)
 }
 
 // RecordDiscoveryResponse records that discovery has responded now, with or without changes.
@@ -274,7 +275,7 @@
 func (e *Engine) RecordDiscoveryFailure() { e.applyList(balance.ListUnavailable, &discovery.List{}) }
 
 // applyList updates the endpoints and the balancer from a list. It locks e.mu.
-func (e *Engine) applyList(kind balance.ListKind, l *discovery.List) {
+func (e *Engine) applyList(kind balance.ListKind, list *discovery.List) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if kind == balance.ListFull || kind == balance.ListLastKnown {
@@ -282,14 +283,14 @@
 			ep.outOfService, ep.removed = true, true
 		}
 	}
-	entries := e.ids.listEntries(l)
-	list := make([]balance.Endpoint, len(entries))
+	entries := e.ids.listEntries(list)
+	endpoints := make([]balance.Endpoint, len(entries))
 	now := e.now()
 	for i, entry := range entries {
 		ep := e.endpoints[entry.ID]
 		reportedStart := entry.StartedAt
 		entry.StartedAt = e.startTimes.startTime(reportedStart, now, ep)
-		list[i] = entry.Endpoint
+		endpoints[i] = entry.Endpoint
 		if ep == nil {
 			ep = &endpoint{name: entry.name, route: &upstream.Route{Addr: entry.addr}, startedAt: entry.StartedAt}
 			e.endpoints[entry.ID] = ep
@@ -303,11 +304,11 @@
 			ep.route, ep.startedAt, ep.routeClosed = &upstream.Route{Addr: addr}, entry.StartedAt, false
 		}
 		ep.outOfService, ep.removed = entry.State != balance.InService, entry.State == balance.Removed
-		slog.Debug("endpoint", "name", entry.name, "version", l.Generation, "whole list", kind != balance.ListChanges,
+		slog.Debug("endpoint", "name", entry.name, "version", list.Generation, "whole list", kind != balance.ListChanges,
 			"in service", !ep.outOfService, "gone", ep.removed)
 	}
 	e.handleEvent(func(now time.Duration, actions []balance.Action) []balance.Action {
-		return e.balancer.EndpointsUpdated(now, kind, list, actions)
+		return e.balancer.EndpointsUpdated(now, kind, endpoints, actions)
 	})
 	if len(e.endpoints) > 0 {
 		e.ready.Store(true)
@@ -325,7 +326,7 @@
 
 // withdrawIfOutOfService cancels what has not been sent yet to an endpoint that is out of service,
 // closes its idle connections, and drops it if it is removed and unused. An attempt that waits for a
-// connection to it must not be sent once the connection is up.
+// connection to it must not be sent once the connection is up. The caller must hold e.mu.
 func (e *Engine) withdrawIfOutOfService(id balance.EndpointID) {
 	ep := e.endpoints[id]
 	if ep == nil || !ep.outOfService {
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -70,8 +70,8 @@
 // listEntries converts a list that has passed [discovery.List.Check]. It sorts the instances by name, so
 // that names with the same hash get the same IDs at every sidecar. StartedAt is in Unix time, which needs no
 // conversion to the balancer's clock, see [New].
-func (t *idTable) listEntries(l *discovery.List) []listEntry {
-	instances := slices.Clone(l.Instances)
+func (t *idTable) listEntries(list *discovery.List) []listEntry {
+	instances := slices.Clone(list.Instances)
 	slices.SortStableFunc(instances, func(x, y discovery.Instance) int { return cmp.Compare(x.ID, y.ID) })
 	entries := make([]listEntry, len(instances))
 	for i, instance := range instances {
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -55,7 +55,8 @@
 	return earliest
 }
 
-// setTimer sets the engine's only runtime timer for the earliest timer of the balancer.
+// setTimer sets the engine's only runtime timer for the earliest timer of the balancer. The caller must
+// hold e.mu.
 func (e *Engine) setTimer() {
 	if len(e.pendingTimers) == 0 || e.timerSetFor != 0 && e.timerSetFor <= e.pendingTimers[0].dueAt {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// fireDueTimers passes the timers that are due to the balancer.
+// fireDueTimers passes the timers that are due to the balancer, and sets the runtime timer for the next.
 func (e *Engine) fireDueTimers() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
