--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -15,24 +15,24 @@
 	}{{"probing", 0.002}, {"own-calls", 0.01}} {
 		for _, n := range []int{20, 200, 2000} {
 			b.Run(fmt.Sprintf("%s/%d", c.name, n), func(b *testing.B) {
-				cfg := config()
+				cfg := testConfig()
 				cfg.Costs.Probe = c.price
-				f := newFleet(b, cfg, servers(n)...)
+				f := newHarness(b, cfg, testEndpoints(n)...)
 				var next []Action
 				b.ReportAllocs()
 				for b.Loop() {
 					f.now += ms
-					f.next++
-					f.acts = f.b.RequestArrived(f.now, Request{ID: f.next, Timeout: time.Second}, f.acts[:0])
-					for i := 0; i < len(f.acts); i++ {
-						switch a := f.acts[i]; a.Kind {
+					f.lastID++
+					f.actions = f.b.RequestArrived(f.now, Request{ID: f.lastID, Timeout: time.Second}, f.actions[:0])
+					for i := 0; i < len(f.actions); i++ {
+						switch a := f.actions[i]; a.Kind {
 						case Probe:
 							next = f.b.ProbeEnded(f.now, a.Endpoint, OK, &Load{}, next[:0])
-							f.acts = append(f.acts, next...)
+							f.actions = append(f.actions, next...)
 						case Send:
 							next = f.b.AttemptEnded(f.now, Outcome{Request: a.Request, Endpoint: a.Endpoint, Result: OK,
 								RequestFinished: true, Elapsed: 50 * ms}, next[:0])
-							f.acts = append(f.acts, next...)
+							f.actions = append(f.actions, next...)
 						}
 					}
 				}
@@ -44,14 +44,14 @@
 // BenchmarkPick picks for a request with nobody idle, by the paper's draw, and by own calls.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{20, 200, 2000} {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Costs.Probe = 0.01
-		f := newFleet(b, cfg, servers(n)...)
+		f := newHarness(b, cfg, testEndpoints(n)...)
 		r := &request{class: &f.b.cfg.Classes[0]}
 		b.Run(fmt.Sprintf("draw/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				f.b.draw(r)
+				f.b.drawWeighted(r)
 			}
 		})
 		b.Run(fmt.Sprintf("own-calls/%d", n), func(b *testing.B) {
@@ -64,10 +64,10 @@
 }
 
 // Events out of order, repeated or late must be ignored.
-func TestBadUse(t *testing.T) {
-	f := newFleet(t, config(), servers(3)...)
-	r, e := f.dispatch(0)
-	f.ended(r, 0, e, OK, ms)
+func TestBalancerIgnoresUnknownAndLateEvents(t *testing.T) {
+	f := newHarness(t, testConfig(), testEndpoints(3)...)
+	r, e := f.sendToIdle(0)
+	f.endAttempt(r, 0, e, OK, ms)
 	for name, event := range map[string]func() []Action{
 		"outcome twice":   func() []Action { return f.b.AttemptEnded(f.now, Outcome{Request: r, Endpoint: e}, nil) },
 		"unknown attempt": func() []Action { return f.b.AttemptEnded(f.now, Outcome{Request: r, Attempt: 7}, nil) },
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -7,72 +7,72 @@
 	"time"
 )
 
-// world feeds a balancer legal events drawn from a source of bytes and checks the rules on what it does.
+// ruleChecker feeds a balancer legal events drawn from a source of bytes and checks the rules on what it does.
 // It models no servers: outcomes are arbitrary.
-type world struct {
-	t      *testing.T
-	src    func(n int) int
-	b      *Balancer
-	now    time.Duration
-	cfg    Config
-	nextID RequestID
-	reqs   map[RequestID]*tracked
-	ids    []RequestID
-	out    []flight
-	probes []EndpointID
-	timers []ring
-	states map[EndpointID]Endpoint
-	conns  map[EndpointID]*conn
-	askBy  time.Duration // when discovery must have been asked; 0 with a subscription
-	log    []Action
+type ruleChecker struct {
+	t                 *testing.T
+	draw              func(n int) int
+	b                 *Balancer
+	now               time.Duration
+	cfg               Config
+	nextID            RequestID
+	requests          map[RequestID]*requestState
+	ids               []RequestID
+	inFlight          []attemptRef
+	probes            []EndpointID
+	timers            []pendingTimer
+	states            map[EndpointID]Endpoint
+	conns             map[EndpointID]*connState
+	subscribeDeadline time.Duration // when discovery must have been asked; 0 with a subscription
+	allActions        []Action
 }
 
-// conn is what a sidecar has open to an endpoint.
-type conn struct {
-	idle bool // a connection that carries nothing is open
-	used int  // calls and probes that are out
-	last time.Duration
+// connState is what a sidecar has open to an endpoint.
+type connState struct {
+	idle        bool // a connection that carries nothing is open
+	inUse       int  // calls and probes that are out
+	lastEventAt time.Duration
 }
 
-// conn is an endpoint's connections, noting that something happened there.
-func (w *world) conn(id EndpointID) *conn {
+// touchConn is an endpoint's connections, noting that something happened there.
+func (w *ruleChecker) touchConn(id EndpointID) *connState {
 	c := w.conns[id]
 	if c == nil {
-		c = &conn{}
+		c = &connState{}
 		w.conns[id] = c
 	}
-	c.last = w.now
+	c.lastEventAt = w.now
 	return c
 }
 
-type tracked struct {
-	class    int
-	arrived  time.Duration
-	deadline time.Duration
-	reruns   int // sent again with nothing out, after an attempt that may have run
-	closed   bool
-	attempts []sentTo
+type requestState struct {
+	class     int
+	arrivedAt time.Duration
+	deadline  time.Duration
+	retries   int // sent again with nothing out, after an attempt that may have run
+	finished  bool
+	attempts  []attemptState
 }
 
-type sentTo struct {
-	to       EndpointID
-	at       time.Duration
-	out      bool
-	provenNo bool
+type attemptState struct {
+	endpoint EndpointID
+	sentAt   time.Duration
+	inFlight bool
+	neverRan bool
 }
 
-type flight struct {
-	req     RequestID
+type attemptRef struct {
+	request RequestID
 	attempt int
 }
 
-type ring struct {
-	at    time.Duration
+type pendingTimer struct {
+	dueAt time.Duration
 	timer Timer
 }
 
-func newWorld(t *testing.T, src func(n int) int) *world {
-	cfg := config()
+func newRuleChecker(t *testing.T, src func(n int) int) *ruleChecker {
+	cfg := testConfig()
 	cfg.Classes[1].Scope = Scope(src(3))
 	cfg.Limits.Hedging = src(3) > 0
 	cfg.Limits.Cancel = src(3) > 0
@@ -93,110 +93,110 @@
 		}
 	}
 	cfg.MaxSubscribeDelay = time.Duration(1+src(10)) * time.Second
-	w := &world{t: t, src: src, cfg: cfg, now: time.Hour, conns: make(map[EndpointID]*conn),
-		reqs: make(map[RequestID]*tracked), states: make(map[EndpointID]Endpoint)}
+	w := &ruleChecker{t: t, draw: src, cfg: cfg, now: time.Hour, conns: make(map[EndpointID]*connState),
+		requests: make(map[RequestID]*requestState), states: make(map[EndpointID]Endpoint)}
 	b, err := New(cfg, uint64(src(1<<16)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.b = b
 	if cfg.MustSubscribe {
-		w.askBy = w.now + cfg.MaxSubscribeDelay
+		w.subscribeDeadline = w.now + cfg.MaxSubscribeDelay
 	}
-	w.list(ListLastKnown)
+	w.updateList(ListLastKnown)
 	return w
 }
 
-func (w *world) list(kind ListKind) {
+func (w *ruleChecker) updateList(kind ListKind) {
 	var list []Endpoint
 	if kind != ListChanges {
 		clear(w.states)
 	}
-	for range w.src(12) {
-		id := 1 + w.src(15)
+	for range w.draw(12) {
+		id := 1 + w.draw(15)
 		e := Endpoint{
-			ID: EndpointID(id), Zone: id % 2, Cell: id % 4, State: EndpointState(w.src(3)), Weight: float64(w.src(5)),
+			ID: EndpointID(id), Zone: id % 2, Cell: id % 4, State: EndpointState(w.draw(3)), Weight: float64(w.draw(5)),
 		}
-		if w.src(3) == 0 {
-			e.StartedAt = w.now - time.Duration(w.src(20))*time.Second
+		if w.draw(3) == 0 {
+			e.StartedAt = w.now - time.Duration(w.draw(20))*time.Second
 		}
 		list = append(list, e)
 		w.states[e.ID] = e
 		if e.State == Draining && w.conns[e.ID] != nil {
-			w.conn(e.ID)
+			w.touchConn(e.ID)
 		}
 	}
-	w.take(w.b.EndpointsUpdated(w.now, kind, list, nil))
+	w.apply(w.b.EndpointsUpdated(w.now, kind, list, nil))
 }
 
 // step plays one event.
-func (w *world) step() {
-	switch w.src(10) {
+func (w *ruleChecker) step() {
+	switch w.draw(10) {
 	case 0, 1:
 		w.nextID++
-		q := Request{ID: w.nextID, Class: w.src(len(w.cfg.Classes)), Timeout: time.Duration(w.src(3000)) * ms,
-			ExpectedWork: time.Duration(w.src(3)) * 50 * ms}
-		w.reqs[q.ID] = &tracked{class: q.Class, arrived: w.now, deadline: w.now + q.Timeout}
+		q := Request{ID: w.nextID, Class: w.draw(len(w.cfg.Classes)), Timeout: time.Duration(w.draw(3000)) * ms,
+			ExpectedWork: time.Duration(w.draw(3)) * 50 * ms}
+		w.requests[q.ID] = &requestState{class: q.Class, arrivedAt: w.now, deadline: w.now + q.Timeout}
 		w.ids = append(w.ids, q.ID)
-		w.take(w.b.RequestArrived(w.now, q, nil))
+		w.apply(w.b.RequestArrived(w.now, q, nil))
 	case 2, 3, 4:
-		if len(w.out) > 0 {
-			w.end(w.src(len(w.out)), Result(w.src(8)))
+		if len(w.inFlight) > 0 {
+			w.endAttempt(w.draw(len(w.inFlight)), Result(w.draw(8)))
 		}
 	case 5:
 		if len(w.probes) > 0 {
-			i := w.src(len(w.probes))
+			i := w.draw(len(w.probes))
 			id := w.probes[i]
 			w.probes = slices.Delete(w.probes, i, i+1)
-			c := w.conn(id)
-			c.used, c.idle = c.used-1, true
+			c := w.touchConn(id)
+			c.inUse, c.idle = c.inUse-1, true
 			var load *Load
-			if w.src(4) > 0 {
-				load = &Load{InFlight: float64(w.src(3))}
+			if w.draw(4) > 0 {
+				load = &Load{InFlight: float64(w.draw(3))}
 			}
-			w.take(w.b.ProbeEnded(w.now, id, Result(w.src(2)*w.src(8)), load, nil))
+			w.apply(w.b.ProbeEnded(w.now, id, Result(w.draw(2)*w.draw(8)), load, nil))
 		}
 	case 6:
-		if w.src(4) == 0 && w.cfg.MustSubscribe && w.askBy == 0 {
-			w.askBy = w.now + 4*w.cfg.MaxSubscribeDelay
-			w.take(w.b.EndpointsUpdated(w.now, ListUnavailable, nil, nil))
+		if w.draw(4) == 0 && w.cfg.MustSubscribe && w.subscribeDeadline == 0 {
+			w.subscribeDeadline = w.now + 4*w.cfg.MaxSubscribeDelay
+			w.apply(w.b.EndpointsUpdated(w.now, ListUnavailable, nil, nil))
 			break
 		}
-		w.list(ListKind(w.src(4)) % 2)
+		w.updateList(ListKind(w.draw(4)) % 2)
 	case 7:
 		if len(w.ids) > 0 {
-			id := w.ids[w.src(len(w.ids))]
-			if q := w.reqs[id]; !q.closed && w.src(3) == 0 {
-				q.closed = true
-				w.take(w.b.RequestAbandoned(w.now, id, nil))
+			id := w.ids[w.draw(len(w.ids))]
+			if q := w.requests[id]; !q.finished && w.draw(3) == 0 {
+				q.finished = true
+				w.apply(w.b.RequestAbandoned(w.now, id, nil))
 			}
 		}
 	case 8: // an event about nothing that is known
-		w.take(w.b.RequestAbandoned(w.now, RequestID(1<<40), nil))
-		w.take(w.b.AttemptEnded(w.now, Outcome{Request: RequestID(w.src(50)), Attempt: 90, Endpoint: 99}, nil))
-		w.take(w.b.ProbeEnded(w.now, 99, OK, nil, nil))
-		w.take(w.b.TimerFired(w.now, Timer{Kind: uint8(w.src(9)), Ref: uint64(w.src(40))}, nil))
-		w.take(w.b.SetClassLimits(w.now, 99, Class{}, nil))
-		w.bound(w.src(len(w.cfg.Classes)))
+		w.apply(w.b.RequestAbandoned(w.now, RequestID(1<<40), nil))
+		w.apply(w.b.AttemptEnded(w.now, Outcome{Request: RequestID(w.draw(50)), Attempt: 90, Endpoint: 99}, nil))
+		w.apply(w.b.ProbeEnded(w.now, 99, OK, nil, nil))
+		w.apply(w.b.TimerFired(w.now, Timer{Kind: uint8(w.draw(9)), Ref: uint64(w.draw(40))}, nil))
+		w.apply(w.b.SetClassLimits(w.now, 99, Class{}, nil))
+		w.changeClassLimits(w.draw(len(w.cfg.Classes)))
 	case 9:
-		w.pass(time.Duration(w.src(400)) * ms)
+		w.advance(time.Duration(w.draw(400)) * ms)
 	}
 }
 
-// bound changes a class's bounds but Retries, of which a request may have been granted one already.
-func (w *world) bound(class int) {
+// changeClassLimits changes a class's bounds but Retries, of which a request may have been granted one already.
+func (w *ruleChecker) changeClassLimits(class int) {
 	c := &w.cfg.Classes[class]
-	c.MaxAttempts, c.NoHedging, c.RetryStartWindow = w.src(4), w.src(2) == 0, time.Duration(w.src(2)*w.src(900))*ms
-	w.take(w.b.SetClassLimits(w.now, class, *c, nil))
+	c.MaxAttempts, c.NoHedging, c.RetryStartWindow = w.draw(4), w.draw(2) == 0, time.Duration(w.draw(2)*w.draw(900))*ms
+	w.apply(w.b.SetClassLimits(w.now, class, *c, nil))
 }
 
-// pass lets time go by, ringing timers on the way.
-func (w *world) pass(d time.Duration) {
+// advance lets time go by, ringing timers on the way.
+func (w *ruleChecker) advance(d time.Duration) {
 	until := w.now + d
 	for {
 		i := -1
 		for j, r := range w.timers {
-			if r.at <= until && (i < 0 || r.at < w.timers[i].at) {
+			if r.dueAt <= until && (i < 0 || r.dueAt < w.timers[i].dueAt) {
 				i = j
 			}
 		}
@@ -205,66 +205,66 @@
 		}
 		r := w.timers[i]
 		w.timers = slices.Delete(w.timers, i, i+1)
-		w.now = max(w.now, r.at)
-		w.take(w.b.TimerFired(w.now, r.timer, nil))
+		w.now = max(w.now, r.dueAt)
+		w.apply(w.b.TimerFired(w.now, r.timer, nil))
 		w.checkDeadlines()
 	}
 	w.now = until
 	w.checkDeadlines()
 }
 
-func (w *world) checkDeadlines() {
+func (w *ruleChecker) checkDeadlines() {
 	for _, id := range w.ids {
-		if q := w.reqs[id]; !q.closed && w.now > q.deadline {
+		if q := w.requests[id]; !q.finished && w.now > q.deadline {
 			w.t.Fatalf("request %d has no final answer by its deadline", id)
 		}
 	}
-	if w.askBy > 0 && w.now > w.askBy {
-		w.t.Fatalf("discovery was not asked by %v", w.askBy)
+	if w.subscribeDeadline > 0 && w.now > w.subscribeDeadline {
+		w.t.Fatalf("discovery was not asked by %v", w.subscribeDeadline)
 	}
 	for id, c := range w.conns {
-		if w.cfg.MaxDrainIdleTime > 0 && w.states[id].State == Draining && c.idle && c.used == 0 &&
-			w.now-c.last > w.cfg.MaxDrainIdleTime {
-			w.t.Fatalf("an idle connection to %d, which drains, is open after %v", id, w.now-c.last)
+		if w.cfg.MaxDrainIdleTime > 0 && w.states[id].State == Draining && c.idle && c.inUse == 0 &&
+			w.now-c.lastEventAt > w.cfg.MaxDrainIdleTime {
+			w.t.Fatalf("an idle connection to %d, which drains, is open after %v", id, w.now-c.lastEventAt)
 		}
 	}
 }
 
-func (w *world) end(i int, res Result) {
-	f := w.out[i]
-	w.out = slices.Delete(w.out, i, i+1)
-	q := w.reqs[f.req]
+func (w *ruleChecker) endAttempt(i int, res Result) {
+	f := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
+	q := w.requests[f.request]
 	a := &q.attempts[f.attempt]
-	a.out = false
-	a.provenNo = res == Rejected || res == ConnectFailed || res == NotSent
+	a.inFlight = false
+	a.neverRan = res == Rejected || res == ConnectFailed || res == NotSent
 	if res == OK {
-		q.closed = true
+		q.finished = true
 	}
-	c := w.conn(a.to)
-	c.used, c.idle = c.used-1, true
-	w.take(w.b.AttemptEnded(w.now, Outcome{Request: f.req, Attempt: f.attempt, Endpoint: a.to, Result: res,
-		RequestFinished: q.closed, Elapsed: w.now - a.at}, nil))
+	c := w.touchConn(a.endpoint)
+	c.inUse, c.idle = c.inUse-1, true
+	w.apply(w.b.AttemptEnded(w.now, Outcome{Request: f.request, Attempt: f.attempt, Endpoint: a.endpoint, Result: res,
+		RequestFinished: q.finished, Elapsed: w.now - a.sentAt}, nil))
 }
 
-// take checks actions against the rules.
-func (w *world) take(acts []Action) {
-	w.log = append(w.log, acts...)
+// apply checks actions against the rules.
+func (w *ruleChecker) apply(acts []Action) {
+	w.allActions = append(w.allActions, acts...)
 	for _, a := range acts {
-		q := w.reqs[a.Request]
+		q := w.requests[a.Request]
 		switch a.Kind {
 		case Send:
 			w.checkSend(a, q)
-			q.attempts = append(q.attempts, sentTo{to: a.Endpoint, at: w.now, out: true})
-			w.out = append(w.out, flight{a.Request, len(q.attempts) - 1})
-			w.conn(a.Endpoint).used++
+			q.attempts = append(q.attempts, attemptState{endpoint: a.Endpoint, sentAt: w.now, inFlight: true})
+			w.inFlight = append(w.inFlight, attemptRef{a.Request, len(q.attempts) - 1})
+			w.touchConn(a.Endpoint).inUse++
 		case Shed, Fail:
-			if q.closed {
+			if q.finished {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
-			q.closed = true
+			q.finished = true
 			c := w.cfg.Classes[q.class]
 			for _, s := range q.attempts {
-				if a.Kind == Shed && !s.provenNo &&
+				if a.Kind == Shed && !s.neverRan &&
 					(c.Semantics == Unsafe || c.Semantics == Keyed && c.Scope != ScopeAll) {
 					w.t.Fatalf("request %d of class %d was shed though it may have run", a.Request, q.class)
 				}
@@ -277,26 +277,26 @@
 			if a.Delay <= 0 {
 				w.t.Fatalf("timer in the past: %+v", a)
 			}
-			w.timers = append(w.timers, ring{w.now + a.Delay, a.Timer})
+			w.timers = append(w.timers, pendingTimer{w.now + a.Delay, a.Timer})
 		case Probe:
 			if _, ok := w.states[a.Endpoint]; !ok {
 				w.t.Fatalf("probe of %d, which is not listed", a.Endpoint)
 			}
 			w.probes = append(w.probes, a.Endpoint)
-			w.conn(a.Endpoint).used++
+			w.touchConn(a.Endpoint).inUse++
 		case Subscribe:
-			w.askBy = 0
+			w.subscribeDeadline = 0
 		case CloseIdle:
-			w.conn(a.Endpoint).idle = false
+			w.touchConn(a.Endpoint).idle = false
 		}
 	}
 }
 
-func (w *world) checkSend(a Action, q *tracked) {
+func (w *ruleChecker) checkSend(a Action, q *requestState) {
 	e, listed := w.states[a.Endpoint]
 	c := w.cfg.Classes[q.class]
 	switch {
-	case q.closed:
+	case q.finished:
 		w.t.Fatalf("request %d was sent after its final answer", a.Request)
 	case !listed || e.State != InService:
 		w.t.Fatalf("request %d was sent to %d: listed %v, state %d", a.Request, a.Endpoint, listed, e.State)
@@ -304,32 +304,32 @@
 		w.t.Fatalf("request %d: over %d attempts", a.Request, w.cfg.Limits.MaxAttempts)
 	case c.MaxAttempts > 0 && len(q.attempts) >= c.MaxAttempts:
 		w.t.Fatalf("request %d: over the %d attempts of its class", a.Request, c.MaxAttempts)
-	case len(q.attempts) > 0 && c.RetryStartWindow > 0 && w.now >= q.arrived+c.RetryStartWindow:
-		w.t.Fatalf("request %d was sent again %v after it came, over %v", a.Request, w.now-q.arrived, c.RetryStartWindow)
+	case len(q.attempts) > 0 && c.RetryStartWindow > 0 && w.now >= q.arrivedAt+c.RetryStartWindow:
+		w.t.Fatalf("request %d was sent again %v after it came, over %v", a.Request, w.now-q.arrivedAt, c.RetryStartWindow)
 	case w.now > q.deadline:
 		w.t.Fatalf("request %d was sent after its deadline", a.Request)
 	}
 	ran, out := false, false
 	for _, s := range q.attempts {
-		ran, out = ran || !s.provenNo, out || s.out
+		ran, out = ran || !s.neverRan, out || s.inFlight
 	}
 	if ran && !out {
-		if q.reruns++; c.MaxRetries < 0 || c.MaxRetries > 0 && q.reruns > c.MaxRetries {
-			w.t.Fatalf("request %d: retry %d after it may have run, of %d", a.Request, q.reruns, c.MaxRetries)
+		if q.retries++; c.MaxRetries < 0 || c.MaxRetries > 0 && q.retries > c.MaxRetries {
+			w.t.Fatalf("request %d: retry %d after it may have run, of %d", a.Request, q.retries, c.MaxRetries)
 		}
 	}
 	for i, s := range q.attempts {
-		if s.provenNo {
+		if s.neverRan {
 			continue
 		}
-		here, there := int(s.to), int(e.ID)
+		here, there := int(s.endpoint), int(e.ID)
 		switch {
-		case s.out && (!w.cfg.Limits.Hedging || c.NoHedging):
+		case s.inFlight && (!w.cfg.Limits.Hedging || c.NoHedging):
 			w.t.Fatalf("request %d: a second copy, though attempt %d is out", a.Request, i)
 		case c.Semantics == Unsafe:
 			w.t.Fatalf("unsafe request %d was sent again", a.Request)
-		case c.Semantics == Keyed && w.now-s.at >= c.RepeatWindow:
-			w.t.Fatalf("keyed request %d was sent again %v after attempt %d", a.Request, w.now-s.at, i)
+		case c.Semantics == Keyed && w.now-s.sentAt >= c.RepeatWindow:
+			w.t.Fatalf("keyed request %d was sent again %v after attempt %d", a.Request, w.now-s.sentAt, i)
 		case c.Semantics == Keyed && c.Scope == ScopeZone && here%2 != there%2,
 			c.Semantics == Keyed && c.Scope == ScopeCell && here%4 != there%4:
 			w.t.Fatalf("keyed request %d left its group", a.Request)
@@ -337,28 +337,28 @@
 	}
 }
 
-// play runs a world for some steps, then lets everything end, and returns all actions.
-func play(t *testing.T, steps int, src func(n int) int) []Action {
-	w := newWorld(t, src)
+// runRuleChecker runs a world for some steps, then lets everything end, and returns all actions.
+func runRuleChecker(t *testing.T, steps int, src func(n int) int) []Action {
+	w := newRuleChecker(t, src)
 	for range steps {
 		w.step()
 	}
-	w.pass(10 * time.Second)
-	for len(w.out) > 0 {
-		w.end(0, Timeout)
+	w.advance(10 * time.Second)
+	for len(w.inFlight) > 0 {
+		w.endAttempt(0, Timeout)
 	}
-	w.pass(10 * time.Second)
+	w.advance(10 * time.Second)
 	if n := len(w.b.requests); n > 0 {
 		t.Fatalf("%d requests are kept after all has ended", n)
 	}
-	return w.log
+	return w.allActions
 }
 
 func TestRulesHoldOnArbitraryEvents(t *testing.T) {
 	for seed := range uint64(400) {
 		run := func() []Action {
 			rng := rand.New(rand.NewPCG(seed, 2))
-			return play(t, 400, rng.IntN)
+			return runRuleChecker(t, 400, rng.IntN)
 		}
 		if first, second := run(), run(); !slices.Equal(first, second) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
@@ -378,6 +378,6 @@
 			i++
 			return v % n
 		}
-		play(t, min(len(data), 2000), src)
+		runRuleChecker(t, min(len(data), 2000), src)
 	})
 }
