--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,23 +1,26 @@
-// Package balance decides for the load balancer of services that call
-// services: which endpoint gets a request, whether to try again, hedge or
-// shed, and whom to probe. It does no input or output. A caller feeds events
-// to a [Balancer] and carries out the actions it appends.
+// Package balance makes the decisions of a load balancer between services:
+// which endpoint gets a request, whether to retry, hedge or shed it, and
+// which endpoints to probe. It does no input or output. The user of the
+// package feeds events to a [Balancer] and carries out the actions that it
+// appends.
 //
-// One Balancer stands for one sidecar sending to one tier. It holds no
-// goroutine, clock or lock: the caller passes the time, from any fixed origin
-// and never falling, and calls one method at a time. The same seed and events
-// give the same actions. All state dies with the Balancer; after a restart,
-// make a new one and hand it the last known list first.
+// One Balancer serves one sidecar that sends to one tier. It uses no
+// goroutine, clock or lock: the user passes the time, which may count from any
+// fixed origin and must never decrease, and calls one method at a time. The
+// same seed and events give the same actions. All state is lost with the
+// Balancer; after a restart, create a new one and pass it the last known list
+// first.
 //
-// Each method appends its actions to the slice it is given and returns that;
-// the caller owns it again at the return, and may reuse it for the next event.
-// What a method is handed (a list, a load report) is not kept. Actions are to be
-// carried out in their order, at the time of their event. A timer can't be
-// stopped: the caller hands each back to Fired once, when it is due or soon
-// after, and the Balancer ignores those it has no more use for.
+// Each method appends its actions to the slice that it is given and returns
+// the result. The user owns that slice again after the return and may reuse it
+// for the next event. Arguments (a list, a load report) are not retained.
+// Actions must be carried out in their order, at the time of their event. A
+// timer can't be stopped: the user passes each one to [Balancer.TimerFired]
+// once, when it is due or soon after, and the Balancer ignores those that it no
+// longer needs.
 //
-// Events about a request or an endpoint that was never seen are ignored, and
-// so are late or repeated ones.
+// Events about an unknown request or endpoint are ignored, and so are late or
+// repeated events.
 package balance
 
 import (
@@ -27,141 +30,143 @@
 	"time"
 )
 
-// RequestID names one request within a Balancer. It is never reused.
+// RequestID identifies a request within a Balancer. It is never reused.
 type RequestID uint64
 
-// EndpointID names one endpoint. It survives a restart of the endpoint.
+// EndpointID identifies an endpoint. It survives a restart of the endpoint.
 type EndpointID uint32
 
-// Semantics says whether a request may run more than once.
+// Semantics states whether a request may run more than once.
 type Semantics uint8
 
 // The semantics of a class.
 const (
 	Safe   Semantics = iota // may run any number of times
-	Keyed                   // repeats are dropped by the endpoints of one group
+	Keyed                   // endpoints within the class's Scope drop repeats by idempotency key
 	Unsafe                  // must not run twice
 )
 
-// Scope says which endpoints drop the repeats of a keyed request.
+// Scope states which endpoints drop the repeats of a keyed request.
 type Scope uint8
 
 // The scopes of a keyed class.
 const (
 	ScopeAll  Scope = iota // all endpoints
-	ScopeZone              // those in the zone of the first that may have run it
-	ScopeCell              // those in its cell
+	ScopeZone              // those in the zone of the first endpoint that may have run the request
+	ScopeCell              // those in the cell of that endpoint
 )
 
 // Class describes a class of requests.
 type Class struct {
 	Name             string
-	TargetLatency    time.Duration `name:"Goal"` // an answer within it earns full worth
-	Deadline         time.Duration // a client's patience across all its tries
-	Value            float64       `name:"Worth"`
-	LateValueShare   float64       `name:"LateShare"`   // share of the worth earned after Goal, before Deadline
-	TargetWorkFactor float64       `name:"GoalStretch"` // Goal grows by this multiple of a request's own work
+	TargetLatency    time.Duration `name:"Goal"` // a response within it earns the full value
+	Deadline         time.Duration // how long a client waits at most, over all its retries
+	Value            float64       `name:"Worth"`       // of a request that is served in time
+	LateValueShare   float64       `name:"LateShare"`   // share of the value earned after TargetLatency, before Deadline
+	TargetWorkFactor float64       `name:"GoalStretch"` // TargetLatency grows by this multiple of a request's ExpectedWork
 	Semantics        Semantics
 	Scope            Scope         // for Keyed
-	RepeatWindow     time.Duration // for Keyed: how long repeats are dropped
-	Streaming        bool          `name:"Stream"` // the answer is streamed: Head comes first
-
-	// Bounds of the class's own, within those of Limits; zero is none. See [Balancer.Bound].
-	MaxAttempts      int           // for each request, those that never ran included
-	MaxRetries       int           `name:"Retries"`     // after an attempt that may have run; negative is not even one
-	NoHedging        bool          `name:"OneCopy"`     // no second copy while one is out
-	RetryStartWindow time.Duration `name:"RetryWithin"` // a further attempt begins sooner than this after the request came
+	RepeatWindow     time.Duration // for Keyed: how long endpoints drop repeats
+	Streaming        bool          `name:"Stream"` // the response is streamed: ResponseStarted precedes AttemptEnded
+
+	// Limits of the class, which apply in addition to those of Limits; zero is no limit. They can be changed
+	// by [Balancer.SetClassLimits].
+	MaxAttempts      int           // for each request, including attempts that never ran
+	MaxRetries       int           `name:"Retries"`     // retries after an attempt that may have run; negative allows none
+	NoHedging        bool          `name:"OneCopy"`     // no second attempt while one is in flight
+	RetryStartWindow time.Duration `name:"RetryWithin"` // a further attempt must start sooner than this after the request's arrival
 }
 
-// Tenant describes a tenant; its quota is summed over all sidecars.
+// Tenant describes a tenant.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second
-	Share float64 // of the service
+	Quota float64 // requests per second, summed over all sidecars; 0 is no quota
+	Share float64 // share of the service
 }
 
-// WeightMeaning says what the weight of an [Endpoint] means.
+// WeightMeaning states what the weight of an [Endpoint] means.
 type WeightMeaning uint8
 
 // The meanings of a weight.
 const (
-	WeightNone             WeightMeaning = iota // nothing
-	WeightCapacity                              // the registered size
-	WeightCapacityEstimate                      // the size, roughly
-	WeightCapacityPerLoad                       // size over load, as of some time ago
+	WeightNone             WeightMeaning = iota // no meaning
+	WeightCapacity                              // the registered capacity
+	WeightCapacityEstimate                      // a rough estimate of the capacity
+	WeightCapacityPerLoad                       // capacity divided by load, as of some time ago
 )
 
-// Reporting says how load reports reach a sidecar.
+// Reporting states how load reports reach a sidecar.
 type Reporting uint8
 
 // The ways of reporting load.
 const (
-	ReportsNone       Reporting = iota // not at all
+	ReportsNone       Reporting = iota // no load reports
 	ReportsInProbe                     // in probe results only
-	ReportsInResponse                  // in outcomes and probe results
+	ReportsInResponse                  // in outcomes of attempts and in probe results
 )
 
-// Costs are prices in points of the result, each times its share or rate.
+// Costs are the points deducted from the result for each use of a resource. Each is multiplied by the share
+// or rate given with it.
 type Costs struct {
-	Connection float64 // open connections on average, over 100 x endpoints
-	CrossZone  float64 // attempts that cross zones, over first tries
-	Handshake  float64 // new connections, over first tries
-	LateFail   float64 // worth left unserved after its goal
-	Peer       float64 // peer bytes, over 256 x first tries
-	Probe      float64 // probes, over first tries
-	Waste      float64 // work that yields no answer, over work offered
+	Connection float64 // average number of open connections, divided by 100 x endpoints
+	CrossZone  float64 // attempts that cross zones, divided by first attempts
+	Handshake  float64 // new connections, divided by first attempts
+	LateFail   float64 // value of requests that end unserved after their target latency
+	Peer       float64 // bytes of messages between sidecars, divided by 256 x first attempts
+	Probe      float64 // probes, divided by first attempts
+	Waste      float64 // work that yields no response, divided by the work offered
 }
 
 // ObjectiveWeights are the weights of the parts of the result.
 type ObjectiveWeights struct {
-	Overall     float64 `name:"Whole"` // the day as a whole
-	WorstWindow float64 // its worst stretch
-	WorstClass  float64
-	WorstTenant float64
-	Nines       float64 // -log10 of the share not served, over NinesFull
-	NinesTarget float64 `name:"NinesFull"` // the nines that earn all of it
+	Overall     float64 `name:"Whole"` // the whole day
+	WorstWindow float64 // the worst time window of the day
+	WorstClass  float64 // the class that is served worst
+	WorstTenant float64 // the tenant that is served worst
+	Nines       float64 // -log10 of the share that is not served, over NinesTarget
+	NinesTarget float64 `name:"NinesFull"` // number of nines that earns the full weight
 }
 
 // Limits are what the deployment allows.
 type Limits struct {
-	MaxAttempts    int  // for each request; 0 is no limit
-	Hedging        bool `name:"SecondCopies"` // two attempts of a request may be out together
-	Probes         bool // Probe actions are allowed
-	Cancel         bool // Cancel actions are allowed
-	PeerMessages   bool `name:"Peers"` // sidecars may send each other messages
-	MaxRetryAfter  time.Duration
+	MaxAttempts    int           // for each request; 0 is no limit
+	Hedging        bool          `name:"SecondCopies"` // two attempts of a request may be in flight together
+	Probes         bool          // Probe actions are allowed
+	Cancel         bool          // Cancel actions are allowed
+	PeerMessages   bool          `name:"Peers"` // sidecars may send each other messages
+	MaxRetryAfter  time.Duration // longest delay of a Shed action that clients obey
 	ConnectTimeout time.Duration
-	KeepAlive      time.Duration // idle connections close after it
-	MaxStreams     int           // requests in parallel on a connection
+	KeepAlive      time.Duration // idle connections are closed after this time
+	MaxStreams     int           // concurrent requests on a connection
 }
 
-// Config is what a Balancer is told at its start. A name tag, here and in the structs below it, holds the
-// name under which operators' tools print a field whose Go name differs.
+// Config configures a Balancer. A name tag, here and in the structs below it, holds the name under which
+// operators' tools print a field whose Go name differs.
 type Config struct {
-	SidecarIndex               int `name:"Me"`        // index of this sidecar
-	SidecarCount               int `name:"Balancers"` // how many send to the tier
-	Tier                       int // index of the tier it sends to; 0 takes client requests
-	Zone                       int
+	SidecarIndex               int `name:"Me"`        // index of this sidecar, from 0
+	SidecarCount               int `name:"Balancers"` // number of sidecars that send to the tier
+	Tier                       int // index of the tier that the sidecar sends to; 0 receives client requests
+	Zone                       int // zone of this sidecar
 	Classes                    []Class
 	Tenants                    []Tenant
-	OverQuotaValue             float64       `name:"OverQuotaWorth"` // worth of a request past its tenant's quota, as a share
-	ClientsMarkRetries         bool          `name:"MarksRepeats"`   // clients mark their repeats
-	EndpointsPropagateDeadline bool          `name:"PassesBudget"`   // an endpoint's own calls carry the time left to it
-	MustSubscribe              bool          `name:"AskDiscovery"`   // the list comes only after Subscribe or Fetch
-	MaxSubscribeDelay          time.Duration `name:"AskWithin"`
+	OverQuotaValue             float64       `name:"OverQuotaWorth"` // value of a request over its tenant's quota, as a share of its usual value
+	ClientsMarkRetries         bool          `name:"MarksRepeats"`   // clients mark their retries
+	EndpointsPropagateDeadline bool          `name:"PassesBudget"`   // requests that an endpoint sends to serve a request carry the time left for it
+	MustSubscribe              bool          `name:"AskDiscovery"`   // lists arrive only after discovery was asked
+	MaxSubscribeDelay          time.Duration `name:"AskWithin"`      // discovery must be asked within this time after the start; 0 is no limit
 	WeightMeaning              WeightMeaning `name:"Weights"`
 	Reporting                  Reporting
 	Costs                      Costs
 	Limits                     Limits
-	ColdCapacityShare          float64          `name:"ColdShare"`    // an endpoint starts at this share of its capacity
-	WarmupTime                 time.Duration    `name:"ColdFor"`      // and is at full capacity after this
-	ColdOverloadMultiple       float64          `name:"FallMultiple"` // more than this multiple of its capacity
-	ColdOverloadTime           time.Duration    `name:"FallAfter"`    // for this long, and a cold endpoint falls over
-	DrainGrace                 time.Duration    // sends to an endpoint that drains must have ceased after this
-	MaxDrainIdleTime           time.Duration    `name:"ReleaseWithin"` // idle connections to it must be closed within this; 0 is no such rule
+	ColdCapacityShare          float64          `name:"ColdShare"`    // share of its capacity that an endpoint has when it starts
+	WarmupTime                 time.Duration    `name:"ColdFor"`      // time from its start until it has its full capacity
+	ColdOverloadMultiple       float64          `name:"FallMultiple"` // load, as a multiple of its capacity, above which a cold endpoint fails
+	ColdOverloadTime           time.Duration    `name:"FallAfter"`    // how long such a load must last for it to fail
+	DrainGrace                 time.Duration    // sends to a draining endpoint must have stopped after this time
+	MaxDrainIdleTime           time.Duration    `name:"ReleaseWithin"` // idle connections to a draining endpoint must be closed within this time; 0 is no such rule
 	Objective                  ObjectiveWeights `name:"Goal"`
-	ValueScalesWithWork        bool             `name:"WorthByWork"` // a request's worth goes by its work
-	ClockResolution            time.Duration    `name:"Step"`        // least time between two events' times
+	ValueScalesWithWork        bool             `name:"WorthByWork"` // a request's value is proportional to its work
+	ClockResolution            time.Duration    `name:"Step"`        // least difference between the times of two events
 }
 
 // EndpointState is the state of a listed endpoint.
@@ -169,124 +174,126 @@
 
 // The states of an endpoint.
 const (
-	InService EndpointState = iota
-	Draining                // finishing its work
-	Removed                 // removed
+	InService EndpointState = iota // takes requests
+	Draining                       // finishes its requests and takes no new ones
+	Removed                        // removed by discovery
 )
 
-// Endpoint is one entry of a list.
+// Endpoint is an entry of a list of endpoints.
 type Endpoint struct {
 	ID        EndpointID
 	Zone      int
 	Cell      int
 	State     EndpointState
-	Weight    float64
-	StartedAt time.Duration // when it last started; 0 is long ago
+	Weight    float64       // see [WeightMeaning]
+	StartedAt time.Duration // when it last started, on the Balancer's clock; 0 is long ago
 }
 
-// ListKind says what a list of endpoints is.
+// ListKind states what a list of endpoints contains.
 type ListKind uint8
 
 // The kinds of list.
 const (
-	ListFull        ListKind = iota // all endpoints: the others are gone
-	ListChanges                     // altered entries only
-	ListLastKnown                   // all endpoints as of the last run, maybe outdated
-	ListUnavailable                 // no list: a call to discovery failed
+	ListFull        ListKind = iota // all endpoints: those not listed have been removed
+	ListChanges                     // changed entries only
+	ListLastKnown                   // all endpoints as of the last run, possibly outdated
+	ListUnavailable                 // no list: a discovery request failed
 )
 
-// Request is a request to be answered.
+// Request describes a request that has arrived.
 type Request struct {
 	ID           RequestID
-	Class        int
-	Tenant       int
-	Timeout      time.Duration // until its client gives up
-	ClientRetry  bool          // the client marked it as a further try
+	Class        int           // index into Config.Classes
+	Tenant       int           // index into Config.Tenants; out of range is no tenant
+	Timeout      time.Duration // until its caller gives up, from its arrival
+	ClientRetry  bool          // the client marked it as a retry
 	ExpectedWork time.Duration // expected work on a standard core; 0 is unknown
 
-	BodyArriving bool // its body is still coming, see [Balancer.Body]
+	BodyArriving bool // its body is still arriving, see [Balancer.BodyStateChanged]
 }
 
-// BodyState is what a sidecar learns late of a request's body.
+// BodyState is the state of the body of a request that was still arriving when the request was passed to
+// [Balancer.RequestArrived].
 type BodyState uint8
 
-// What may be learned.
+// The states of a body.
 const (
-	BodyComplete    BodyState = iota // it has come whole: an endpoint may begin the request
-	BodyUnavailable                  // it is kept no longer: no further attempt can be sent
+	BodyComplete    BodyState = iota // it has arrived completely: an endpoint may start the request
+	BodyUnavailable                  // it is no longer retained: no further attempt can be sent
 )
 
-// Result says how an attempt or a probe ended.
+// Result states how an attempt or a probe ended.
 type Result uint8
 
-// The results. Rejected, ConnectFailed and NotSent prove it never ran.
+// The results. Rejected, ConnectFailed and NotSent prove that the request never ran.
 const (
 	OK            Result = iota
-	Error                // the endpoint answered with an error
-	Rejected             // turned away unread: full, or draining
-	Timeout              // no answer in the time allowed
+	Error                // the endpoint responded with an error
+	Rejected             // the endpoint, full or draining, refused it unread
+	Timeout              // no response in the time allowed
 	ConnectFailed        // no connection in time
 	Reset                // the connection broke
-	Canceled             // withdrawn by the balancer
+	Canceled             // canceled by the Balancer
 	NotSent              // the sidecar did not send it
 )
 
-// Load is an endpoint's report of its load. A field not reported is -1.
+// Load is an endpoint's report of its load. A field that is not reported is -1.
 type Load struct {
-	InFlight        float64 // requests held
-	Queued          float64 // requests waiting
+	InFlight        float64 // requests in flight at the endpoint
+	Queued          float64 // requests waiting at the endpoint
 	Utilization     float64 // share of the cores in use
-	LatencyMS       float64 // recent service time
-	ServedPerSecond float64 // requests a second
-	FailedPerSecond float64 // errors a second
+	LatencyMS       float64 // recent service time, in milliseconds
+	ServedPerSecond float64 // requests served per second
+	FailedPerSecond float64 // errors per second
 }
 
-// Outcome is the end of one attempt.
+// Outcome describes the end of an attempt.
 type Outcome struct {
 	Request         RequestID
-	Attempt         int
+	Attempt         int // index, see [Action]
 	Endpoint        EndpointID
 	Result          Result
-	RequestFinished bool // the request has its final answer, by this or earlier
-	Elapsed         time.Duration
-	Load            *Load // nil without a report; not kept
+	RequestFinished bool          // the request has its final response, from this attempt or earlier
+	Elapsed         time.Duration // since the attempt was sent, or since its body was complete if that was later
+	Load            *Load         // nil without a report; not retained
 }
 
-// Timer is a balancer's own note, handed back when a timer fires.
+// Timer identifies a timer of a Balancer. Its content has meaning only for the Balancer, which gets it back
+// when the timer fires.
 type Timer struct {
 	Kind uint8
 	Ref  uint64
 }
 
-// ActionKind says what an action does.
+// ActionKind states what an action does.
 type ActionKind uint8
 
 // The kinds of action, with the fields of [Action] that they use.
 const (
-	Send      ActionKind = iota // Request, Endpoint, Until, BeginBy
-	Cancel                      // Request, Attempt
-	Shed                        // Request, Delay: refused, a repeat is harmless
-	Fail                        // Request: failed, no promise
-	SetTimer                    // Timer, Delay
-	Probe                       // Endpoint
-	CloseIdle                   // Endpoint: close idle connections to it
-	Subscribe                   // to discovery
+	Send      ActionKind = iota // Request, Endpoint, Deadline, StartDeadline: send an attempt
+	Cancel                      // Request, Attempt: cancel the attempt
+	Shed                        // Request, Delay: refuse the request; a retry after Delay is harmless
+	Fail                        // Request: fail the request, which may have run
+	SetTimer                    // Timer, Delay: pass Timer to TimerFired after Delay
+	Probe                       // Endpoint: ask it for its load
+	CloseIdle                   // Endpoint: close the idle connections to it
+	Subscribe                   // ask discovery for the list
 )
 
-// Action is something for the caller to do. The attempts of a request are
-// numbered from 0 in the order of their Send actions.
+// Action is something that the user of a Balancer must do. The attempts of a request are numbered from 0 in
+// the order of their Send actions.
 type Action struct {
 	Kind          ActionKind
 	Request       RequestID
 	Endpoint      EndpointID
 	Attempt       int
-	Deadline      time.Duration // when the attempt is abandoned
-	StartDeadline time.Duration // it must not go out later than this; 0 is no such bound
-	Delay         time.Duration
+	Deadline      time.Duration // when the attempt must be abandoned
+	StartDeadline time.Duration // the attempt must not go out later than this; 0 is no such limit
+	Delay         time.Duration // from the time of the event
 	Timer         Timer
 }
 
-// check returns an error that names the first setting at fault.
+// check returns an error that names the first invalid setting, by its outer name.
 func (c *Config) check() error {
 	if len(c.Classes) == 0 {
 		return errors.New("balance: Classes: none given")
@@ -311,26 +318,26 @@
 		}
 	}
 	for _, t := range []struct {
-		name string
-		d    time.Duration
+		name  string
+		value time.Duration
 	}{
 		{"AskWithin", c.MaxSubscribeDelay}, {"ColdFor", c.WarmupTime}, {"FallAfter", c.ColdOverloadTime}, {"Step", c.ClockResolution},
 		{"DrainGrace", c.DrainGrace}, {"ReleaseWithin", c.MaxDrainIdleTime},
 		{"Limits.ConnectTimeout", c.Limits.ConnectTimeout}, {"Limits.KeepAlive", c.Limits.KeepAlive},
 		{"Limits.MaxRetryAfter", c.Limits.MaxRetryAfter},
 	} {
-		if t.d < 0 {
+		if t.value < 0 {
 			return fmt.Errorf("balance: %s: negative", t.name)
 		}
 	}
 	return c.checkNumbers()
 }
 
-// checkNumbers checks the settings that are ratios, counts and unknown enumerators.
+// checkNumbers returns an error that names the first ratio, count or enumerator that is out of range.
 func (c *Config) checkNumbers() error {
 	type number struct {
-		name      string
-		v, atMost float64
+		name           string
+		value, highest float64
 	}
 	inf := math.Inf(1)
 	numbers := []number{
@@ -347,17 +354,17 @@
 		{"Reporting", float64(c.Reporting), float64(ReportsInResponse)},
 	}
 	for i, k := range c.Classes {
-		at := fmt.Sprintf("Classes[%d].", i)
-		numbers = append(numbers, number{at + "Worth", k.Value, inf}, number{at + "LateShare", k.LateValueShare, 1},
-			number{at + "GoalStretch", k.TargetWorkFactor, inf})
+		prefix := fmt.Sprintf("Classes[%d].", i)
+		numbers = append(numbers, number{prefix + "Worth", k.Value, inf}, number{prefix + "LateShare", k.LateValueShare, 1},
+			number{prefix + "GoalStretch", k.TargetWorkFactor, inf})
 	}
 	for i, t := range c.Tenants {
-		at := fmt.Sprintf("Tenants[%d].", i)
-		numbers = append(numbers, number{at + "Quota", t.Quota, inf}, number{at + "Share", t.Share, 1})
+		prefix := fmt.Sprintf("Tenants[%d].", i)
+		numbers = append(numbers, number{prefix + "Quota", t.Quota, inf}, number{prefix + "Share", t.Share, 1})
 	}
 	for _, n := range numbers {
-		if !(n.v >= 0 && n.v <= n.atMost) || math.IsInf(n.v, 0) { // a NaN fails both
-			return fmt.Errorf("balance: %s: %g is out of range", n.name, n.v)
+		if !(n.value >= 0 && n.value <= n.highest) || math.IsInf(n.value, 0) { // a NaN fails both comparisons
+			return fmt.Errorf("balance: %s: %g is out of range", n.name, n.value)
 		}
 	}
 	return nil
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -1,8 +1,9 @@
 package balance
 
-// All decisions of balance. The interface (settings, events, actions) is in balance.go. The mechanism is
-// SA-JIQ: a request goes to an endpoint known to be idle, of the fastest speed type that has one; with none
-// idle, a type is drawn by speed x share and an endpoint in it uniformly.
+// This file makes all decisions; the interface (settings, events, actions) is in balance.go. The mechanism
+// is SA-JIQ (speed-aware join-idle-queue): a request goes to an endpoint known to be idle, of the fastest
+// speed type that has one. With none idle, a type is drawn with a probability proportional to speed x
+// share, and an endpoint of that type uniformly.
 
 import (
 	"cmp"
@@ -13,226 +14,237 @@
 	"time"
 )
 
-const ( // searching for an idle endpoint
-	maxProbeCost = 0.004                // what a probe may cost, in requests, to probe at each arrival
-	probeWait    = 8 * time.Millisecond // how long a probe is waited for before others are sent
+const ( // search for an idle endpoint by probes
+	maxProbeCost = 0.004                // highest cost of a probe, in requests, for probes at each arrival
+	probeWait    = 8 * time.Millisecond // a probe without a result after this is overdue: another is sent
 
-	// A request has one probe out and, once that is late, another, up to probesAtOnce: a round trip is short
-	// beside a call, and a probe more for each call costs more than waiting for the last. Each request adds
-	// probesEach to a store of probesSaved.
+	// A queued request has one probe in flight and, once that is overdue, another, up to maxProbesPerRequest:
+	// a round trip is short compared with a request, and an extra probe for each request costs more than
+	// waiting for the last one. Each arrival adds probeTokensPerRequest, up to maxProbeTokens.
 	maxProbesPerRequest, probeTokensPerRequest, maxProbeTokens = 4, 4, 24
 
-	probesPerMeanLatency = 10.0 // how often in a usual call all sidecars may probe each endpoint beyond that
-	reportLifetimeShare  = 0.05 // of a usual call's time a report is believed: few endpoints change in it
-	// bounds the draws for one endpoint, so that a pick does not grow with the fleet
-	maxSamples = 24
-	// how many draws among busy endpoints a call earns: in overload they would be late
-	drawBudget = 0.02
+	// probesPerMeanLatency is how often all sidecars together may probe each endpoint in the mean latency of
+	// the slowest class, in addition to the tokens that arrivals add.
+	probesPerMeanLatency = 10.0
+
+	// reportLifetimeShare is the share of a mean latency for which a load report is valid: few endpoints
+	// become idle or busy in that time.
+	reportLifetimeShare = 0.05
+
+	maxSamples = 24   // endpoints examined for one choice: its cost must not grow with their number
+	drawBudget = 0.02 // draws among busy endpoints per request: in overload such requests would be late
 )
 
-const ( // telling a free core by own calls alone
-	// subsetOverlap is how many sidecars are to meet each endpoint, as own calls say little where
-	// more do, and how
-	// many endpoints a sidecar meets at least, so that what one loses is spread over several.
+const ( // estimate of free cores from the sidecar's own attempts, without probes
+	// subsetOverlap is how many sidecars' subsets contain each endpoint: a sidecar's own attempts say little
+	// about an endpoint that more sidecars use. It is also the least number of endpoints in a subset, so that
+	// what one endpoint loses is spread over several others.
 	subsetOverlap = 5
-	slowdownGain  = 0.01 // the weight of a call in the pace: some hundred calls tell crowding from chance
 
-	// minAdjustInterval is the least time between two moves of the share, paceCalls the fewest calls.
+	slowdownGain = 0.01 // weight of an attempt in the mean slowdown: some hundred tell crowding from chance
+
+	// The concurrency limit is adjusted after minAdjustInterval and minSlowdownSamples attempts at least.
 	minAdjustInterval, minSlowdownSamples = 300 * time.Millisecond, 30
 
-	// how much slower than at its best (in the logarithm) the pace shows cores short
-	congestionThreshold = 0.25
-	// the share of the goal that a usual call may take before the share is cut as well
-	maxTargetShare = 0.25
+	congestionThreshold = 0.25 // a mean log slowdown that is this much over its best shows a lack of cores
+	maxTargetShare      = 0.25 // the limit is also cut if usual attempts take more of the target latency
 
-	// move the share; sums and products bring sidecars to like shares
+	// The concurrency limit is decreased by a factor and increased by a term, as this makes the limits of all
+	// sidecars alike.
 	concurrencyDecrease, concurrencyIncrease = 0.9, 0.03
 
-	// minTotalConcurrency is what the shares of all sidecars come to at least: so few calls crowd no
-	// endpoint, and
-	// cutting on starves the fleet without quickening a call. It happened where the first calls were lucky.
+	// minTotalConcurrency is the least sum of all sidecars' concurrency limits: so few attempts crowd no
+	// endpoint, and cutting further starves the endpoints without making an attempt faster. That happened
+	// where the first attempts were fast by chance.
 	minTotalConcurrency = 3.0
 
-	rejectionSlowdown = 1.5    // what a rejection counts for in the pace, over the best
-	baseSlowdownDrift = 0.0001 // how the best pace rises with each call: a lucky stretch is forgotten
+	rejectionSlowdown = 1.5    // a rejected attempt counts as this much over the best log slowdown
+	baseSlowdownDrift = 0.0001 // rise of the best log slowdown per attempt: a lucky stretch is forgotten
 
-	// windowDecrease is what a lost call leaves of the congestion window, windowRise what a round of
-	// answers adds.
+	// A lost attempt multiplies the congestion window by windowDecrease, down to minWindow; the responses to
+	// a full window add windowIncrease.
 	windowDecrease, windowIncrease, minWindow = 0.5, 0.1, 0.05
 
-	// how many seconds the own rate is a mean of: of sends, as overload refuses most requests
-	sendRateSeconds = 2.0
+	sendRateSeconds = 2.0 // averaging time of the send rate: of sends, as overload refuses most requests
 )
 
 const ( // admission
-	quotaBurstSeconds  = 1.0 // how many seconds of its quota a tenant may save up
-	overQuotaCoreShare = 0.5 // the part of the free cores that requests over their tenant's quota may use
-	// how much of its patience the oldest held request may have waited, and still go first
+	quotaBurstSeconds  = 1.0 // a tenant can save up its quota of this many seconds
+	overQuotaCoreShare = 0.5 // share of the free cores that requests over their tenant's quota may use
+
+	// The queue is served oldest first until the oldest request has waited for maxFIFOWaitShare of the time
+	// from its queueing to its latest start, and newest first after that.
 	maxFIFOWaitShare = 0.03
-	// what each request leaves of the counts by class: they are of a thousand requests
-	classCountDecay = 0.999
+
+	classCountDecay = 0.999 // factor of the counts by class per arrival: they cover a thousand requests
 )
 
 const ( // health, further attempts and discovery
-	// baseEjectionTime is how long an endpoint that failed is passed over at least; it doubles with
-	// each failure.
+	// baseEjectionTime is the least mean time of an endpoint's ejection after a failure. It doubles with each
+	// failure in a row.
 	baseEjectionTime, maxEjectionTime = 300 * time.Millisecond, 10 * time.Second
 
-	penaltyGain = 0.1 // the weight of a call in an endpoint's slowness
+	penaltyGain = 0.1 // weight of an attempt in its endpoint's speed penalty
 
-	// failurePenalty is what a failed call adds to slowness, and slowMost bounds it: a twentieth of
-	// the speed.
+	// A failed attempt adds failurePenalty to the speed penalty. maxPenalty leaves a twentieth of the speed.
 	failurePenalty, maxPenalty = 0.35, 3.0
 
-	latencyGain = 0.05 // the weight of a call in a class's mean time
-	startMargin = 1.4  // how many usual calls' time a call needs: begun later, most were late, work lost
+	latencyGain = 0.05 // weight of an attempt in the mean latency of its class
+
+	// startMargin is how many mean latencies before its target time or deadline a request must start: most of
+	// those that started later were late, and their work was lost.
+	startMargin = 1.4
 
-	// sharedStartMargin is how many mean deviations a call needs beyond that where others may be at
-	// its endpoint:
-	// its time varies with theirs. At an idle one it needs none, and would be given up for nothing. learnedBy
-	// is how many calls of a class tell its deviation.
+	// sharedStartMargin is how many mean deviations earlier it must start where other sidecars may use its
+	// endpoint, as its latency varies with their load. At an idle endpoint it needs no such margin and would
+	// be given up for nothing. A class's deviation is known after minDeviationSamples attempts.
 	sharedStartMargin, minDeviationSamples = 3.0, 10
 
-	hedgeDelayDeviations = 3.0 // when a call is hedged: this many mean deviations over the mean
+	hedgeDelayDeviations = 3.0 // an attempt is hedged after the mean latency and this many mean deviations
 
-	// hedgeBudget and retryBudget are the shares of calls hedged, or retried though work may have been lost.
+	// hedgeBudget and retryBudget are the shares of requests hedged, or retried though work may be lost.
 	hedgeBudget, retryBudget = 0.1, 0.2
 
-	maxBudgetTokens = 10 // how much of a budget can be saved up
-	// spreads the first calls to discovery: a whole fleet may start at once
-	firstSubscribeSpread = 2 * time.Second
+	maxBudgetTokens      = 10              // how much of a budget can be saved up
+	firstSubscribeSpread = 2 * time.Second // jitter of the first: all sidecars may start at the same time
 
-	// connectFailureGain is the weight of a new connection in the share that fails, which acts from
-	// noLinkLeast on.
+	// connectFailureGain is the weight of a new connection in the share of those that fail. That share has an
+	// effect only above minConnectFailureShare.
 	connectFailureGain, minConnectFailureShare = 0.3, 0.01
 
-	// firstIdleStep is the first step of idle times, each twice the last. staleGain is a call's weight in the
-	// share lost after such a time, staleFor the seconds it is remembered, staleMost what may be lost so.
+	// firstIdleStep is the first bound between ranges of idle times; each further bound is twice the last.
+	// idleLossGain is an attempt's weight in the share that is lost after such an idle time, idleLossSeconds
+	// the time constant with which that share is forgotten, maxIdleLoss the share that is tolerated.
 	firstIdleStep, idleLossGain, idleLossSeconds, maxIdleLoss = 100 * time.Millisecond, 0.3, 20.0, 0.1
 )
 
-// maxSendDelay is how long a sidecar may be held up between reading its clock and writing.
+// maxSendDelay is the longest delay of a sidecar between reading its clock and writing to a connection.
 const maxSendDelay = 150 * time.Millisecond
 
-// The timers of a Balancer: Ref is a request, ask discovery again, and look at the held requests again.
+// The kinds of timer: check a request (Ref is its ID), ask discovery again, dispatch queued requests.
 const timerRequest, timerSubscribe, timerDispatch = 1, 2, 3
 
-// endpoint is what is known of one server.
+// endpoint is the state of an endpoint as seen by this sidecar.
 type endpoint struct {
 	Endpoint
-	ringPosition        uint64        // its place on the ring
-	isReady             bool          // is in Balancer.ready
-	weightStats         *latencyStats // those of its listed weight: their mean pace
-	reportedInFlight    float64       // requests in flight, as last reported
-	loadRequestedAt     time.Duration // when that was asked for
-	loadReceivedAt      time.Duration // when it came
-	hasLoad             bool
-	inFlight            []time.Duration // when the own calls that are out were sent
-	waitingForCaller    int             // of those, how many wait for their caller, not for the endpoint
+	ringPosition        uint64
+	isReady             bool          // it is in Balancer.ready
+	weightStats         *latencyStats // log slowdown of all endpoints with its listed weight
+	reportedInFlight    float64       // requests in flight in its last load report
+	loadRequestedAt     time.Duration // when that report was requested
+	loadReceivedAt      time.Duration
+	hasLoad             bool            // the report is valid; a failure or restart invalidates it
+	inFlight            []time.Duration // send times of this sidecar's attempts in flight
+	waitingForCaller    int             // how many of those wait for their caller, not for the endpoint
 	lastSentAt          time.Duration
-	lastResponseAt      time.Duration // when a call on a connection to it was last answered
-	speedPenalty        float64       // logarithm of its calls' time over that usual for its weight
-	consecutiveFailures int           // failures in a row
+	lastResponseAt      time.Duration // last OK response, thus the last known use of a connection; 0 is none
+	speedPenalty        float64       // log of its attempts' latency over the usual one for its weight
+	consecutiveFailures int
 	ejectedUntil        time.Duration
-	probing             bool
+	probing             bool // a probe is in flight
 	probedAt            time.Duration
 }
 
-// attempt is one sending of a request.
+// attempt is an attempt of a request.
 type attempt struct {
 	endpoint       *endpoint
 	sentAt         time.Duration
 	inFlight       bool
-	cancelDisabled bool // withdrawn, or never to be
-	idleStep       int  // how long its connection had been idle, in steps
-	waitsForCaller bool // for its caller, to send the rest of its body or to take its answer
+	cancelDisabled bool // it was canceled already, or must not be
+	idleStep       int  // range of the idle time of its connection, see firstIdleStep
+	waitsForCaller bool // its caller has yet to send the rest of the body or to read the response
 }
 
-// request is a request until its last attempt has ended.
+// request is the state of a request until its last attempt has ended.
 type request struct {
 	Request
 	class            *Class
 	arrivedAt        time.Duration
-	targetAt         time.Duration // an answer by it earns full worth
-	deadline         time.Duration // an answer after it earns nothing
-	latestStart      time.Duration // a call that begins later would be late
+	targetAt         time.Duration // a response by then earns the full value
+	deadline         time.Duration // a response after it earns nothing
+	latestStart      time.Duration // an attempt that starts later would be late
 	attempts         []attempt
-	inFlight         int           // attempts out
-	retries          int           // attempts after one that may have run, other than second copies
-	firstRunEndpoint *endpoint     // where the first attempt went that may have run
-	firstRunSentAt   time.Duration // and when it was sent
-	finished         bool          // it has its final answer
+	inFlight         int           // attempts in flight
+	retries          int           // attempts after one that may have run, other than hedges
+	firstRunEndpoint *endpoint     // endpoint of the first attempt that may have run; nil without one
+	firstRunSentAt   time.Duration // earliest send time of the attempts that may have run
+	finished         bool          // it has its final response
 	overQuota        bool          // it is over its tenant's quota
-	queued           bool          // it waits for an endpoint, in Balancer.held
-	queuedAt         time.Duration // since then
-	bodyUnavailable  bool          // its body is gone: no further attempt can be sent
-	hedgeAt          time.Duration
+	queued           bool          // it waits in Balancer.queue for an endpoint
+	queuedAt         time.Duration
+	bodyUnavailable  bool          // no further attempt can be sent
+	hedgeAt          time.Duration // 0 is no hedge
 }
 
-// latencyStats is what is learned of the calls of a class, in seconds.
+// latencyStats holds moving averages over attempts: of the latency of a class in seconds, or of the log
+// slowdown of all endpoints of one weight.
 type latencyStats struct {
 	mean, meanDeviation, samples float64
-	requests, served             float64 // requests lately, and those served in time
+	requests, served             float64 // recent requests, and those of them that were served in time
 }
 
-// Balancer decides for one sidecar. It is not safe for concurrent use.
+// Balancer makes the decisions for one sidecar. It is not safe for concurrent use.
 type Balancer struct {
 	cfg             Config
 	rng             *rand.Rand
-	now             time.Duration
-	actions         []Action
+	now             time.Duration // time of the current event
+	actions         []Action      // actions of the current event
 	endpoints       map[EndpointID]*endpoint
-	statsByWeight   map[int]*latencyStats // by listed weight
+	statsByWeight   map[int]*latencyStats // by logarithm of the listed weight, see updateEndpoint
 	ready           []*endpoint           // in service, in list order
-	local, remote   []*endpoint           // those it sends to, in its own zone and in others
+	local, remote   []*endpoint           // subset that requests go to, in its own zone and in others
 	requests        map[RequestID]*request
-	queue           []*request // that wait for an endpoint, newest last
-	classQueue      []*request // those of one class in the order of their turn, for serve alone
+	queue           []*request // requests that wait for an endpoint, newest last
+	classQueue      []*request // scratch space of orderQueue
 	classStats      []latencyStats
-	classOrder      []int     // classes, by their value
-	quotaTokens     []float64 // what each tenant has saved up
+	classOrder      []int     // classes, most valuable first
+	quotaTokens     []float64 // by tenant, in requests
 	quotaRefilledAt time.Duration
 
-	hedgeTokens, retryTokens, drawTokens float64     // budgets
-	probesOnArrival                      bool        // probes at each arrival tell who is idle
-	pendingProbes                        []*endpoint // whom the probes that are out went to, in their order
-	probeTokens                          float64     // store of probes
-	probeTokensRefilledAt                time.Duration
-	idleEndpoints                        []*endpoint // found idle lately
-	dispatchTimerAt                      time.Duration
-
-	// own calls that an endpoint has free cores for, per unit of its speed
-	concurrencyLimit                    float64
-	logSlowdown                         float64 // logarithm of a call's time over its expected work, lately
-	baseLogSlowdown                     float64
-	logTargetRatio                      float64       // logarithm of a call's time over its goal, lately
-	slowdownSamples, samplesSinceAdjust int           // calls, and those since the share was moved
-	nextAdjustAt                        time.Duration // when it may move again
-	allWereBusy                         bool          // nobody was free since then
-	sendRate                            float64       // own sends a second
-	lastSentAt                          time.Duration
-	subsetCapacity, readyCapacity       float64 // sizes of near and far, and of ready
-	maxSpeed                            float64 // the highest speed of near and far
-
-	inFlight         int     // own calls out, but for those that wait for their callers
-	congestionWindow float64 // own calls that may be out
-
-	idleLossShares    [8]float64 // share of calls lost silently, by how long their connection was idle
+	hedgeTokens, retryTokens, drawTokens float64 // budgets, in requests
+
+	probesOnArrival       bool        // each arrival sends probes, which find idle endpoints
+	pendingProbes         []*endpoint // endpoints whose probes are in flight, oldest first
+	probeTokens           float64     // probes that may be sent
+	probeTokensRefilledAt time.Duration
+	idleEndpoints         []*endpoint   // endpoints recently found idle
+	dispatchTimerAt       time.Duration // when the last set timerDispatch is due
+
+	concurrencyLimit float64 // own attempts that an endpoint has free cores for, per unit of its speed
+	logSlowdown      float64 // moving average of the log of latency over expected work
+	baseLogSlowdown  float64 // the lowest logSlowdown, drifting up
+	logTargetRatio   float64 // moving average of the log of latency over target latency
+
+	slowdownSamples, samplesSinceAdjust int // attempts in all, and since the limit was last adjusted
+
+	nextAdjustAt time.Duration // earliest time of the next adjustment
+	allWereBusy  bool          // a request found no free endpoint since the limit was last adjusted
+	sendRate     float64       // own attempts per second
+	lastSentAt   time.Duration
+
+	subsetCapacity, readyCapacity float64 // total capacity of local and remote, and of ready
+
+	maxSpeed float64 // highest speed of an endpoint in local and remote
+
+	inFlight         int     // own attempts in flight that don't wait for their callers
+	congestionWindow float64 // own attempts that may be in flight
+
+	idleLossShares    [8]float64 // share of attempts lost silently, by idle time of their connection
 	idleLossDecayedAt time.Duration
 
-	oversubscribed      bool    // too many sidecars share each endpoint for own calls to tell its load
-	connectFailureShare float64 // share of new connections that fail, lately
-	connectedEndpoints  []*endpoint
-	subscribed          bool
-	failedSubscribes    int // calls to discovery that failed in a row
+	oversubscribed      bool        // too many sidecars share an endpoint to tell its load by own attempts
+	connectFailureShare float64     // share of recent new connections that failed
+	connectedEndpoints  []*endpoint // endpoints with an open connection, at most maxSamples
+	subscribed          bool        // discovery has been asked
+	failedSubscribes    int         // discovery requests that failed in a row
 }
 
-// New returns a Balancer, or an error that names the setting at fault.
+// New returns a Balancer, or an error that names the invalid setting. Its random choices depend on the seed.
 func New(cfg Config, seed uint64) (*Balancer, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	cfg.Classes = slices.Clone(cfg.Classes) // Bound changes them
+	cfg.Classes = slices.Clone(cfg.Classes) // SetClassLimits changes them
 	cfg.SidecarCount, cfg.Limits.MaxAttempts =
 		max(cfg.SidecarCount, 1), cmp.Or(cfg.Limits.MaxAttempts, math.MaxInt)
 	b := &Balancer{
@@ -244,7 +256,7 @@
 		classStats:    make([]latencyStats, len(cfg.Classes)),
 		quotaTokens:   make([]float64, len(cfg.Tenants)),
 		hedgeTokens:   1, retryTokens: maxBudgetTokens, drawTokens: 1,
-		// However few sidecars there are, together they begin with as many calls at each endpoint.
+		// Few sidecars together start with as many attempts at each endpoint as many sidecars do.
 		concurrencyLimit: math.Max(1, subsetOverlap/float64(cfg.SidecarCount)),
 		probesOnArrival: cfg.Limits.Probes && cfg.Reporting == ReportsInProbe &&
 			cfg.Costs.Probe <= maxProbeCost,
@@ -258,17 +270,17 @@
 	return b, nil
 }
 
-// SetClassLimits sets the bounds of a class anew: MaxAttempts, MaxRetries, NoHedging and RetryStartWindow of
-// what it is given. They hold at once: a request that waits for an attempt it may not have is answered. What
-// is out goes on.
-func (b *Balancer) SetClassLimits(now time.Duration, class int, k Class, out []Action) []Action {
-	b.startEvent(now, out)
+// SetClassLimits replaces the limits of a class by MaxAttempts, MaxRetries, NoHedging and RetryStartWindow of
+// limits. They apply at once: a queued request that may have no further attempt gets its final response.
+// Attempts in flight continue.
+func (b *Balancer) SetClassLimits(now time.Duration, class int, limits Class, dst []Action) []Action {
+	b.startEvent(now, dst)
 	if class < 0 || class >= len(b.cfg.Classes) {
 		return b.actions
 	}
 	c := &b.cfg.Classes[class]
 	c.MaxAttempts, c.MaxRetries, c.NoHedging, c.RetryStartWindow =
-		k.MaxAttempts, k.MaxRetries, k.NoHedging, k.RetryStartWindow
+		limits.MaxAttempts, limits.MaxRetries, limits.NoHedging, limits.RetryStartWindow
 	for _, r := range slices.Clone(b.queue) {
 		if r.inFlight == 0 && !b.mayAddAttempt(r) {
 			b.shedOrFail(r)
@@ -277,13 +289,13 @@
 	return b.actions
 }
 
-// EndpointsUpdated takes a list from discovery.
+// EndpointsUpdated handles a list from discovery.
 func (b *Balancer) EndpointsUpdated(
-	now time.Duration, kind ListKind, list []Endpoint, out []Action,
+	now time.Duration, kind ListKind, list []Endpoint, dst []Action,
 ) []Action {
-	b.startEvent(now, out)
+	b.startEvent(now, dst)
 	switch kind {
-	case ListUnavailable: // all sidecars may have been turned away at once: back off, jittered
+	case ListUnavailable: // discovery may have refused all sidecars at once: back off with jitter
 		b.subscribed = false
 		wait := min(time.Second<<min(b.failedSubscribes, 4), 2*cmp.Or(b.cfg.MaxSubscribeDelay, time.Minute))
 		b.failedSubscribes++
@@ -307,7 +319,7 @@
 	}
 	b.ready = slices.DeleteFunc(b.ready, func(e *endpoint) bool {
 		if e.isReady = e.State == InService; e.State == Removed {
-			b.closeIdleConnections(e) // a whole list tells of it only by leaving it out
+			b.closeIdleConnections(e) // a full list shows a removal only by the absence of the entry
 		}
 		return !e.isReady
 	})
@@ -319,21 +331,21 @@
 	return b.actions
 }
 
-// deleteIfRemoved drops an endpoint that is gone once nothing is out to it: over a long day there
-// are ever new ones.
+// deleteIfRemoved deletes a removed endpoint once no attempt or probe to it is in flight: over a long day new
+// ones keep coming, and the map would grow.
 func (b *Balancer) deleteIfRemoved(e *endpoint) {
 	if e.State == Removed && len(e.inFlight) == 0 && !e.probing && b.endpoints[e.ID] == e {
 		delete(b.endpoints, e.ID)
 	}
 }
 
-// updateEndpoint takes one entry.
+// updateEndpoint applies one entry of a list.
 func (b *Balancer) updateEndpoint(entry *Endpoint) {
 	e := b.endpoints[entry.ID]
 	if e == nil {
 		e = &endpoint{ringPosition: mix64(uint64(entry.ID))}
 		b.endpoints[entry.ID] = e
-	} else if entry.StartedAt != e.StartedAt { // what was known of the old process says nothing of the new
+	} else if entry.StartedAt != e.StartedAt { // the state of the old process does not apply to the new one
 		e.hasLoad, e.speedPenalty, e.consecutiveFailures, e.ejectedUntil, e.lastResponseAt = false, 0, 0, 0, 0
 	}
 	e.Endpoint = *entry
@@ -349,17 +361,17 @@
 	}
 }
 
-// closeIdleConnections closes the idle connections to an endpoint that has left service, at each
-// event that may have
-// made one idle: the notice, and the end of a call or a probe. A drain waits for its connections.
+// closeIdleConnections closes the idle connections to an endpoint that has left service. It is called at each
+// event that may have made one idle: the list update, and the end of an attempt or a probe. A draining
+// endpoint waits until its connections are closed.
 func (b *Balancer) closeIdleConnections(e *endpoint) {
 	if b.cfg.MaxDrainIdleTime > 0 && e.State != InService && (e.lastSentAt > 0 || e.probedAt > 0) {
 		b.emit(Action{Kind: CloseIdle, Endpoint: e.ID})
 	}
 }
 
-// updateSubset makes near and far. Where own calls alone tell who is free, they are a stretch of the ring
-// of endpoints that begins at this sidecar's place: all sidecars together cover each endpoint alike.
+// updateSubset sets local and remote. Without probes they are an arc of the ring of endpoints that starts at
+// this sidecar's position, so that all sidecars together cover each endpoint alike.
 func (b *Balancer) updateSubset() {
 	b.local, b.remote, b.readyCapacity = b.local[:0], b.remote[:0], 0
 	for _, e := range b.ready {
@@ -373,21 +385,21 @@
 	if b.probesOnArrival {
 		return
 	}
-	_, place := math.Modf(float64(b.cfg.SidecarIndex) * math.Phi)
+	_, offset := math.Modf(float64(b.cfg.SidecarIndex) * math.Phi)
 	b.subsetCapacity, b.maxSpeed = 0, 1e-3
 	for _, set := range [2]*[]*endpoint{&b.local, &b.remote} {
 		slices.SortFunc(*set, func(x, y *endpoint) int { return cmp.Compare(x.ringPosition, y.ringPosition) })
-		total := 0.0 // a stretch is measured in sizes, so that all sidecars have alike
+		total := 0.0 // arcs are measured in capacity, so that all sidecars have the same
 		for _, e := range *set {
 			total += b.capacity(e)
 		}
-		from, want := place*total, total*subsetOverlap/float64(b.cfg.SidecarCount)
-		ring, n, at := append(*set, *set...), len(*set), 0.0
+		start, length := offset*total, total*subsetOverlap/float64(b.cfg.SidecarCount)
+		ring, n, end := append(*set, *set...), len(*set), 0.0
 		*set = (*set)[:0]
 		for _, e := range ring {
-			middle := at + b.capacity(e)/2
-			at += b.capacity(e)
-			if middle >= from && len(*set) < n && (middle < from+want || len(*set) < subsetOverlap) {
+			middle := end + b.capacity(e)/2
+			end += b.capacity(e)
+			if middle >= start && len(*set) < n && (middle < start+length || len(*set) < subsetOverlap) {
 				*set = append(*set, e)
 			}
 		}
@@ -397,31 +409,32 @@
 		}
 	}
 	b.oversubscribed = b.cfg.SidecarCount*(len(b.local)+len(b.remote)) > 2*subsetOverlap*len(b.ready)
-	// before the first call: five calls an endpoint by all sidecars, learned from then on
-	if b.lastSentAt == 0 {
+	if b.lastSentAt == 0 { // before the first attempt: five per endpoint by all sidecars, then adapted
 		b.congestionWindow = subsetOverlap * float64(len(b.ready)) / float64(b.cfg.SidecarCount)
 	}
 }
 
-// RequestArrived takes a request; the Balancer owes it one final answer from now on.
-func (b *Balancer) RequestArrived(now time.Duration, q Request, out []Action) []Action {
-	b.startEvent(now, out)
-	if q.Class < 0 || q.Class >= len(b.cfg.Classes) || b.requests[q.ID] != nil {
+// RequestArrived handles a new request. From now on the Balancer must give it one final response, unless an
+// Outcome or RequestAbandoned reports that it has ended.
+func (b *Balancer) RequestArrived(now time.Duration, req Request, dst []Action) []Action {
+	b.startEvent(now, dst)
+	if req.Class < 0 || req.Class >= len(b.cfg.Classes) || b.requests[req.ID] != nil {
 		return b.actions
 	}
-	r := &request{Request: q, class: &b.cfg.Classes[q.Class], arrivedAt: now}
-	b.requests[q.ID] = r
-	r.deadline = now + q.Timeout - 2*b.cfg.ClockResolution // its timer must ring before its client gives up
-	r.targetAt = now + r.class.TargetLatency + time.Duration(r.class.TargetWorkFactor*float64(q.ExpectedWork))
+	r := &request{Request: req, class: &b.cfg.Classes[req.Class], arrivedAt: now}
+	b.requests[req.ID] = r
+	r.deadline = now + req.Timeout - 2*b.cfg.ClockResolution // its timer must fire before its caller gives up
+	r.targetAt = now + r.class.TargetLatency +
+		time.Duration(r.class.TargetWorkFactor*float64(req.ExpectedWork))
 	if r.class.LateValueShare == 0 {
 		r.deadline = min(r.deadline, r.targetAt)
 	}
-	need := startMargin * b.meanLatency(r)
-	if c := &b.classStats[q.Class]; !b.probesOnArrival && c.samples >= minDeviationSamples {
-		need += sharedStartMargin * c.meanDeviation
+	margin := startMargin * b.meanLatency(r)
+	if c := &b.classStats[req.Class]; !b.probesOnArrival && c.samples >= minDeviationSamples {
+		margin += sharedStartMargin * c.meanDeviation
 	}
-	r.latestStart = min(r.targetAt, r.deadline) - seconds(need)
-	b.countRequest(q.Class)
+	r.latestStart = min(r.targetAt, r.deadline) - seconds(margin)
+	b.countRequest(req.Class)
 	b.hedgeTokens = min(b.hedgeTokens+hedgeBudget, maxBudgetTokens)
 	b.retryTokens = min(b.retryTokens+retryBudget, maxBudgetTokens)
 	b.drawTokens = min(b.drawTokens+drawBudget, maxBudgetTokens)
@@ -432,9 +445,8 @@
 			math.Max(quota*quotaBurstSeconds, 1))
 	}
 	b.quotaRefilledAt = now
-	r.overQuota = r.deadline > now && b.overQuota(q.Tenant)
-	// over its quota it is worth little, and others wait
-	if r.deadline <= now || r.overQuota && len(b.queue) > 0 {
+	r.overQuota = r.deadline > now && b.overQuota(req.Tenant)
+	if r.deadline <= now || r.overQuota && len(b.queue) > 0 { // of little value while others wait
 		b.shedOrFail(r)
 	} else {
 		b.setRequestTimer(r, r.deadline)
@@ -444,7 +456,8 @@
 	return b.actions
 }
 
-// overQuota tells whether a request is past its tenant's quota; calls of one let in are not counted again.
+// overQuota reports whether a new request is over its tenant's quota, and takes it from the quota if not. The
+// quota applies at tier 0 only: requests that were admitted there are not counted again in further tiers.
 func (b *Balancer) overQuota(tenant int) bool {
 	if b.cfg.Tier > 0 || tenant < 0 || tenant >= len(b.quotaTokens) || b.cfg.Tenants[tenant].Quota <= 0 {
 		return false
@@ -456,24 +469,24 @@
 	return false
 }
 
-// ResponseStarted takes the start of an attempt's streamed answer: its client owns it now and no deadline
-// counts.
-func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, n int, out []Action) []Action {
-	b.startEvent(now, out)
-	if r := b.requests[id]; r != nil && n >= 0 && n < len(r.attempts) &&
-		r.attempts[n].inFlight && !r.finished {
-		r.attempts[n].cancelDisabled = true
-		b.setWaitsForCaller(&r.attempts[n], true)
+// ResponseStarted handles the start of an attempt's streamed response. From now on the caller decides when
+// the request ends, and no deadline applies.
+func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, index int, dst []Action) []Action {
+	b.startEvent(now, dst)
+	if r := b.requests[id]; r != nil && index >= 0 && index < len(r.attempts) &&
+		r.attempts[index].inFlight && !r.finished {
+		r.attempts[index].cancelDisabled = true
+		b.setWaitsForCaller(&r.attempts[index], true)
 		b.finish(r)
 	}
 	return b.actions
 }
 
-// BodyStateChanged takes what has become of the body of a request that was still arriving. Until it is whole
-// there is no second copy: the first waits for the caller, as a copy would. Outcome.Elapsed counts from when
-// it was.
-func (b *Balancer) BodyStateChanged(now time.Duration, id RequestID, s BodyState, out []Action) []Action {
-	b.startEvent(now, out)
+// BodyStateChanged handles a change of the body of a request that was still arriving. Until the body is
+// complete there is no hedge: the first attempt waits for the caller, and so would a second. Outcome.Elapsed
+// counts from the time when it was complete.
+func (b *Balancer) BodyStateChanged(now time.Duration, id RequestID, s BodyState, dst []Action) []Action {
+	b.startEvent(now, dst)
 	r := b.requests[id]
 	if r == nil || r.finished {
 		return b.actions
@@ -492,9 +505,8 @@
 	return b.actions
 }
 
-// setWaitsForCaller notes whether an attempt that is out waits for its caller. One that does takes
-// no core: counted as if
-// it did, slow callers fill every endpoint's share and nobody else is served.
+// setWaitsForCaller sets whether an attempt in flight waits for its caller. Such an attempt occupies no core:
+// if it were counted, slow callers would use up the concurrency limit of every endpoint and block all others.
 func (b *Balancer) setWaitsForCaller(a *attempt, waits bool) {
 	if a.waitsForCaller == waits || !a.inFlight {
 		return
@@ -506,17 +518,17 @@
 	a.endpoint.waitingForCaller, b.inFlight = a.endpoint.waitingForCaller+n, b.inFlight-n
 }
 
-// RequestAbandoned says that a request has ended without the Balancer.
-func (b *Balancer) RequestAbandoned(now time.Duration, id RequestID, out []Action) []Action {
-	if b.startEvent(now, out); b.requests[id] != nil {
+// RequestAbandoned handles the end of a request that the Balancer did not decide.
+func (b *Balancer) RequestAbandoned(now time.Duration, id RequestID, dst []Action) []Action {
+	if b.startEvent(now, dst); b.requests[id] != nil {
 		b.finish(b.requests[id])
 	}
 	return b.actions
 }
 
-// TimerFired takes a timer that fell due.
-func (b *Balancer) TimerFired(now time.Duration, t Timer, out []Action) []Action {
-	b.startEvent(now, out)
+// TimerFired handles a timer that is due.
+func (b *Balancer) TimerFired(now time.Duration, t Timer, dst []Action) []Action {
+	b.startEvent(now, dst)
 	switch t.Kind {
 	case timerRequest:
 		if r := b.requests[RequestID(t.Ref)]; r != nil && !r.finished {
@@ -532,11 +544,11 @@
 	return b.actions
 }
 
-// ProbeEnded takes the result of a probe; load is nil without a report.
+// ProbeEnded handles the result of a probe; load is nil without a report.
 func (b *Balancer) ProbeEnded(
-	now time.Duration, id EndpointID, res Result, load *Load, out []Action,
+	now time.Duration, id EndpointID, res Result, load *Load, dst []Action,
 ) []Action {
-	b.startEvent(now, out)
+	b.startEvent(now, dst)
 	e := b.endpoints[id]
 	if e == nil || !e.probing {
 		return b.actions
@@ -547,7 +559,7 @@
 	switch res {
 	case OK:
 		b.recordLoad(e, load, e.probedAt)
-	case NotSent: // which says nothing of the endpoint
+	case NotSent: // this says nothing about the endpoint
 	default:
 		b.recordFailure(e, 0)
 	}
@@ -559,9 +571,9 @@
 	return b.actions
 }
 
-// AttemptEnded takes the outcome of an attempt.
-func (b *Balancer) AttemptEnded(now time.Duration, o Outcome, out []Action) []Action {
-	b.startEvent(now, out)
+// AttemptEnded handles the outcome of an attempt.
+func (b *Balancer) AttemptEnded(now time.Duration, o Outcome, dst []Action) []Action {
+	b.startEvent(now, dst)
 	r := b.requests[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
 		return b.actions
@@ -575,7 +587,7 @@
 	switch {
 	case o.RequestFinished, r.finished:
 		b.finish(r)
-	case r.inFlight > 0: // another copy is still out
+	case r.inFlight > 0: // wait for the other attempt
 	case b.admitRetry(r):
 		b.enqueue(r)
 	default:
@@ -585,7 +597,8 @@
 	return b.actions
 }
 
-// admitRetry tells whether a request whose attempts have all failed may have another.
+// admitRetry reports whether a request whose attempts have all failed may have another, and takes it from the
+// retry budget if an attempt may have run.
 func (b *Balancer) admitRetry(r *request) bool {
 	may := b.mayAddAttempt(r) && (r.firstRunEndpoint == nil ||
 		r.class.Semantics != Unsafe && b.retryTokens >= 1 &&
@@ -597,14 +610,15 @@
 	return may
 }
 
-// mayAddAttempt tells whether the limits let a request have a further attempt now.
+// mayAddAttempt reports whether the limits allow a further attempt of a request now.
 func (b *Balancer) mayAddAttempt(r *request) bool {
-	n, k := len(r.attempts), r.class
+	n, c := len(r.attempts), r.class
 	return n < b.cfg.Limits.MaxAttempts && (n == 0 || !r.bodyUnavailable) &&
-		(k.MaxAttempts == 0 || n < k.MaxAttempts) &&
-		(n == 0 || k.RetryStartWindow == 0 || b.now < r.arrivedAt+k.RetryStartWindow)
+		(c.MaxAttempts == 0 || n < c.MaxAttempts) &&
+		(n == 0 || c.RetryStartWindow == 0 || b.now < r.arrivedAt+c.RetryStartWindow)
 }
 
+// requestTimerFired checks what is due for a request: its deadline, its latest start or its hedge.
 func (b *Balancer) requestTimerFired(r *request) {
 	switch {
 	case b.now >= r.deadline:
@@ -618,7 +632,8 @@
 	}
 }
 
-// sendToBusyOrShed draws an endpoint for a held request that would be late if held on, or ends it.
+// sendToBusyOrShed sends a queued request that would be late if it waited longer to a drawn endpoint, which
+// may be busy, or ends it.
 func (b *Balancer) sendToBusyOrShed(r *request) {
 	if e := b.drawWeighted(r); e != nil && b.drawTokens >= 1 {
 		b.drawTokens--
@@ -628,21 +643,22 @@
 	}
 }
 
-// enqueue queues a request that wants an endpoint; serve finds one.
+// enqueue queues a request that needs an endpoint; dispatchQueue finds one.
 func (b *Balancer) enqueue(r *request) {
-	if !r.queued { // a hedge may wait already when the first copy fails; held twice, it outlived its answer
+	// A hedge may be queued already when the first attempt fails. Queued twice, the request would stay in the
+	// queue after its final response and be sent again.
+	if !r.queued {
 		r.queued, r.queuedAt = true, b.now
 		b.queue = append(b.queue, r)
 	}
 	if r.inFlight == 0 {
-		// an idle endpoint, which it takes a probe to find, is worth a try however late
-		if b.probesOnArrival {
+		if b.probesOnArrival { // a probe may find an idle endpoint: worth a try however late
 			r.latestStart = max(r.latestStart, b.now+probeWait)
 		}
-		if len(r.attempts) > 0 && r.class.RetryStartWindow > 0 { // it ends as soon as no attempt may begin
+		if len(r.attempts) > 0 && r.class.RetryStartWindow > 0 { // it ends when no attempt may start anymore
 			r.latestStart = min(r.latestStart, r.arrivedAt+r.class.RetryStartWindow)
 		}
-		if r.firstRunEndpoint != nil && r.class.Semantics == Keyed { // and once its key may be forgotten
+		if r.firstRunEndpoint != nil && r.class.Semantics == Keyed { // and when its key may be forgotten
 			r.latestStart = min(r.latestStart, repeatDeadline(r.class, r.firstRunSentAt))
 		}
 		b.setRequestTimer(r, max(r.latestStart, b.now+1))
@@ -657,7 +673,7 @@
 	}
 }
 
-// countRequest counts a request of a class, forgetting old ones.
+// countRequest counts a request of a class and decays the counts of all classes.
 func (b *Balancer) countRequest(class int) {
 	b.classStats[class].requests++
 	for i := range b.classStats {
@@ -666,23 +682,22 @@
 	}
 }
 
-// classesByValue orders the classes by what a server's time on a request earns: its worth to the
-// whole, and for
-// the class served worst its worth to that part of the goal. It guards dear requests in any shortage, and
-// a class from starving; where all have capacity it decides nothing.
+// classesByValue orders the classes by what an endpoint earns per second of work on a request: its value for
+// the whole result and, for the class that is served worst, its value for that part of the objective. In any
+// shortage this protects valuable requests and keeps a class from starving; without one it has no effect.
 func (b *Balancer) classesByValue() []int {
-	goal, total, worst := b.cfg.Objective, 1e-9, 0
-	share := func(c int) float64 { return b.classStats[c].served / math.Max(b.classStats[c].requests, 1) }
+	objective, total, worst := b.cfg.Objective, 1e-9, 0
+	served := func(c int) float64 { return b.classStats[c].served / math.Max(b.classStats[c].requests, 1) }
 	for c := range b.classStats {
 		total += b.classStats[c].requests * b.cfg.Classes[c].Value
-		if share(c) < share(worst) {
+		if served(c) < served(worst) {
 			worst = c
 		}
 	}
 	value := func(c int) float64 {
-		v := (goal.Overall + goal.WorstWindow + goal.Nines) * b.cfg.Classes[c].Value / total
+		v := (objective.Overall + objective.WorstWindow + objective.Nines) * b.cfg.Classes[c].Value / total
 		if c == worst {
-			v += goal.WorstClass / math.Max(b.classStats[c].requests, 1)
+			v += objective.WorstClass / math.Max(b.classStats[c].requests, 1)
 		}
 		return v / b.classStats[c].mean
 	}
@@ -690,41 +705,41 @@
 	return b.classOrder
 }
 
-// dispatchQueue sends held requests while there is an idle endpoint: by their class's value, then
-// oldest first, as
-// each has its turn then. Where the oldest has waited for long there is too little for all, and it is newest
-// first: else all would be begun when they are nearly late.
+// dispatchQueue sends queued requests while endpoints are free: by the value of their class, then oldest
+// first, so that each gets its turn. Once the oldest has waited for long, there is too little capacity for
+// all, and the newest go first: otherwise all would start when they are nearly late.
 func (b *Balancer) dispatchQueue() {
 	if len(b.queue) == 0 {
 		return
 	}
-	want := 0
+	waiting := 0
 search:
 	for _, c := range b.classesByValue() {
 		queue := b.orderQueue(c)
 		for _, r := range queue {
-			if r.inFlight > 0 && !b.mayAddAttempt(r) { // a copy that waits, and may no longer begin
+			if r.inFlight > 0 && !b.mayAddAttempt(r) { // a hedge that may not start anymore
 				b.dequeue(r)
 				continue
 			} else if e := b.pick(r); e != nil {
 				b.send(r, e)
 				continue
 			}
-			want++
+			waiting++
 			b.allWereBusy = true
 			if !b.probesOnArrival {
 				break search
 			}
 		}
 	}
-	if want > 0 && b.probesOnArrival && len(b.ready) > 0 {
-		b.sendProbes(want)
-	} else if want > 0 && !b.probesOnArrival {
+	if waiting > 0 && b.probesOnArrival && len(b.ready) > 0 {
+		b.sendProbes(waiting)
+	} else if waiting > 0 && !b.probesOnArrival {
 		b.awaitEjectionEnd()
 	}
 }
 
-// orderQueue returns the held requests of a class in the order in which they are served.
+// orderQueue returns the queued requests of a class in their order of dispatch: oldest first, or newest first
+// once the oldest has waited for too long (adaptive LIFO).
 func (b *Balancer) orderQueue(class int) []*request {
 	b.classQueue = b.classQueue[:0]
 	for _, r := range b.queue {
@@ -741,94 +756,96 @@
 	return b.classQueue
 }
 
-// awaitEjectionEnd looks again as the next suspicion of an endpoint ends: where no probes come back, nothing
-// else might happen until a held request is late.
+// awaitEjectionEnd sets the dispatch timer to the end of the next ejection: without probe results there might
+// be no other event until a queued request is late.
 func (b *Balancer) awaitEjectionEnd() {
-	next := time.Duration(math.MaxInt64)
+	end := time.Duration(math.MaxInt64)
 	for _, set := range [2][]*endpoint{b.local, b.remote} {
 		for _, e := range set {
 			if e.ejectedUntil > b.now {
-				next = min(next, e.ejectedUntil)
+				end = min(end, e.ejectedUntil)
 			}
 		}
 	}
-	if next < math.MaxInt64 && (b.dispatchTimerAt <= b.now || next < b.dispatchTimerAt) {
-		b.dispatchTimerAt = next
-		b.setTimer(timerDispatch, 0, next-b.now)
+	if end < math.MaxInt64 && (b.dispatchTimerAt <= b.now || end < b.dispatchTimerAt) {
+		b.dispatchTimerAt = end
+		b.setTimer(timerDispatch, 0, end-b.now)
 	}
 }
 
-// pick finds an endpoint with a free core, of the fastest type, or nil.
+// pick returns an endpoint with a free core, of the fastest type, or nil.
 func (b *Balancer) pick(r *request) *endpoint {
 	if b.probesOnArrival {
 		return b.pickIdle(r)
 	} else if b.oversubscribed && !b.windowHasRoom(r) {
 		return nil
 	}
-	// Other zones when the own has no free core: traffic may have moved to one zone. Endpoints outside its
-	// stretch only when all in it fail: otherwise own calls would tell nothing.
-	sound := false
+	// Other zones are used when the own one has no free core, as traffic may have moved to one zone.
+	// Endpoints outside the subset are used only when all in it are ejected: otherwise own attempts would say
+	// nothing about an endpoint's load.
+	anyHealthy := false
 	for _, set := range [2][]*endpoint{b.local, b.remote} {
 		if e := b.pickFree(r, set, b.subsetCapacity); e != nil {
 			return e
 		}
-		sound = sound || slices.ContainsFunc(set, func(e *endpoint) bool { return b.now >= e.ejectedUntil })
+		anyHealthy = anyHealthy ||
+			slices.ContainsFunc(set, func(e *endpoint) bool { return b.now >= e.ejectedUntil })
 	}
-	if sound {
+	if anyHealthy {
 		return nil
 	}
 	return b.pickFree(r, b.ready, b.readyCapacity)
 }
 
-// windowHasRoom tells whether the congestion window has room for a call; below one call, calls are
-// spaced out. It acts
-// where so many sidecars share an endpoint that one call of each is too much, whatever jams it; AIMD: a call
-// lost in silence cuts it, answers add to it while calls wait. Harm: it refuses if losses have other causes.
+// windowHasRoom reports whether the congestion window allows another attempt; a window below one spaces them
+// out. It applies where so many sidecars share an endpoint that one attempt of each is too much, whatever
+// congests it. AIMD: an attempt lost silently cuts it, and responses while requests are queued widen it.
+// Drawback: it refuses requests if attempts are lost for other reasons.
 func (b *Balancer) windowHasRoom(r *request) bool {
 	return float64(b.inFlight) < b.congestionWindow && (b.congestionWindow >= 1 ||
 		(b.now-b.lastSentAt).Seconds()*b.congestionWindow >= b.meanLatency(r))
 }
 
-// pickIdle takes an endpoint that a fresh report shows idle. One that has just come is fresh, however long
-// the probe took: where calls are quicker than probes, none would ever be.
+// pickIdle returns an endpoint that a valid report shows idle. A report is valid at the time of its arrival
+// however long the probe took: where requests are faster than probes, none would be valid otherwise.
 func (b *Balancer) pickIdle(r *request) *endpoint {
-	fresh := seconds(reportLifetimeShare * b.meanLatency(r))
+	lifetime := seconds(reportLifetimeShare * b.meanLatency(r))
 	b.idleEndpoints = slices.DeleteFunc(b.idleEndpoints, func(e *endpoint) bool {
-		return !b.isIdle(e) || b.now-e.loadRequestedAt > fresh && b.now > e.loadReceivedAt
+		return !b.isIdle(e) || b.now-e.loadRequestedAt > lifetime && b.now > e.loadReceivedAt
 	})
 	b.rng.Shuffle(len(b.idleEndpoints), func(i, j int) {
 		b.idleEndpoints[i], b.idleEndpoints[j] = b.idleEndpoints[j], b.idleEndpoints[i]
 	})
-	best, most := (*endpoint)(nil), 0.0 // ties go to the first
+	best, bestSpeed := (*endpoint)(nil), 0.0 // ties go to the first
 	for _, e := range b.idleEndpoints {
-		mu := b.typeSpeed(e)
+		speed := b.typeSpeed(e)
 		if !b.hasConnection(e, b.now) {
-			mu *= 1 - b.connectFailureShare
+			speed *= 1 - b.connectFailureShare
 		}
-		if mu > most && b.maySend(r, e) {
-			best, most = e, mu
+		if speed > bestSpeed && b.maySend(r, e) {
+			best, bestSpeed = e, speed
 		}
 	}
 	return best
 }
 
-// sendProbes asks some endpoints for their load, for as many held requests as want one.
-func (b *Balancer) sendProbes(want int) {
-	// What sidecars without an idle endpoint may ask for together is bounded by the endpoints' number.
+// sendProbes asks endpoints for their load, on behalf of a number of queued requests.
+func (b *Balancer) sendProbes(waiting int) {
+	// The number of endpoints bounds the probes that all sidecars without an idle endpoint may send together.
 	slowest := slices.MaxFunc(b.classStats, func(x, y latencyStats) int {
 		return cmp.Compare(x.mean, y.mean)
 	})
 	rate := probesPerMeanLatency * float64(len(b.ready)) / (float64(b.cfg.SidecarCount) * slowest.mean)
 	b.probeTokens = min(b.probeTokens+rate*(b.now-b.probeTokensRefilledAt).Seconds(), maxProbeTokens)
 	b.probeTokensRefilledAt = b.now
-	first := b.queue[len(b.queue)-1].arrivedAt == b.now // the newest is last
-	late := 0                                           // the oldest come first
-	for late < len(b.pendingProbes) && b.now-b.pendingProbes[late].probedAt >= probeWait {
-		late++
-	}
-	n := want - (len(b.pendingProbes) - late)
-	for n = min(n, maxProbesPerRequest*want-len(b.pendingProbes)); n > 0 && b.probeTokens >= 1; n-- {
-		e := b.sampleForProbe(first, seconds(reportLifetimeShare*slowest.mean))
+	justArrived := b.queue[len(b.queue)-1].arrivedAt == b.now // the newest is last
+	overdue := 0                                              // the oldest come first
+	for overdue < len(b.pendingProbes) && b.now-b.pendingProbes[overdue].probedAt >= probeWait {
+		overdue++
+	}
+	n := waiting - (len(b.pendingProbes) - overdue)
+	for n = min(n, maxProbesPerRequest*waiting-len(b.pendingProbes)); n > 0 && b.probeTokens >= 1; n-- {
+		e := b.sampleForProbe(justArrived, seconds(reportLifetimeShare*slowest.mean))
 		if e == nil {
 			break
 		}
@@ -844,7 +861,7 @@
 	}
 }
 
-// isIdle tells whether an endpoint is known to be idle: as reported, and no own call since.
+// isIdle reports whether an endpoint is known to be idle: by its report, and without an own attempt since.
 func (b *Balancer) isIdle(e *endpoint) bool {
 	if !e.hasLoad || e.State != InService || e.reportedInFlight >= 0.5 {
 		return false
@@ -854,13 +871,13 @@
 	})
 }
 
-// sampleForProbe draws an endpoint to probe, at first in its own zone, passing over suspects and,
-// by ramp, cold ones.
-// One that was just reported busy is believed to be so for as long as one found idle.
-func (b *Balancer) sampleForProbe(first bool, fresh time.Duration) *endpoint {
-	var spare *endpoint
+// sampleForProbe draws an endpoint to probe, from the own zone if localOnly is set and there are any. Ejected
+// endpoints come last, and cold ones have a lower probability (see slowStartShare). A report that an endpoint
+// is busy is valid for as long as one that it is idle.
+func (b *Balancer) sampleForProbe(localOnly bool, lifetime time.Duration) *endpoint {
+	var ejected *endpoint
 	set := b.ready
-	if first && len(b.local) > 0 {
+	if localOnly && len(b.local) > 0 {
 		set = b.local
 	}
 	b.connectedEndpoints = slices.DeleteFunc(b.connectedEndpoints, func(e *endpoint) bool {
@@ -872,95 +889,97 @@
 			b.rng.Float64() < b.connectFailureShare {
 			e = b.connectedEndpoints[b.rng.IntN(len(b.connectedEndpoints))]
 		}
-		if e.probing || e.hasLoad && b.now-e.loadRequestedAt < fresh ||
+		if e.probing || e.hasLoad && b.now-e.loadRequestedAt < lifetime ||
 			b.rng.Float64() > b.slowStartShare(e) {
 			continue
 		}
 		if b.now < e.ejectedUntil {
-			spare = e
+			ejected = e
 			continue
 		}
 		return e
 	}
-	return spare
+	return ejected
 }
 
-// pickFree finds the endpoint of a set whose free cores give the next call the most speed. One is free while
-// its own calls out are fewer than its speed makes this sidecar's share. total is what its calls spread over.
+// pickFree returns the endpoint of a set whose free cores would run the next attempt fastest. An endpoint is
+// free while fewer own attempts are in flight to it than its speed times the concurrency limit. total is the
+// capacity that this sidecar spreads its attempts over.
 func (b *Balancer) pickFree(r *request, set []*endpoint, total float64) *endpoint {
 	var best *endpoint
-	most := 0.0
-	turn := b.rng.Int() >> 1
+	bestSpeed := 0.0
+	offset := b.rng.Int() >> 1
 	for i := range min(len(set), maxSamples) {
-		e := set[(turn+i)%len(set)]
+		e := set[(offset+i)%len(set)]
 		if b.now < e.ejectedUntil || !b.maySend(r, e) {
 			continue
 		}
-		mu, out := b.speed(e), float64(len(e.inFlight))
-		free := math.Max(b.concurrencyLimit*mu, 1)
+		speed, inFlight := b.speed(e), float64(len(e.inFlight))
+		limit := math.Max(b.concurrencyLimit*speed, 1)
 		if r.overQuota {
-			free *= overQuotaCoreShare
+			limit *= overQuotaCoreShare
 		}
-		if out-float64(e.waitingForCaller) >= free || !b.slowStartAllows(e, total) {
+		if inFlight-float64(e.waitingForCaller) >= limit || !b.slowStartAllows(e, total) {
 			continue
 		}
-		if speed := mu / (out + 1); speed > most {
-			best, most = e, speed
+		if nextSpeed := speed / (inFlight + 1); nextSpeed > bestSpeed {
+			best, bestSpeed = e, nextSpeed
 		}
 	}
 	return best
 }
 
-// slowStartAllows keeps this sidecar's sends to a cold endpoint to what the endpoint's part of its
-// own rate is, by
-// its size among all that the sidecar spreads its calls over. Its first call is due at a random moment of
-// a first gap: sidecars told at once must not all call at once.
+// slowStartAllows reports whether this sidecar may send to an endpoint that may be cold. It limits the sends
+// to the endpoint's part of the sidecar's send rate, by its present capacity among the total that the sidecar
+// spreads its attempts over. The first attempt may go out at a random moment of a first gap: sidecars that
+// learn of the endpoint at the same time must not all send to it at once.
 func (b *Balancer) slowStartAllows(e *endpoint, total float64) bool {
-	ramp := b.slowStartShare(e)
-	if ramp >= 1 {
+	share := b.slowStartShare(e)
+	if share >= 1 {
 		return true
 	}
-	gap := seconds(math.Min(total/(b.sendRate*b.capacity(e)*ramp), b.cfg.WarmupTime.Seconds()))
+	gap := seconds(math.Min(total/(b.sendRate*b.capacity(e)*share), b.cfg.WarmupTime.Seconds()))
 	if e.lastSentAt < e.StartedAt {
 		e.lastSentAt = b.now - b.jitter(gap)
 	}
 	return b.now-e.lastSentAt >= gap
 }
 
-// drawWeighted draws a type by speed x share, then an endpoint in it uniformly: an endpoint by its type's
-// speed, that is, from a sample where there are many.
+// drawWeighted draws a type by speed x share, then an endpoint of it uniformly. This is the same as drawing
+// an endpoint by the speed of its type; where there are many, it draws from a sample. Ejected endpoints come
+// last.
 func (b *Balancer) drawWeighted(r *request) *endpoint {
 	set := b.ready
 	if !b.probesOnArrival {
 		set = b.local
 	}
-	var drawn, spare *endpoint
-	total, turn := 0.0, b.rng.Int()>>1
+	var drawn, ejected *endpoint
+	total, offset := 0.0, b.rng.Int()>>1
 	for i := range min(len(set), maxSamples) {
-		e := set[(turn+i)%len(set)]
-		mu := b.typeSpeed(e) * b.slowStartShare(e)
+		e := set[(offset+i)%len(set)]
+		speed := b.typeSpeed(e) * b.slowStartShare(e)
 		switch {
 		case !b.maySend(r, e):
 		case b.now < e.ejectedUntil:
-			spare = e
+			ejected = e
 		default:
-			if total += mu; b.rng.Float64()*total < mu {
+			if total += speed; b.rng.Float64()*total < speed {
 				drawn = e
 			}
 		}
 	}
-	return cmp.Or(drawn, spare)
+	return cmp.Or(drawn, ejected)
 }
 
-// typeSpeed is the speed of an endpoint's type: those within a factor of root two are one.
+// typeSpeed returns the speed of an endpoint's type: speeds within a factor of root two are one type.
 func (b *Balancer) typeSpeed(e *endpoint) float64 {
 	return math.Exp2(math.Round(2*math.Log2(b.speed(e))) / 2)
 }
 
-// speed is an endpoint's speed: its size over what was learned of its slowness.
+// speed returns the speed of an endpoint: its capacity, reduced by the speed penalty of its past attempts.
 func (b *Balancer) speed(e *endpoint) float64 { return b.capacity(e) * math.Exp(-e.speedPenalty) }
 
-// capacity is an endpoint's weight where that means size, else 1.
+// capacity returns the weight of an endpoint if weights mean capacity, else 1.
 func (b *Balancer) capacity(e *endpoint) float64 {
 	if b.cfg.WeightMeaning == WeightCapacity || b.cfg.WeightMeaning == WeightCapacityEstimate {
 		return math.Max(e.Weight, 1e-3)
@@ -968,7 +987,7 @@
 	return 1
 }
 
-// slowStartShare is the share of its capacity that an endpoint surely has since its start.
+// slowStartShare returns the share of its capacity that an endpoint surely has this long after its start.
 func (b *Balancer) slowStartShare(e *endpoint) float64 {
 	age := b.now - e.StartedAt
 	if e.StartedAt == 0 || age >= b.cfg.WarmupTime {
@@ -978,7 +997,7 @@
 		(1-b.cfg.ColdCapacityShare)*math.Max(age.Seconds(), 0)/b.cfg.WarmupTime.Seconds()
 }
 
-// maySend tells whether the rules let a request go to an endpoint now.
+// maySend reports whether the rules allow a request to be sent to an endpoint now.
 func (b *Balancer) maySend(r *request, e *endpoint) bool {
 	if e.State != InService || !b.mayAddAttempt(r) || r.inFlight > 0 && !b.mayHedge(r) {
 		return false
@@ -993,9 +1012,8 @@
 	return r.firstRunEndpoint == nil || b.mayRepeatAt(r, r.firstRunEndpoint, r.firstRunSentAt, e)
 }
 
-// hasUntriedEndpoint tells whether a request may still go to a sound endpoint that it has not been
-// sent to. In the
-// group of a keyed one there may be no other.
+// hasUntriedEndpoint reports whether a request may go to an endpoint that is not ejected and that it has not
+// been sent to. Within the scope of a keyed request there may be none.
 func (b *Balancer) hasUntriedEndpoint(r *request) bool {
 	return slices.ContainsFunc(b.ready, func(e *endpoint) bool {
 		return b.now >= e.ejectedUntil &&
@@ -1004,50 +1022,48 @@
 	})
 }
 
-// mayHedge tells whether a request may have a second copy out.
+// mayHedge reports whether a request may have a second attempt in flight.
 func (b *Balancer) mayHedge(r *request) bool {
 	return b.cfg.Limits.Hedging && !r.class.NoHedging && !r.BodyArriving
 }
 
-// mayRepeatAt tells whether a request that may run at first, sent then, may also go to e.
-func (b *Balancer) mayRepeatAt(r *request, first *endpoint, sent time.Duration, e *endpoint) bool {
+// mayRepeatAt reports whether a request that may run at first, sent there at sentAt, may also go to e.
+func (b *Balancer) mayRepeatAt(r *request, first *endpoint, sentAt time.Duration, e *endpoint) bool {
 	if r.class.Semantics != Keyed {
 		return r.class.Semantics == Safe
 	}
 	scope := r.class.Scope
-	return b.now < repeatDeadline(r.class, sent) && (scope == ScopeAll ||
+	return b.now < repeatDeadline(r.class, sentAt) && (scope == ScopeAll ||
 		scope == ScopeZone && first.Zone == e.Zone || scope == ScopeCell && first.Cell == e.Cell)
 }
 
-// repeatDeadline is the time before which a repeat of a keyed request must go out whose attempt
-// was sent at a time.
-func repeatDeadline(c *Class, sent time.Duration) time.Duration {
-	return sent + c.RepeatWindow - min(maxSendDelay, c.RepeatWindow/2)
+// repeatDeadline returns the time before which a repeat of a keyed attempt sent at sentAt must go out.
+func repeatDeadline(c *Class, sentAt time.Duration) time.Duration {
+	return sentAt + c.RepeatWindow - min(maxSendDelay, c.RepeatWindow/2)
 }
 
-// sendDeadline is the time before which the next attempt of a request must go out, which may be
-// later than it is
-// decided on: a connection may have to come up. It is 0 where no other attempt may have run.
+// sendDeadline returns the time before which the next attempt of a request must go out, which may be later
+// than the decision, as a connection may have to be opened. It returns 0 if no other attempt may have run.
 func (b *Balancer) sendDeadline(r *request) time.Duration {
-	by := time.Duration(math.MaxInt64)
+	deadline := time.Duration(math.MaxInt64)
 	if r.class.Semantics == Keyed && r.firstRunEndpoint != nil {
-		by = repeatDeadline(r.class, r.firstRunSentAt)
+		deadline = repeatDeadline(r.class, r.firstRunSentAt)
 	}
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.inFlight && r.class.Semantics == Keyed {
-			by = min(by, repeatDeadline(r.class, a.sentAt))
+			deadline = min(deadline, repeatDeadline(r.class, a.sentAt))
 		}
 	}
-	if by == math.MaxInt64 {
+	if deadline == math.MaxInt64 {
 		return 0
 	}
-	return by
+	return deadline
 }
 
-// send starts an attempt.
+// send sends an attempt of a request.
 func (b *Balancer) send(r *request, e *endpoint) {
 	b.dequeue(r)
-	by := b.sendDeadline(r)
+	startDeadline := b.sendDeadline(r)
 	r.attempts = append(r.attempts, attempt{
 		endpoint: e, sentAt: b.now, inFlight: true, idleStep: b.prepareConnection(e),
 	})
@@ -1058,7 +1074,9 @@
 	e.lastSentAt = b.now
 	b.sendRate = b.sendRate*math.Exp(-(b.now-b.lastSentAt).Seconds()/sendRateSeconds) + 1/sendRateSeconds
 	b.lastSentAt = b.now
-	b.emit(Action{Kind: Send, Request: r.ID, Endpoint: e.ID, Deadline: r.deadline, StartDeadline: by})
+	b.emit(Action{
+		Kind: Send, Request: r.ID, Endpoint: e.ID, Deadline: r.deadline, StartDeadline: startDeadline,
+	})
 	if r.inFlight > 1 {
 		b.hedgeTokens--
 	} else {
@@ -1066,7 +1084,7 @@
 	}
 }
 
-// scheduleHedge sets when a request that has one attempt out is hedged, if it may be.
+// scheduleHedge sets when a request that has one attempt in flight is hedged, if it may be.
 func (b *Balancer) scheduleHedge(r *request) {
 	if b.probesOnArrival && b.mayHedge(r) && r.class.Semantics != Unsafe {
 		c := &b.classStats[r.Class]
@@ -1077,49 +1095,50 @@
 	}
 }
 
-// hasConnection tells whether a connection to an endpoint was open at a time, as far as is known.
-// While new ones
-// fail or time out, linked endpoints are probed and taken first, by the share that fails: guards whatever
-// makes connections slow, dear or scarce; it narrows the choice of idle endpoints for as long.
+// hasConnection reports whether a connection to an endpoint was open at a time, as far as is known. While new
+// connections fail or time out, endpoints with an open one are probed and picked first, in proportion to the
+// share that fails. This helps whatever makes connections slow, expensive or scarce; meanwhile it narrows the
+// choice of idle endpoints.
 func (b *Balancer) hasConnection(e *endpoint, at time.Duration) bool {
 	return e.lastResponseAt > 0 && at-e.lastResponseAt < b.cfg.Limits.KeepAlive
 }
 
-// prepareConnection tells in steps how long the connection to an endpoint has been idle. If calls
-// are lost after such
-// a time, though not on connections in use, it closes the idle ones first: something drops them unseen.
-// Guards silent and loud resets; where all calls are lost it does nothing; a wrong guess costs a handshake.
+// prepareConnection returns for how long the connection to an endpoint has been idle, as an index into
+// idleLossShares. If attempts are lost after such a time, but not on connections in use, something drops idle
+// connections silently: it closes the idle ones first and returns 0. This helps against silent drops and
+// resets. It has no effect where all attempts are lost, and a wrong guess costs a handshake.
 func (b *Balancer) prepareConnection(e *endpoint) int {
-	idle := b.now - e.lastResponseAt
-	k := min(bits.Len64(uint64(idle/firstIdleStep)), len(b.idleLossShares)-1)
-	if e.lastResponseAt == 0 || b.cfg.Limits.KeepAlive > 0 && idle > b.cfg.Limits.KeepAlive {
+	idleTime := b.now - e.lastResponseAt
+	step := min(bits.Len64(uint64(idleTime/firstIdleStep)), len(b.idleLossShares)-1)
+	if e.lastResponseAt == 0 || b.cfg.Limits.KeepAlive > 0 && idleTime > b.cfg.Limits.KeepAlive {
 		return 0
-	} else if b.losesIdleConnections(k) {
+	} else if b.losesIdleConnections(step) {
 		b.emit(Action{Kind: CloseIdle, Endpoint: e.ID})
 		return 0
 	}
-	return k
+	return step
 }
 
-func (b *Balancer) losesIdleConnections(k int) bool {
-	return k > 0 && slices.Max(b.idleLossShares[1:k+1]) > math.Max(maxIdleLoss, 2*b.idleLossShares[0])
+// losesIdleConnections reports whether too many attempts are lost on connections idle for step or less.
+func (b *Balancer) losesIdleConnections(step int) bool {
+	return step > 0 && slices.Max(b.idleLossShares[1:step+1]) > math.Max(maxIdleLoss, 2*b.idleLossShares[0])
 }
 
-// recordIdleLoss notes whether a call was lost on a connection that had been idle for k steps.
-func (b *Balancer) recordIdleLoss(k int, lost float64) {
+// recordIdleLoss records whether an attempt was lost (1) or not (0) on a connection that was idle for step.
+func (b *Balancer) recordIdleLoss(step int, lost float64) {
 	for i := range b.idleLossShares {
 		b.idleLossShares[i] *= math.Exp(-(b.now - b.idleLossDecayedAt).Seconds() / idleLossSeconds)
 	}
 	b.idleLossDecayedAt = b.now
-	b.idleLossShares[k] += idleLossGain * (lost - b.idleLossShares[k])
+	b.idleLossShares[step] += idleLossGain * (lost - b.idleLossShares[step])
 }
 
-// recordOutcome takes what an outcome tells of its endpoint and class.
+// recordOutcome updates the state of the endpoint, the class and the request from an outcome.
 func (b *Balancer) recordOutcome(r *request, a *attempt, o Outcome) {
 	e := a.endpoint
-	if fresh := !b.hasConnection(e, a.sentAt); o.Result == ConnectFailed {
+	if newConnection := !b.hasConnection(e, a.sentAt); o.Result == ConnectFailed {
 		b.connectFailureShare += connectFailureGain * (1 - b.connectFailureShare)
-	} else if fresh && o.Result == OK {
+	} else if newConnection && o.Result == OK {
 		b.connectFailureShare -= connectFailureGain * b.connectFailureShare
 	}
 	if i := slices.Index(e.inFlight, a.sentAt); i >= 0 {
@@ -1136,21 +1155,21 @@
 		}
 		e.lastResponseAt = b.now
 		e.consecutiveFailures, e.ejectedUntil = 0, 0
-		took := max(o.Elapsed, 1).Seconds()
+		elapsed := max(o.Elapsed, 1).Seconds()
 		c := &b.classStats[r.Class]
 		gain := math.Max(latencyGain, 1/(c.samples+2))
 		c.samples++
 		if b.now <= r.targetAt {
 			c.served++
 		}
-		c.meanDeviation += gain * (math.Abs(took-c.mean) - c.meanDeviation)
-		c.mean += gain * (took - c.mean)
-		x := math.Log(took / b.expectedWork(r))
-		p := e.weightStats
-		p.samples++
-		p.mean += math.Max(slowdownGain, 1/p.samples) * (x - p.mean)
-		e.speedPenalty += penaltyGain * (x - p.mean - e.speedPenalty)
-		b.adjustConcurrency(x, math.Log(took/r.class.TargetLatency.Seconds()))
+		c.meanDeviation += gain * (math.Abs(elapsed-c.mean) - c.meanDeviation)
+		c.mean += gain * (elapsed - c.mean)
+		logSlowdown := math.Log(elapsed / b.expectedWork(r))
+		w := e.weightStats
+		w.samples++
+		w.mean += math.Max(slowdownGain, 1/w.samples) * (logSlowdown - w.mean)
+		e.speedPenalty += penaltyGain * (logSlowdown - w.mean - e.speedPenalty)
+		b.adjustConcurrency(logSlowdown, math.Log(elapsed/r.class.TargetLatency.Seconds()))
 	case Rejected:
 		b.recordFailure(e, 0)
 		b.adjustConcurrency(b.baseLogSlowdown+rejectionSlowdown, b.logTargetRatio)
@@ -1167,21 +1186,21 @@
 		if r.firstRunEndpoint == nil {
 			r.firstRunEndpoint, r.firstRunSentAt = e, a.sentAt
 		}
-		r.firstRunSentAt = min(r.firstRunSentAt, a.sentAt) // the endpoints' memory is of whichever ran first
+		r.firstRunSentAt = min(r.firstRunSentAt, a.sentAt) // endpoints remember a key from its first run on
 	}
 	if b.recordLoad(e, o.Load, b.now); b.isIdle(e) {
 		b.idleEndpoints = append(b.idleEndpoints, e)
 	}
 }
 
-// adjustConcurrency moves the share of free cores by how the pace of calls compares with the best: held
-// requests crowd an endpoint long before it refuses, and a crowded one does less.
-func (b *Balancer) adjustConcurrency(x, goal float64) {
+// adjustConcurrency adjusts the concurrency limit by comparing the mean slowdown with the best one: requests
+// in flight crowd an endpoint long before it refuses any, and a crowded one does less work.
+func (b *Balancer) adjustConcurrency(logSlowdown, logTargetRatio float64) {
 	b.slowdownSamples++
 	b.samplesSinceAdjust++
 	gain := math.Max(slowdownGain, 1/float64(b.slowdownSamples))
-	b.logSlowdown += gain * (x - b.logSlowdown)
-	b.logTargetRatio += gain * (goal - b.logTargetRatio)
+	b.logSlowdown += gain * (logSlowdown - b.logSlowdown)
+	b.logTargetRatio += gain * (logTargetRatio - b.logTargetRatio)
 	if b.slowdownSamples < minSlowdownSamples {
 		b.baseLogSlowdown = b.logSlowdown
 		return
@@ -1191,7 +1210,7 @@
 		return
 	}
 	if b.logSlowdown > b.baseLogSlowdown+congestionThreshold || b.logTargetRatio > math.Log(maxTargetShare) {
-		// Less than one call would change nothing, and be slow to undo.
+		// Less than one attempt per endpoint would have no effect, and take long to undo.
 		b.concurrencyLimit = max(b.concurrencyLimit*concurrencyDecrease, 1/b.maxSpeed,
 			minTotalConcurrency/float64(b.cfg.SidecarCount))
 	} else if b.allWereBusy {
@@ -1200,28 +1219,29 @@
 	b.nextAdjustAt, b.samplesSinceAdjust, b.allWereBusy = b.now+minAdjustInterval, 0, false
 }
 
-// recordFailure notes a failure: a fast failer must not look idle and fast. A call lost slowly
-// counts for its time,
-// as the next would be lost as slowly, and a jammed server recovers only if it is left alone.
-func (b *Balancer) recordFailure(e *endpoint, took time.Duration) {
+// recordFailure ejects an endpoint after a failure and lowers its speed: one that fails fast must not look
+// idle and fast. An attempt that was lost after a long time lengthens the ejection, as the next would be lost
+// as slowly, and a congested endpoint recovers only if it is left alone.
+func (b *Balancer) recordFailure(e *endpoint, elapsed time.Duration) {
 	e.speedPenalty = math.Min(e.speedPenalty+failurePenalty, maxPenalty)
-	wait := min(max(baseEjectionTime, took)<<min(e.consecutiveFailures, 6), maxEjectionTime)
+	ejection := min(max(baseEjectionTime, elapsed)<<min(e.consecutiveFailures, 6), maxEjectionTime)
 	e.consecutiveFailures++
-	e.ejectedUntil = b.now + wait/2 + b.jitter(wait)
+	e.ejectedUntil = b.now + ejection/2 + b.jitter(ejection)
 	e.hasLoad = false
 }
 
-// recordLoad takes a load report that was asked for at the time asked.
-func (b *Balancer) recordLoad(e *endpoint, load *Load, asked time.Duration) {
+// recordLoad records a load report that was requested at requestedAt.
+func (b *Balancer) recordLoad(e *endpoint, load *Load, requestedAt time.Duration) {
 	if load != nil && load.InFlight >= 0 {
-		e.reportedInFlight, e.loadRequestedAt, e.loadReceivedAt, e.hasLoad = load.InFlight, asked, b.now, true
+		e.reportedInFlight, e.loadRequestedAt, e.loadReceivedAt, e.hasLoad =
+			load.InFlight, requestedAt, b.now, true
 	}
 }
 
-// meanLatency is the usual time of a call of its class, in seconds.
+// meanLatency returns the mean latency of attempts of a request's class, in seconds.
 func (b *Balancer) meanLatency(r *request) float64 { return b.classStats[r.Request.Class].mean }
 
-// expectedWork is what a request is expected to take of a server in seconds: its hint, or else by its goal.
+// expectedWork returns the expected work of a request in seconds: as hinted, or else by its target latency.
 func (b *Balancer) expectedWork(r *request) float64 {
 	if r.ExpectedWork > 0 {
 		return r.ExpectedWork.Seconds()
@@ -1229,7 +1249,7 @@
 	return r.class.TargetLatency.Seconds() / 4
 }
 
-// shedOrFail gives the final answer of a request that was not served.
+// shedOrFail gives the final response to a request that was not served: Shed if a retry is harmless.
 func (b *Balancer) shedOrFail(r *request) {
 	harmless := r.class.Semantics == Safe || r.class.Semantics == Keyed && r.class.Scope == ScopeAll
 	kind := Fail
@@ -1244,16 +1264,16 @@
 	b.finish(r)
 }
 
-// retryAfter tells the client of a refused request when to come back: soon if a call can still be in time for
-// it then, else as late as it heeds. A retry that comes too late takes an endpoint from one that does not.
+// retryAfter returns the delay after which the client of a shed request may retry: a short one if a retry can
+// still be in time, else the longest that clients obey. A late retry takes an endpoint from one in time.
 func (b *Balancer) retryAfter(r *request) time.Duration {
-	if left := r.targetAt - b.now - seconds(b.meanLatency(r)); left > 0 {
-		return min(left/2, b.cfg.Limits.MaxRetryAfter)
+	if remaining := r.targetAt - b.now - seconds(b.meanLatency(r)); remaining > 0 {
+		return min(remaining/2, b.cfg.Limits.MaxRetryAfter)
 	}
 	return b.cfg.Limits.MaxRetryAfter
 }
 
-// finish ends a request and withdraws its attempts; it is kept until they have ended.
+// finish ends a request and cancels its attempts. The request is deleted when the last of them has ended.
 func (b *Balancer) finish(r *request) {
 	r.finished = true
 	b.dequeue(r)
@@ -1268,18 +1288,21 @@
 	}
 }
 
-func (b *Balancer) startEvent(now time.Duration, out []Action) { b.now, b.actions = now, out }
+// startEvent sets the time of an event and the slice that its actions are appended to.
+func (b *Balancer) startEvent(now time.Duration, dst []Action) { b.now, b.actions = now, dst }
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
+// setRequestTimer sets a timer for a request at a time.
 func (b *Balancer) setRequestTimer(r *request, at time.Duration) {
 	b.setTimer(timerRequest, uint64(r.ID), at-b.now)
 }
 
-func (b *Balancer) setTimer(kind uint8, ref uint64, d time.Duration) {
-	b.emit(Action{Kind: SetTimer, Timer: Timer{kind, ref}, Delay: max(d, 1)})
+func (b *Balancer) setTimer(kind uint8, ref uint64, delay time.Duration) {
+	b.emit(Action{Kind: SetTimer, Timer: Timer{kind, ref}, Delay: max(delay, 1)})
 }
 
+// jitter returns a random duration of at least 0 and less than d.
 func (b *Balancer) jitter(d time.Duration) time.Duration {
 	return time.Duration(b.rng.Float64() * float64(d))
 }
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -984,7 +984,7 @@
 
 // A call lost after a long wait must cost its endpoint more than the least back-off: a jammed one recovers
 // only if it is left alone, and each further call there is lost as slowly.
-func TestEjectionLastsAtLeastTimeOfLostAttempt(t *testing.T) {
+func TestEjectionTimeGrowsWithLostAttempt(t *testing.T) {
 	f := newHarness(t, testConfig(), testEndpoints(2)...)
 	e := f.b.endpoints[1]
 	f.b.recordFailure(e, 2*time.Second)
