--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// harness is a balancer under test, its clock and the actions of the last event.
+// harness holds a balancer under test, its clock and the actions of the last event.
 type harness struct {
 	t       testing.TB
 	b       *Balancer
@@ -19,6 +19,7 @@
 	lastID  RequestID
 }
 
+// testConfig returns the configuration of a sidecar that probes, with one class of each semantics.
 func testConfig() Config {
 	return Config{
 		SidecarCount: 4,
@@ -36,15 +37,16 @@
 	}
 }
 
+// newHarness returns a balancer that has received list as its last known list.
 func newHarness(t testing.TB, cfg Config, list ...Endpoint) *harness {
 	t.Helper()
 	b, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &harness{t: t, b: b, now: time.Minute}
-	f.actions = b.EndpointsUpdated(f.now, ListLastKnown, list, nil)
-	return f
+	h := &harness{t: t, b: b, now: time.Minute}
+	h.actions = b.EndpointsUpdated(h.now, ListLastKnown, list, nil)
+	return h
 }
 
 // testEndpoints returns n endpoints, numbered from 1.
@@ -56,16 +58,17 @@
 	return list
 }
 
-func (f *harness) arrive(class int, budget time.Duration) RequestID {
-	f.lastID++
-	f.actions = f.b.RequestArrived(f.now, Request{ID: f.lastID, Class: class, Timeout: budget}, nil)
-	return f.lastID
+// arrive passes a new request to the balancer.
+func (h *harness) arrive(class int, timeout time.Duration) RequestID {
+	h.lastID++
+	h.actions = h.b.RequestArrived(h.now, Request{ID: h.lastID, Class: class, Timeout: timeout}, nil)
+	return h.lastID
 }
 
-// actionsOf returns the endpoints or requests' actions of a kind.
-func (f *harness) actionsOf(kind ActionKind) []Action {
+// actionsOf returns the actions of a kind that the last event caused.
+func (h *harness) actionsOf(kind ActionKind) []Action {
 	var found []Action
-	for _, a := range f.actions {
+	for _, a := range h.actions {
 		if a.Kind == kind {
 			found = append(found, a)
 		}
@@ -73,100 +76,103 @@
 	return found
 }
 
-// endProbe answers a probe with a number of requests in flight.
-func (f *harness) endProbe(id EndpointID, inFlight float64) {
-	f.actions = f.b.ProbeEnded(f.now, id, OK, &Load{InFlight: inFlight}, nil)
+// endProbe ends a probe with a report of inFlight requests.
+func (h *harness) endProbe(id EndpointID, inFlight float64) {
+	h.actions = h.b.ProbeEnded(h.now, id, OK, &Load{InFlight: inFlight}, nil)
 }
 
 // sentEndpoint returns the endpoint of the only Send of the last event.
-func (f *harness) sentEndpoint() EndpointID {
-	f.t.Helper()
-	s := f.actionsOf(Send)
+func (h *harness) sentEndpoint() EndpointID {
+	h.t.Helper()
+	s := h.actionsOf(Send)
 	if len(s) != 1 {
-		f.t.Fatalf("%d sends, want 1: %+v", len(s), f.actions)
+		h.t.Fatalf("%d sends, want 1: %+v", len(s), h.actions)
 	}
 	return s[0].Endpoint
 }
 
-func (f *harness) endAttempt(r RequestID, n int, e EndpointID, res Result, took time.Duration) {
-	f.actions = f.b.AttemptEnded(f.now, Outcome{
-		Request: r, Attempt: n, Endpoint: e, Result: res, RequestFinished: res == OK, Elapsed: took,
+// endAttempt ends attempt index of a request.
+func (h *harness) endAttempt(r RequestID, index int, e EndpointID, res Result, elapsed time.Duration) {
+	h.actions = h.b.AttemptEnded(h.now, Outcome{
+		Request: r, Attempt: index, Endpoint: e, Result: res, RequestFinished: res == OK, Elapsed: elapsed,
 	}, nil)
 }
 
-// sendToIdle sends a request to the endpoint that its probes find idle first.
-func (f *harness) sendToIdle(class int) (RequestID, EndpointID) {
-	f.t.Helper()
-	r := f.arrive(class, 2*time.Second)
+// sendToIdle passes a new request to the balancer and ends its probes with reports of idle endpoints until it is
+// sent.
+func (h *harness) sendToIdle(class int) (RequestID, EndpointID) {
+	h.t.Helper()
+	r := h.arrive(class, 2*time.Second)
 	for range 100 {
-		for _, p := range f.actionsOf(Probe) {
-			f.now += ms
-			f.endProbe(p.Endpoint, 0)
-			if s := f.actionsOf(Send); len(s) > 0 {
+		for _, p := range h.actionsOf(Probe) {
+			h.now += ms
+			h.endProbe(p.Endpoint, 0)
+			if s := h.actionsOf(Send); len(s) > 0 {
 				return r, s[0].Endpoint
 			}
 		}
-		f.fireDispatchTimer()
-		if s := f.actionsOf(Send); len(s) > 0 {
+		h.fireDispatchTimer()
+		if s := h.actionsOf(Send); len(s) > 0 {
 			return r, s[0].Endpoint
 		}
 	}
-	f.t.Fatalf("request %d was not sent: %+v", r, f.actions)
+	h.t.Fatalf("request %d was not sent: %+v", r, h.actions)
 	return 0, 0
 }
 
-// fireDispatchTimer lets the serve timer ring after the usual wait for a probe.
-func (f *harness) fireDispatchTimer() {
-	f.now += probeWait
-	f.actions = f.b.TimerFired(f.now, Timer{Kind: timerDispatch}, nil)
+// fireDispatchTimer advances the clock by the wait for a probe and fires the dispatch timer.
+func (h *harness) fireDispatchTimer() {
+	h.now += probeWait
+	h.actions = h.b.TimerFired(h.now, Timer{Kind: timerDispatch}, nil)
 }
 
-func (f *harness) fireRequestTimer(r RequestID) {
-	f.actions = f.b.TimerFired(f.now, Timer{Kind: timerRequest, Ref: uint64(r)}, nil)
+// fireRequestTimer fires the timer of a request.
+func (h *harness) fireRequestTimer(r RequestID) {
+	h.actions = h.b.TimerFired(h.now, Timer{Kind: timerRequest, Ref: uint64(r)}, nil)
 }
 
 func TestRequestGoesToIdleEndpoint(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(3)...)
-	f.arrive(0, time.Second)
-	probes := f.actionsOf(Probe)
+	h := newHarness(t, testConfig(), testEndpoints(3)...)
+	h.arrive(0, time.Second)
+	probes := h.actionsOf(Probe)
 	if len(probes) == 0 {
 		t.Fatal("no probe at an arrival")
 	}
-	if got := f.actionsOf(Send); len(got) != 0 {
-		t.Fatalf("sent without knowing anybody idle: %+v", got)
+	if got := h.actionsOf(Send); len(got) != 0 {
+		t.Fatalf("sent before any endpoint was known to be idle: %+v", got)
 	}
-	f.now += ms
+	h.now += ms
 	for i, p := range probes {
-		f.endProbe(p.Endpoint, 2)
-		if len(f.actionsOf(Send)) > 0 {
+		h.endProbe(p.Endpoint, 2)
+		if len(h.actionsOf(Send)) > 0 {
 			t.Fatalf("probe %d: sent to a busy endpoint", i)
 		}
 	}
-	more := f.actionsOf(Probe)
+	more := h.actionsOf(Probe)
 	if len(more) == 0 {
-		t.Fatal("nobody idle, and no further probe")
+		t.Fatal("no further probe though no endpoint is idle")
 	}
-	f.now += ms
-	f.endProbe(more[0].Endpoint, 0)
-	if got := f.sentEndpoint(); got != more[0].Endpoint {
+	h.now += ms
+	h.endProbe(more[0].Endpoint, 0)
+	if got := h.sentEndpoint(); got != more[0].Endpoint {
 		t.Errorf("sent to %d, want the idle %d", got, more[0].Endpoint)
 	}
 }
 
 func TestIdleReportServesOneRequest(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(1)...)
-	r1 := f.arrive(0, time.Second)
-	f.now += ms
-	f.endProbe(1, 0)
-	f.sentEndpoint()
-	f.arrive(0, time.Second)
-	if got := f.actionsOf(Send); len(got) != 0 {
-		t.Fatalf("a report was used twice: %+v", got)
+	h := newHarness(t, testConfig(), testEndpoints(1)...)
+	first := h.arrive(0, time.Second)
+	h.now += ms
+	h.endProbe(1, 0)
+	h.sentEndpoint()
+	h.arrive(0, time.Second)
+	if got := h.actionsOf(Send); len(got) != 0 {
+		t.Fatalf("one report was used for two requests: %+v", got)
 	}
-	f.now += ms
-	f.endAttempt(r1, 0, 1, OK, ms)
-	if got := f.sentEndpoint(); got != 1 {
-		t.Errorf("sent to %d: with its call back, endpoint 1 is idle again", got)
+	h.now += ms
+	h.endAttempt(first, 0, 1, OK, ms)
+	if got := h.sentEndpoint(); got != 1 {
+		t.Errorf("sent to %d, want 1, which is idle again after its attempt ended", got)
 	}
 }
 
@@ -175,25 +181,25 @@
 	cfg.WeightMeaning = WeightCapacity
 	list := testEndpoints(3)
 	list[1].Weight = 4
-	f := newHarness(t, cfg, list...)
-	f.arrive(0, time.Second)
-	// Three endpoints turn out idle before any request can use them but the first.
-	for _, e := range f.b.ready {
-		f.b.recordLoad(e, &Load{InFlight: 0}, f.now)
-		f.b.idleEndpoints = append(f.b.idleEndpoints, e)
-	}
-	f.actions = f.b.TimerFired(f.now, Timer{Kind: timerDispatch}, nil)
-	if got := f.sentEndpoint(); got != 2 {
+	h := newHarness(t, cfg, list...)
+	h.arrive(0, time.Second)
+	// All three endpoints are found idle while only one request is queued.
+	for _, e := range h.b.ready {
+		h.b.recordLoad(e, &Load{InFlight: 0}, h.now)
+		h.b.idleEndpoints = append(h.b.idleEndpoints, e)
+	}
+	h.actions = h.b.TimerFired(h.now, Timer{Kind: timerDispatch}, nil)
+	if got := h.sentEndpoint(); got != 2 {
 		t.Errorf("sent to %d, want 2, the fastest", got)
 	}
-	f.arrive(0, time.Second)
-	if got := f.sentEndpoint(); got == 2 {
-		t.Error("the fastest was taken twice on one report")
+	h.arrive(0, time.Second)
+	if got := h.sentEndpoint(); got == 2 {
+		t.Error("one report of the fastest endpoint was used for two requests")
 	}
 }
 
-// The busy draw follows speed x share: for 20,000 draws under a fixed seed each endpoint's share must
-// be within five standard deviations.
+// The draw among busy endpoints must follow speed x share: in 20,000 draws with a fixed seed each endpoint's
+// count must be within five standard deviations.
 func TestDrawWeightedFollowsSpeed(t *testing.T) {
 	cfg := testConfig()
 	cfg.WeightMeaning = WeightCapacity
@@ -201,18 +207,18 @@
 	for i := range list {
 		list[i].Weight = []float64{1, 1, 1, 4, 4, 2}[i]
 	}
-	f := newHarness(t, cfg, list...)
+	h := newHarness(t, cfg, list...)
 	const n = 20000
-	got := make(map[EndpointID]int)
-	r := &request{class: &f.b.cfg.Classes[0]}
+	drawn := make(map[EndpointID]int)
+	r := &request{class: &h.b.cfg.Classes[0]}
 	for range n {
-		got[f.b.drawWeighted(r).ID]++
+		drawn[h.b.drawWeighted(r).ID]++
 	}
 	for _, e := range list {
 		p := e.Weight / 13
-		dev := math.Sqrt(n * p * (1 - p))
-		if d := math.Abs(float64(got[e.ID]) - n*p); d > 5*dev {
-			t.Errorf("endpoint %d of speed %g drawn %d times, want %.0f +- %.0f", e.ID, e.Weight, got[e.ID], n*p, 5*dev)
+		deviation := math.Sqrt(n * p * (1 - p))
+		if diff := math.Abs(float64(drawn[e.ID]) - n*p); diff > 5*deviation {
+			t.Errorf("endpoint %d of speed %g drawn %d times, want %.0f +- %.0f", e.ID, e.Weight, drawn[e.ID], n*p, 5*deviation)
 		}
 	}
 }
@@ -222,86 +228,86 @@
 	for i := range list {
 		list[i].Weight = float64(i + 1)
 	}
-	f := newHarness(t, testConfig(), list...) // weights are silent
-	for _, e := range f.b.ready {
-		if got := f.b.typeSpeed(e); got != 1 {
-			t.Errorf("endpoint %d is of the type of speed %g, want 1 for all", e.ID, got)
+	h := newHarness(t, testConfig(), list...) // WeightNone: weights have no meaning
+	for _, e := range h.b.ready {
+		if got := h.b.typeSpeed(e); got != 1 {
+			t.Errorf("endpoint %d has the type of speed %g, want 1 for all", e.ID, got)
 		}
 	}
 }
 
-// A fast server that answers errors reads empty: it must lose its place all the same.
+// An endpoint that fails fast reports few requests in flight. It must lose speed and not be probed all the same.
 func TestFastFailingEndpointLosesSpeed(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(2)...)
-	bad := f.b.endpoints[1]
+	h := newHarness(t, testConfig(), testEndpoints(2)...)
+	failing := h.b.endpoints[1]
 	for range 20 {
-		f.b.recordFailure(bad, 0)
+		h.b.recordFailure(failing, 0)
 	}
-	if mu := f.b.speed(bad); mu > 0.1*f.b.speed(f.b.endpoints[2]) {
-		t.Errorf("speed %g after 20 failures, want under a tenth of the other's", mu)
+	if speed := h.b.speed(failing); speed > 0.1*h.b.speed(h.b.endpoints[2]) {
+		t.Errorf("speed %g after 20 failures, want under a tenth of the other's", speed)
 	}
-	got := make(map[EndpointID]int)
+	sampled := make(map[EndpointID]int)
 	for range 50 {
-		got[f.b.sampleForProbe(false, 0).ID]++
+		sampled[h.b.sampleForProbe(false, 0).ID]++
 	}
-	if got[1] > 0 {
-		t.Errorf("the failing endpoint was sampled %d times of 50", got[1])
+	if sampled[1] > 0 {
+		t.Errorf("the failing endpoint was sampled %d times of 50", sampled[1])
 	}
 }
 
-// A trouble common to all must not leave nobody to send to.
+// A fault that ejects all endpoints must not keep requests from being sent.
 func TestRequestIsSentWhenAllEndpointsAreEjected(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(3)...)
-	for _, e := range f.b.ready {
-		f.b.recordFailure(e, 0)
+	h := newHarness(t, testConfig(), testEndpoints(3)...)
+	for _, e := range h.b.ready {
+		h.b.recordFailure(e, 0)
 	}
-	f.sendToIdle(0)
+	h.sendToIdle(0)
 }
 
 func TestRequestIsShedBeforeItsDeadline(t *testing.T) {
 	for name, list := range map[string][]Endpoint{
-		"empty list": nil,
-		"draining":   {{ID: 1, State: Draining}},
-		"silent":     testEndpoints(2),
+		"empty list":      nil,
+		"draining":        {{ID: 1, State: Draining}},
+		"no probe result": testEndpoints(2),
 	} {
-		f := newHarness(t, testConfig(), list...)
-		r := f.arrive(2, 500*ms)
-		f.now += 500*ms - 2*ms
-		f.fireRequestTimer(r)
-		if len(f.actionsOf(Shed)) != 1 {
-			t.Errorf("%s: actions %+v, want one Shed", name, f.actions)
+		h := newHarness(t, testConfig(), list...)
+		r := h.arrive(2, 500*ms)
+		h.now += 500*ms - 2*ms
+		h.fireRequestTimer(r)
+		if len(h.actionsOf(Shed)) != 1 {
+			t.Errorf("%s: actions %+v, want one Shed", name, h.actions)
 		}
-		f.fireRequestTimer(r)
-		if len(f.actions) != 0 {
-			t.Errorf("%s: acted after the final answer: %+v", name, f.actions)
+		h.fireRequestTimer(r)
+		if len(h.actions) != 0 {
+			t.Errorf("%s: acted after the final response: %+v", name, h.actions)
 		}
 	}
 }
 
-// What follows an attempt that ended, for each kind of class.
+// Checks what follows the end of an attempt, for each semantics.
 func TestRetryByResultAndSemantics(t *testing.T) {
 	const safe, keyed, unsafe = 0, 1, 2
-	type want struct{ again, shed, fail bool }
-	again, fail := want{again: true}, want{fail: true}
+	type want struct{ retry, shed, fail bool }
+	retry, fail := want{retry: true}, want{fail: true}
 	for _, c := range []struct {
 		class int
 		res   Result
 		want  want
 	}{
-		{safe, Error, again}, {safe, Timeout, again}, {safe, Reset, again}, {safe, Rejected, again},
-		{safe, ConnectFailed, again}, {safe, Canceled, again}, {safe, NotSent, again},
-		{keyed, Error, again}, {keyed, Timeout, again}, {keyed, Reset, again}, {keyed, Rejected, again},
-		{keyed, ConnectFailed, again}, {keyed, Canceled, again}, {keyed, NotSent, again},
+		{safe, Error, retry}, {safe, Timeout, retry}, {safe, Reset, retry}, {safe, Rejected, retry},
+		{safe, ConnectFailed, retry}, {safe, Canceled, retry}, {safe, NotSent, retry},
+		{keyed, Error, retry}, {keyed, Timeout, retry}, {keyed, Reset, retry}, {keyed, Rejected, retry},
+		{keyed, ConnectFailed, retry}, {keyed, Canceled, retry}, {keyed, NotSent, retry},
 		{unsafe, Error, fail}, {unsafe, Timeout, fail}, {unsafe, Reset, fail}, {unsafe, Canceled, fail},
-		{unsafe, Rejected, again}, {unsafe, ConnectFailed, again}, {unsafe, NotSent, again},
+		{unsafe, Rejected, retry}, {unsafe, ConnectFailed, retry}, {unsafe, NotSent, retry},
 	} {
-		f := newHarness(t, testConfig(), testEndpoints(20)...)
-		r, e := f.sendToIdle(c.class)
-		f.now += ms
-		f.endAttempt(r, 0, e, c.res, ms)
+		h := newHarness(t, testConfig(), testEndpoints(20)...)
+		r, e := h.sendToIdle(c.class)
+		h.now += ms
+		h.endAttempt(r, 0, e, c.res, ms)
 		got := want{
-			again: len(f.actionsOf(Send))+len(f.actionsOf(Probe)) > 0,
-			shed:  len(f.actionsOf(Shed)) > 0, fail: len(f.actionsOf(Fail)) > 0,
+			retry: len(h.actionsOf(Send))+len(h.actionsOf(Probe)) > 0,
+			shed:  len(h.actionsOf(Shed)) > 0, fail: len(h.actionsOf(Fail)) > 0,
 		}
 		if got != c.want {
 			t.Errorf("class %d, result %d: %+v, want %+v", c.class, c.res, got, c.want)
@@ -309,7 +315,7 @@
 	}
 }
 
-// The final answer of a request whose attempt may have run.
+// Checks the final response to a request whose attempt may have run.
 func TestShedOrFailBySemantics(t *testing.T) {
 	for _, c := range []struct {
 		sem   Semantics
@@ -321,15 +327,15 @@
 	} {
 		cfg := testConfig()
 		cfg.Classes[0].Semantics, cfg.Classes[0].Scope = c.sem, c.scope
-		f := newHarness(t, cfg, testEndpoints(5)...)
-		r, _ := f.sendToIdle(0)
-		f.now += time.Second
-		f.fireRequestTimer(r)
-		if len(f.actionsOf(c.want)) != 1 || len(f.actionsOf(Shed))+len(f.actionsOf(Fail)) != 1 {
-			t.Errorf("semantics %d, scope %d: %+v, want one action %d", c.sem, c.scope, f.actions, c.want)
+		h := newHarness(t, cfg, testEndpoints(5)...)
+		r, _ := h.sendToIdle(0)
+		h.now += time.Second
+		h.fireRequestTimer(r)
+		if len(h.actionsOf(c.want)) != 1 || len(h.actionsOf(Shed))+len(h.actionsOf(Fail)) != 1 {
+			t.Errorf("semantics %d, scope %d: %+v, want one action %d", c.sem, c.scope, h.actions, c.want)
 		}
-		if len(f.actionsOf(Cancel)) != 1 {
-			t.Errorf("semantics %d: the attempt was not withdrawn", c.sem)
+		if len(h.actionsOf(Cancel)) != 1 {
+			t.Errorf("semantics %d: the attempt was not canceled", c.sem)
 		}
 	}
 }
@@ -342,32 +348,32 @@
 		for i := range list {
 			list[i].Zone, list[i].Cell = i%3, 10+i%5
 		}
-		f := newHarness(t, cfg, list...)
-		r, e := f.sendToIdle(1)
-		first := f.b.endpoints[e]
-		f.now += ms
-		f.endAttempt(r, 0, e, Error, ms)
-		for _, other := range f.b.ready {
-			same := other.Zone == first.Zone
+		h := newHarness(t, cfg, list...)
+		r, e := h.sendToIdle(1)
+		first := h.b.endpoints[e]
+		h.now += ms
+		h.endAttempt(r, 0, e, Error, ms)
+		for _, other := range h.b.ready {
+			inScope := other.Zone == first.Zone
 			if scope == ScopeCell {
-				same = other.Cell == first.Cell
+				inScope = other.Cell == first.Cell
 			}
-			if got := f.b.maySend(f.b.requests[r], other); got != (same && other != first) {
-				t.Errorf("scope %d: endpoint %d allowed %v", scope, other.ID, got)
+			if got := h.b.maySend(h.b.requests[r], other); got != (inScope && other != first) {
+				t.Errorf("scope %d: endpoint %d allowed: %v", scope, other.ID, got)
 			}
 		}
-		f.now += cfg.Classes[1].RepeatWindow
-		f.b.now = f.now
-		for _, other := range f.b.ready {
-			if f.b.maySend(f.b.requests[r], other) {
+		h.now += cfg.Classes[1].RepeatWindow
+		h.b.now = h.now
+		for _, other := range h.b.ready {
+			if h.b.maySend(h.b.requests[r], other) {
 				t.Errorf("scope %d: endpoint %d allowed after the repeat window", scope, other.ID)
 			}
 		}
 	}
 }
 
-// A keyed request whose group has one endpoint may go back to that, as repeats are dropped there
-// too; with another in the group it goes to the other.
+// A keyed request with one endpoint in scope may be retried there, as that endpoint drops repeats too. With
+// another endpoint in scope it goes to the other.
 func TestKeyedRetryReusesOnlyEndpointInScope(t *testing.T) {
 	for _, alone := range []bool{true, false} {
 		cfg := testConfig()
@@ -380,17 +386,17 @@
 		if !alone {
 			list[1].Zone = 0
 		}
-		f := newHarness(t, cfg, list...)
-		r := f.arrive(1, 2*time.Second)
-		first := f.sentEndpoint()
-		f.now += 100 * ms
-		f.endAttempt(r, 0, first, Error, 100*ms)
-		for len(f.actionsOf(Send)) == 0 && f.now < time.Minute+700*ms {
-			f.now += 10 * ms
-			f.actions = f.b.TimerFired(f.now, Timer{Kind: timerDispatch}, nil)
+		h := newHarness(t, cfg, list...)
+		r := h.arrive(1, 2*time.Second)
+		first := h.sentEndpoint()
+		h.now += 100 * ms
+		h.endAttempt(r, 0, first, Error, 100*ms)
+		for len(h.actionsOf(Send)) == 0 && h.now < time.Minute+700*ms {
+			h.now += 10 * ms
+			h.actions = h.b.TimerFired(h.now, Timer{Kind: timerDispatch}, nil)
 		}
-		if again := f.sentEndpoint(); again != first && alone || again == first && !alone || again > 2 {
-			t.Errorf("alone %v: sent to %d and then to %d", alone, first, again)
+		if second := h.sentEndpoint(); second != first && alone || second == first && !alone || second > 2 {
+			t.Errorf("alone in scope %v: sent to %d and then to %d", alone, first, second)
 		}
 	}
 }
@@ -398,174 +404,174 @@
 func TestNoHedgeWhenHedgingIsDisabled(t *testing.T) {
 	cfg := testConfig()
 	cfg.Limits.Hedging = false
-	f := newHarness(t, cfg, testEndpoints(5)...)
-	r, _ := f.sendToIdle(0)
-	for _, e := range f.b.ready {
-		if f.b.maySend(f.b.requests[r], e) {
-			t.Errorf("endpoint %d allowed while an attempt is out", e.ID)
+	h := newHarness(t, cfg, testEndpoints(5)...)
+	r, _ := h.sendToIdle(0)
+	for _, e := range h.b.ready {
+		if h.b.maySend(h.b.requests[r], e) {
+			t.Errorf("endpoint %d allowed while an attempt is in flight", e.ID)
 		}
 	}
 }
 
-// A hedge that waits for an idle endpoint when the first copy fails must be in the held list once:
-// held twice, it was sent again after its final answer.
+// A hedge may wait for an idle endpoint when the first attempt fails. The request must be queued only once:
+// queued twice, it was sent again after its final response.
 func TestWaitingHedgeIsQueuedOnce(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(20)...)
-	f.b.classStats[0] = latencyStats{mean: 0.05, meanDeviation: 0.02}
-	r, e := f.sendToIdle(0)
-	f.b.idleEndpoints = nil
-	f.now = f.b.requests[r].hedgeAt
-	f.fireRequestTimer(r)
-	if len(f.b.queue) != 1 {
-		t.Fatalf("%d held, want the hedge", len(f.b.queue))
+	h := newHarness(t, testConfig(), testEndpoints(20)...)
+	h.b.classStats[0] = latencyStats{mean: 0.05, meanDeviation: 0.02}
+	r, e := h.sendToIdle(0)
+	h.b.idleEndpoints = nil
+	h.now = h.b.requests[r].hedgeAt
+	h.fireRequestTimer(r)
+	if len(h.b.queue) != 1 {
+		t.Fatalf("%d queued, want the hedge", len(h.b.queue))
 	}
-	f.endAttempt(r, 0, e, Error, ms)
-	if len(f.b.queue) != 1 {
-		t.Errorf("%d held after the first copy failed, want 1", len(f.b.queue))
+	h.endAttempt(r, 0, e, Error, ms)
+	if len(h.b.queue) != 1 {
+		t.Errorf("%d queued after the first attempt failed, want 1", len(h.b.queue))
 	}
 }
 
 func TestDrainingAndRemovedEndpointsGetNoRequests(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(4)...)
-	f.actions = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Removed}}, nil)
-	if len(f.b.ready) != 2 {
-		t.Fatalf("%d ready after a drain and a removal, want 2", len(f.b.ready))
+	h := newHarness(t, testConfig(), testEndpoints(4)...)
+	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Removed}}, nil)
+	if len(h.b.ready) != 2 {
+		t.Fatalf("%d ready after one is draining and one removed, want 2", len(h.b.ready))
 	}
 	for range 10 {
-		if _, e := f.sendToIdle(0); e < 3 {
-			t.Fatalf("sent to %d, which drains or is gone", e)
+		if _, e := h.sendToIdle(0); e < 3 {
+			t.Fatalf("sent to %d, which is draining or removed", e)
 		}
-		f.now += 100 * ms
+		h.now += 100 * ms
 	}
-	f.actions = f.b.EndpointsUpdated(f.now, ListFull, testEndpoints(1), nil)
-	if len(f.b.ready) != 1 || f.b.ready[0].ID != 1 {
-		t.Errorf("ready %v after a full list, want endpoint 1 alone", f.b.ready)
+	h.actions = h.b.EndpointsUpdated(h.now, ListFull, testEndpoints(1), nil)
+	if len(h.b.ready) != 1 || h.b.ready[0].ID != 1 {
+		t.Errorf("ready %v after a full list, want endpoint 1 alone", h.b.ready)
 	}
-	f.actions = f.b.EndpointsUpdated(f.now, ListUnavailable, nil, nil)
-	if len(f.b.ready) != 1 {
-		t.Error("a refused call to discovery changed the list")
+	h.actions = h.b.EndpointsUpdated(h.now, ListUnavailable, nil, nil)
+	if len(h.b.ready) != 1 {
+		t.Error("a failed discovery request changed the list")
 	}
 }
 
-// Idle connections to an endpoint that drains are closed at the notice, and again after each later outcome.
+// Idle connections to a draining endpoint must be closed at the list update and again after each later outcome.
 func TestIdleConnectionsToDrainingEndpointAreClosed(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxDrainIdleTime = 800 * ms
-	f := newHarness(t, cfg, testEndpoints(2)...)
-	r, e := f.sendToIdle(0)
+	h := newHarness(t, cfg, testEndpoints(2)...)
+	r, e := h.sendToIdle(0)
 	other := 3 - e
 	drain := []Endpoint{{ID: e, State: Draining}}
-	released := func(when string, want int) {
+	wantClosed := func(when string, want int) {
 		t.Helper()
 		n := 0
-		for _, a := range f.actionsOf(CloseIdle) {
+		for _, a := range h.actionsOf(CloseIdle) {
 			if a.Endpoint == e {
 				n++
 			}
 		}
 		if n != want {
-			t.Errorf("%s: %d releases of %d, want %d: %+v", when, n, e, want, f.actions)
+			t.Errorf("%s: %d CloseIdle for %d, want %d: %+v", when, n, e, want, h.actions)
 		}
 	}
-	f.actions = f.b.EndpointsUpdated(f.now, ListChanges, drain, nil)
-	released("at the notice", 1)
-	f.now += 300 * ms
-	f.endAttempt(r, 0, e, OK, 300*ms)
-	released("after the last outcome", 1)
-	f.actions = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: other, State: InService}}, nil)
-	released("at news of another", 0)
+	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, drain, nil)
+	wantClosed("at the list update", 1)
+	h.now += 300 * ms
+	h.endAttempt(r, 0, e, OK, 300*ms)
+	wantClosed("after the last outcome", 1)
+	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{{ID: other, State: InService}}, nil)
+	wantClosed("at an update of another endpoint", 0)
 
-	f = newHarness(t, testConfig(), testEndpoints(2)...)
-	_, e = f.sendToIdle(0)
-	f.actions = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: e, State: Draining}}, nil)
-	released("without the rule", 0)
+	h = newHarness(t, testConfig(), testEndpoints(2)...)
+	_, e = h.sendToIdle(0)
+	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{{ID: e, State: Draining}}, nil)
+	wantClosed("without MaxDrainIdleTime", 0)
 }
 
 func TestSlowStartShare(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(1)...)
-	start := f.now
-	f.actions = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: 1, StartedAt: start}}, nil)
+	h := newHarness(t, testConfig(), testEndpoints(1)...)
+	startedAt := h.now
+	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{{ID: 1, StartedAt: startedAt}}, nil)
 	for _, c := range []struct {
 		age  time.Duration
 		want float64
 	}{{0, 0.2}, {5 * time.Second, 0.6}, {10 * time.Second, 1}, {time.Minute, 1}} {
-		f.b.now = start + c.age
-		if got := f.b.slowStartShare(f.b.endpoints[1]); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("ramp %g at age %v, want %g", got, c.age, c.want)
+		h.b.now = startedAt + c.age
+		if got := h.b.slowStartShare(h.b.endpoints[1]); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("share %g at age %v, want %g", got, c.age, c.want)
 		}
 	}
-	// A restart is a new start, and what was known of the old process is forgotten.
-	f.b.recordFailure(f.b.endpoints[1], 0)
-	f.actions = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{{ID: 1, StartedAt: start + time.Hour}}, nil)
-	if e := f.b.endpoints[1]; e.speedPenalty != 0 || e.consecutiveFailures != 0 || e.StartedAt != start+time.Hour {
+	// A restart starts the warm-up anew and resets the state of the old process.
+	h.b.recordFailure(h.b.endpoints[1], 0)
+	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{{ID: 1, StartedAt: startedAt + time.Hour}}, nil)
+	if e := h.b.endpoints[1]; e.speedPenalty != 0 || e.consecutiveFailures != 0 || e.StartedAt != startedAt+time.Hour {
 		t.Errorf("after a restart: %+v", e)
 	}
 }
 
-// Where own calls tell who is free, a cold endpoint gets no more than its part of the own rate.
+// Without probes, a cold endpoint must get no more than its part of the sidecar's send rate.
 func TestSlowStartLimitsSendRate(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.SidecarCount = 1
 	list := testEndpoints(10)
-	f := newHarness(t, cfg, list...)
+	h := newHarness(t, cfg, list...)
 	cold := list[0]
-	cold.StartedAt = f.now
-	f.actions = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{cold}, nil)
+	cold.StartedAt = h.now
+	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{cold}, nil)
 	const n = 400
-	got := 0
+	toCold := 0
 	for range n {
-		f.now += 5 * ms
-		r := f.arrive(0, time.Second)
-		e := f.sentEndpoint()
+		h.now += 5 * ms
+		r := h.arrive(0, time.Second)
+		e := h.sentEndpoint()
 		if e == 1 {
-			got++
+			toCold++
 		}
-		f.endAttempt(r, 0, e, OK, 200*ms)
+		h.endAttempt(r, 0, e, OK, 200*ms)
 	}
-	// Two seconds after its start it can do 0.2 to 0.36 of its part, which is a tenth of all.
-	if got > n/10/2 {
-		t.Errorf("the cold endpoint got %d of %d, want at most %d", got, n, n/10/2)
+	// In the two seconds after its start it has 0.2 to 0.36 of its capacity, which is a tenth of the total.
+	if toCold > n/10/2 {
+		t.Errorf("the cold endpoint got %d of %d, want at most %d", toCold, n, n/10/2)
 	}
-	if got == 0 {
+	if toCold == 0 {
 		t.Error("the cold endpoint got nothing")
 	}
 }
 
-// When all others fail, every sidecar turns to the endpoint that has just started: together they must
-// not send it more than the part of a warm one's load that it can bear.
+// When all others are ejected, every sidecar turns to the endpoint that has just started. Together they must not
+// send it more than a cold endpoint's part of the load of a warm one.
 func TestSlowStartLimitsSendRateWhenOthersAreEjected(t *testing.T) {
 	const sidecars, n = 60, 20
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.SidecarCount = sidecars
-	got, rate := 0, 2*n // requests a second over all: two a server
-	for me := range sidecars {
-		cfg.SidecarIndex = me
-		f := newHarness(t, cfg, testEndpoints(n)...)
-		step := time.Second * sidecars / time.Duration(rate)
-		f.now += step * time.Duration(me) / sidecars
+	toCold, rate := 0, 2*n // requests per second of all sidecars: two per endpoint
+	for index := range sidecars {
+		cfg.SidecarIndex = index
+		h := newHarness(t, cfg, testEndpoints(n)...)
+		interval := time.Second * sidecars / time.Duration(rate)
+		h.now += interval * time.Duration(index) / sidecars
 		for range 10 {
-			f.now += step
-			f.arrive(0, time.Second)
-			for _, s := range f.actionsOf(Send) {
-				f.endAttempt(s.Request, 0, s.Endpoint, OK, 100*ms)
+			h.now += interval
+			h.arrive(0, time.Second)
+			for _, s := range h.actionsOf(Send) {
+				h.endAttempt(s.Request, 0, s.Endpoint, OK, 100*ms)
 			}
 		}
-		for _, e := range f.b.ready {
-			e.ejectedUntil = f.now + time.Minute
+		for _, e := range h.b.ready {
+			e.ejectedUntil = h.now + time.Minute
 		}
-		cold := Endpoint{ID: n + 1, Weight: 1, StartedAt: f.now - 2*time.Second}
-		f.actions = f.b.EndpointsUpdated(f.now, ListChanges, []Endpoint{cold}, nil)
+		cold := Endpoint{ID: n + 1, Weight: 1, StartedAt: h.now - 2*time.Second}
+		h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{cold}, nil)
 		for range 2 {
-			f.now += step
-			f.arrive(0, time.Second)
-			got += len(f.actionsOf(Send))
+			h.now += interval
+			h.arrive(0, time.Second)
+			toCold += len(h.actionsOf(Send))
 		}
 	}
-	// In three seconds, at a ramp of at most 0.6, a warm server's part would be 6 x 0.6.
-	if got > 8 {
-		t.Errorf("%d calls to the cold endpoint by %d sidecars, want a few", got, sidecars)
+	// In three seconds a warm endpoint would get 6 requests. The share of a cold one is at most 0.6.
+	if toCold > 8 {
+		t.Errorf("%d attempts to the cold endpoint by %d sidecars, want a few", toCold, sidecars)
 	}
 }
 
@@ -576,12 +582,12 @@
 	cfg.SidecarCount = subsetOverlap
 	list := testEndpoints(4)
 	list[2].Zone, list[3].Zone = 1, 1
-	f := newHarness(t, cfg, list...)
+	h := newHarness(t, cfg, list...)
 	var zones []int
 	for range 5 {
-		f.arrive(0, time.Second)
-		for _, s := range f.actionsOf(Send) {
-			zones = append(zones, f.b.endpoints[s.Endpoint].Zone)
+		h.arrive(0, time.Second)
+		for _, s := range h.actionsOf(Send) {
+			zones = append(zones, h.b.endpoints[s.Endpoint].Zone)
 		}
 	}
 	if !slices.Equal(zones, []int{0, 0, 1, 1}) {
@@ -589,27 +595,27 @@
 	}
 }
 
-// Sidecars that see nothing of each other must cover all endpoints alike.
+// Sidecars that don't communicate must cover all endpoints evenly with their subsets.
 func TestSubsetsCoverEndpointsEvenly(t *testing.T) {
-	for _, c := range []struct{ sidecars, servers int }{{24, 41}, {60, 100}, {10, 200}, {4, 7}} {
-		met := make(map[EndpointID]int)
-		for me := range c.sidecars {
+	for _, c := range []struct{ sidecars, endpoints int }{{24, 41}, {60, 100}, {10, 200}, {4, 7}} {
+		coverage := make(map[EndpointID]int)
+		for index := range c.sidecars {
 			cfg := testConfig()
 			cfg.Costs.Probe = 0.01
-			cfg.SidecarIndex, cfg.SidecarCount = me, c.sidecars
-			f := newHarness(t, cfg, testEndpoints(c.servers)...)
-			for _, e := range f.b.local {
-				met[e.ID]++
+			cfg.SidecarIndex, cfg.SidecarCount = index, c.sidecars
+			h := newHarness(t, cfg, testEndpoints(c.endpoints)...)
+			for _, e := range h.b.local {
+				coverage[e.ID]++
 			}
 		}
-		least, most := math.MaxInt, 0
-		for id := range c.servers {
-			n := met[EndpointID(id+1)]
-			least, most = min(least, n), max(most, n)
+		lowest, highest := math.MaxInt, 0
+		for id := range c.endpoints {
+			n := coverage[EndpointID(id+1)]
+			lowest, highest = min(lowest, n), max(highest, n)
 		}
-		if least < 3 || most > 8 && c.sidecars > 8 {
-			t.Errorf("%d sidecars on %d servers: an endpoint is met by %d to %d, want about %d",
-				c.sidecars, c.servers, least, most, subsetOverlap)
+		if lowest < 3 || highest > 8 && c.sidecars > 8 {
+			t.Errorf("%d sidecars, %d endpoints: an endpoint is in %d to %d subsets, want about %d",
+				c.sidecars, c.endpoints, lowest, highest, subsetOverlap)
 		}
 	}
 }
@@ -617,73 +623,73 @@
 func TestSubscribeBacksOff(t *testing.T) {
 	cfg := testConfig()
 	cfg.MustSubscribe = true
-	f := newHarness(t, cfg, testEndpoints(3)...)
-	var last time.Duration
+	h := newHarness(t, cfg, testEndpoints(3)...)
+	var lastDelay time.Duration
 	for i := range 6 {
-		timers := f.actionsOf(SetTimer)
+		timers := h.actionsOf(SetTimer)
 		if len(timers) != 1 || timers[0].Timer.Kind != timerSubscribe {
-			t.Fatalf("call %d: actions %+v, want a timer", i, f.actions)
+			t.Fatalf("subscribe %d: actions %+v, want a timer", i, h.actions)
 		}
-		if i > 0 && timers[0].Delay < last/4 {
-			t.Errorf("call %d after %v, the one before after %v: no back-off", i, timers[0].Delay, last)
+		if i > 0 && timers[0].Delay < lastDelay/4 {
+			t.Errorf("subscribe %d after %v, the one before after %v: no back-off", i, timers[0].Delay, lastDelay)
 		}
-		last = timers[0].Delay
-		f.now += last
-		f.actions = f.b.TimerFired(f.now, timers[0].Timer, nil)
-		if len(f.actionsOf(Subscribe)) != 1 {
-			t.Fatalf("call %d: actions %+v, want Subscribe", i, f.actions)
+		lastDelay = timers[0].Delay
+		h.now += lastDelay
+		h.actions = h.b.TimerFired(h.now, timers[0].Timer, nil)
+		if len(h.actionsOf(Subscribe)) != 1 {
+			t.Fatalf("subscribe %d: actions %+v, want Subscribe", i, h.actions)
 		}
-		f.actions = f.b.EndpointsUpdated(f.now, ListUnavailable, nil, nil)
+		h.actions = h.b.EndpointsUpdated(h.now, ListUnavailable, nil, nil)
 	}
 }
 
-// However often discovery refuses, it is asked again before the sidecar counts as told.
+// However often discovery refuses, the balancer must ask it again before the sidecar counts as informed.
 func TestSubscribeBackOffIsBounded(t *testing.T) {
 	cfg := testConfig()
 	cfg.MustSubscribe, cfg.MaxSubscribeDelay = true, time.Second
-	f := newHarness(t, cfg, testEndpoints(3)...)
+	h := newHarness(t, cfg, testEndpoints(3)...)
 	for i, limit := 0, cfg.MaxSubscribeDelay; i < 8; i, limit = i+1, 4*cfg.MaxSubscribeDelay {
-		timers := f.actionsOf(SetTimer)
+		timers := h.actionsOf(SetTimer)
 		if len(timers) != 1 || timers[0].Delay > limit {
-			t.Fatalf("call %d: actions %+v, want a timer within %v", i, f.actions, limit)
+			t.Fatalf("subscribe %d: actions %+v, want a timer within %v", i, h.actions, limit)
 		}
-		f.now += timers[0].Delay
-		f.actions = f.b.TimerFired(f.now, timers[0].Timer, nil)
-		f.actions = f.b.EndpointsUpdated(f.now, ListUnavailable, nil, nil)
+		h.now += timers[0].Delay
+		h.actions = h.b.TimerFired(h.now, timers[0].Timer, nil)
+		h.actions = h.b.EndpointsUpdated(h.now, ListUnavailable, nil, nil)
 	}
 }
 
-// Under overload the held requests are bounded: each is shed when it is too late to start.
+// The queue must stay bounded under overload: each request is shed when it is too late to start it.
 func TestQueuedRequestIsShedAtLatestStart(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(1)...)
-	f.b.endpoints[1].probing = true // a probe that is never answered
-	f.b.drawTokens = 0
-	r := f.arrive(0, 2*time.Second)
-	startBy := f.b.requests[r].latestStart
-	f.now = startBy
-	f.fireRequestTimer(r)
-	if len(f.actionsOf(Shed)) != 1 || len(f.b.queue) != 0 {
-		t.Errorf("at the last moment to start: %+v, %d held, want it shed", f.actions, len(f.b.queue))
+	h := newHarness(t, testConfig(), testEndpoints(1)...)
+	h.b.endpoints[1].probing = true // a probe without a result
+	h.b.drawTokens = 0
+	r := h.arrive(0, 2*time.Second)
+	latestStart := h.b.requests[r].latestStart
+	h.now = latestStart
+	h.fireRequestTimer(r)
+	if len(h.actionsOf(Shed)) != 1 || len(h.b.queue) != 0 {
+		t.Errorf("at the latest start: %+v, %d queued, want it shed", h.actions, len(h.b.queue))
 	}
 }
 
 func TestStartedStreamIsNotTimedOut(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(5)...)
-	r, e := f.sendToIdle(0)
-	f.actions = f.b.ResponseStarted(f.now, r, 0, nil)
-	f.now += 5 * time.Second
-	f.fireRequestTimer(r)
-	if len(f.actions) != 0 {
-		t.Errorf("acted on a stream that had started: %+v", f.actions)
+	h := newHarness(t, testConfig(), testEndpoints(5)...)
+	r, e := h.sendToIdle(0)
+	h.actions = h.b.ResponseStarted(h.now, r, 0, nil)
+	h.now += 5 * time.Second
+	h.fireRequestTimer(r)
+	if len(h.actions) != 0 {
+		t.Errorf("acted on a started stream: %+v", h.actions)
 	}
-	f.actions = f.b.AttemptEnded(f.now, Outcome{Request: r, Endpoint: e, Result: Reset, RequestFinished: true}, nil)
-	if len(f.b.requests) != 0 || len(f.actionsOf(Send)) != 0 {
-		t.Errorf("after the stream: %d requests, actions %+v", len(f.b.requests), f.actions)
+	h.actions = h.b.AttemptEnded(h.now, Outcome{Request: r, Endpoint: e, Result: Reset, RequestFinished: true}, nil)
+	if len(h.b.requests) != 0 || len(h.actionsOf(Send)) != 0 {
+		t.Errorf("after the end of the stream: %d requests, actions %+v", len(h.b.requests), h.actions)
 	}
 }
 
 func TestNewNamesInvalidSetting(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+	for name, invalidate := range map[string]func(*Config){
 		"Classes":                 func(c *Config) { c.Classes = nil },
 		"Classes[0].Semantics":    func(c *Config) { c.Classes[0].Semantics = 9 },
 		"Classes[1].Scope":        func(c *Config) { c.Classes[1].Scope = 9 },
@@ -706,122 +712,120 @@
 		"Limits.ConnectTimeout":   func(c *Config) { c.Limits.ConnectTimeout = -1 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
+		invalidate(&cfg)
 		_, err := New(cfg, 1)
 		if err == nil || !strings.Contains(err.Error(), " "+name+":") {
-			t.Errorf("%s: error %v does not name it", name, err)
+			t.Errorf("%s: error %v does not name the setting", name, err)
 		}
 	}
 }
 
-// Requests over their tenant's quota are worth little: they must not take what others wait for.
+// Requests over their tenant's quota have little value: they must not take endpoints that others wait for.
 func TestOverQuotaTenantDoesNotDisplaceOthers(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.SidecarCount = 2
 	cfg.Tenants = []Tenant{{Name: "large", Quota: 20}, {Name: "small", Quota: 200}}
-	f := newHarness(t, cfg, testEndpoints(4)...)
+	h := newHarness(t, cfg, testEndpoints(4)...)
 	served := [2]int{}
-	for i := range 400 { // the first tenant asks for ten times its part of the quota
-		f.now += 5 * ms
-		f.lastID++
+	for i := range 400 { // the first tenant sends ten times its part of the quota
+		h.now += 5 * ms
+		h.lastID++
 		tenant := 0
 		if i%2 == 1 {
 			tenant = 1
 		}
-		f.actions = f.b.RequestArrived(f.now, Request{ID: f.lastID, Tenant: tenant, Timeout: time.Second}, nil)
-		served[tenant] += len(f.actionsOf(Send))
-		if len(f.actionsOf(Shed)) == 0 {
+		h.actions = h.b.RequestArrived(h.now, Request{ID: h.lastID, Tenant: tenant, Timeout: time.Second}, nil)
+		served[tenant] += len(h.actionsOf(Send))
+		if len(h.actionsOf(Shed)) == 0 {
 			continue
 		}
 		if tenant == 1 {
 			t.Fatalf("request %d within its quota was shed at once", i)
 		}
 	}
-	if over := f.b.overQuota(0); !over {
+	if over := h.b.overQuota(0); !over {
 		t.Error("the first tenant is not over its quota after ten times its part")
 	}
-	if f.b.overQuota(1) {
+	if h.b.overQuota(1) {
 		t.Error("the second tenant is over its quota")
 	}
-	f.b.cfg.Tier = 1
-	if f.b.overQuota(0) {
-		t.Error("the calls of a request that was let in were counted again")
+	h.b.cfg.Tier = 1
+	if h.b.overQuota(0) {
+		t.Error("a request that was admitted at tier 0 was counted again at tier 1")
 	}
 }
 
-// Cutting the share below one call for each endpoint does nothing but take long to undo.
+// Cutting the concurrency limit below one attempt per endpoint has no effect and takes long to undo.
 func TestConcurrencyLimitHasLowerBound(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.SidecarCount = 1
-	f := newHarness(t, cfg, testEndpoints(10)...)
+	h := newHarness(t, cfg, testEndpoints(10)...)
 	for range 3000 {
-		f.now += 20 * ms
-		f.b.now = f.now
-		f.b.adjustConcurrency(5, 5)
+		h.now += 20 * ms
+		h.b.now = h.now
+		h.b.adjustConcurrency(5, 5)
 	}
-	if f.b.concurrencyLimit < 1 {
-		t.Errorf("share %g after long crowding, want at least 1 for speeds of 1", f.b.concurrencyLimit)
+	if h.b.concurrencyLimit < 1 {
+		t.Errorf("limit %g after long congestion, want at least 1 for speeds of 1", h.b.concurrencyLimit)
 	}
 }
 
-// In a crowd the share falls, and it rises again only if somebody had to wait.
+// The concurrency limit must fall under congestion and rise again only if a request had to wait.
 func TestConcurrencyLimitFollowsSlowdown(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.SidecarCount = subsetOverlap
-	f := newHarness(t, cfg, testEndpoints(10)...)
-	move := func(pace float64, n int) {
+	h := newHarness(t, cfg, testEndpoints(10)...)
+	adjust := func(logSlowdown float64, n int) {
 		for range n {
-			f.now += 20 * ms
-			f.b.now = f.now
-			f.b.adjustConcurrency(pace, -3)
+			h.now += 20 * ms
+			h.b.now = h.now
+			h.b.adjustConcurrency(logSlowdown, -3)
 		}
 	}
-	move(-2, 200)
-	if f.b.concurrencyLimit != 1 {
-		t.Errorf("share %g with nobody waiting, want 1", f.b.concurrencyLimit)
+	adjust(-2, 200)
+	if h.b.concurrencyLimit != 1 {
+		t.Errorf("limit %g without waiting requests, want 1", h.b.concurrencyLimit)
 	}
-	f.b.allWereBusy = true
-	move(-2, 50)
-	up := f.b.concurrencyLimit
-	if up <= 1 {
-		t.Errorf("share %g after somebody waited, want more than 1", up)
+	h.b.allWereBusy = true
+	adjust(-2, 50)
+	raised := h.b.concurrencyLimit
+	if raised <= 1 {
+		t.Errorf("limit %g after a request waited, want more than 1", raised)
 	}
-	move(-0.5, 200)
-	if f.b.concurrencyLimit >= up {
-		t.Errorf("share %g in a crowd, want less than %g", f.b.concurrencyLimit, up)
+	adjust(-0.5, 200)
+	if h.b.concurrencyLimit >= raised {
+		t.Errorf("limit %g under congestion, want less than %g", h.b.concurrencyLimit, raised)
 	}
 }
 
-// In an overload all sidecars would spill into each other's stretches, and own calls would tell nothing
-// of an endpoint's load: others are used only when all in the stretch fail.
-// Where own calls tell who is free, an endpoint is given as many calls at the start by few
-// sidecars as by many: else a small fleet idles while its requests wait.
+// Without probes, few sidecars must start with as many attempts at an endpoint as many sidecars do: otherwise
+// the endpoints of a small deployment idle while requests wait.
 func TestInitialConcurrencyIndependentOfSidecarCount(t *testing.T) {
 	for _, n := range []int{1, 2, subsetOverlap, 2 * subsetOverlap} {
 		cfg := testConfig()
 		cfg.Reporting, cfg.WeightMeaning, cfg.SidecarCount = ReportsInResponse, WeightCapacityEstimate, n
-		f := newHarness(t, cfg, Endpoint{ID: 1, Weight: 2})
+		h := newHarness(t, cfg, Endpoint{ID: 1, Weight: 2})
 		sent := 0
 		for range 20 {
-			f.arrive(0, 2*time.Second)
-			sent += len(f.actionsOf(Send))
+			h.arrive(0, 2*time.Second)
+			sent += len(h.actionsOf(Send))
 		}
 		if all := sent * min(n, subsetOverlap); all != 2*subsetOverlap {
-			t.Errorf("%d sidecars: %d calls each, want %d by all that meet an endpoint", n, sent, 2*subsetOverlap)
+			t.Errorf("%d sidecars: %d attempts each, want %d by all whose subsets contain an endpoint", n, sent, 2*subsetOverlap)
 		}
 	}
 }
 
-// A call at an endpoint that others use too needs time to spare by how calls vary there. One
-// that an idle endpoint is to be found for does not.
+// At an endpoint that other sidecars use too, a request needs spare time according to the deviation of the
+// latency there. A request that is sent to an idle endpoint does not.
 func TestLatestStartAllowsForLatencyDeviation(t *testing.T) {
 	for _, test := range []struct {
 		reporting Reporting
-		a, b      time.Duration // calls take one and the other in turn
-		need      float64       // of the usual time
+		a, b      time.Duration // alternating latencies
+		margin    float64       // latest start before the target time, in mean latencies
 	}{
 		{ReportsInResponse, 100 * ms, 100 * ms, startMargin},
 		{ReportsInResponse, 60 * ms, 140 * ms, startMargin + 0.4*sharedStartMargin},
@@ -829,24 +833,26 @@
 	} {
 		cfg := testConfig()
 		cfg.Reporting = test.reporting
-		f := newHarness(t, cfg, testEndpoints(1)...)
+		h := newHarness(t, cfg, testEndpoints(1)...)
 		for i := range 100 {
-			r := f.arrive(0, 2*time.Second)
+			r := h.arrive(0, 2*time.Second)
 			if cfg.Reporting == ReportsInProbe {
-				f.endProbe(1, 0)
+				h.endProbe(1, 0)
 			}
-			took := []time.Duration{test.a, test.b}[i%2]
-			f.now += took
-			f.endAttempt(r, 0, 1, OK, took)
+			elapsed := []time.Duration{test.a, test.b}[i%2]
+			h.now += elapsed
+			h.endAttempt(r, 0, 1, OK, elapsed)
 		}
-		r := f.b.requests[f.arrive(0, 2*time.Second)]
-		need := (r.targetAt - r.latestStart).Seconds() / f.b.meanLatency(r)
-		if math.Abs(need-test.need) > 0.2 {
-			t.Errorf("%+v: needs %.2f of the usual time", test, need)
+		r := h.b.requests[h.arrive(0, 2*time.Second)]
+		margin := (r.targetAt - r.latestStart).Seconds() / h.b.meanLatency(r)
+		if math.Abs(margin-test.margin) > 0.2 {
+			t.Errorf("%+v: margin of %.2f mean latencies", test, margin)
 		}
 	}
 }
 
+// Under overload all sidecars would spill into each other's subsets, and a sidecar's own attempts would say
+// nothing about an endpoint's load: endpoints outside the subset are used only when all in it are ejected.
 func TestEndpointsOutsideSubsetUsedOnlyWhenSubsetIsEjected(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
@@ -855,630 +861,640 @@
 	for i := range list {
 		list[i].Zone = i % 2
 	}
-	f := newHarness(t, cfg, list...)
-	stretch := slices.Concat(f.b.local, f.b.remote)
+	h := newHarness(t, cfg, list...)
+	subset := slices.Concat(h.b.local, h.b.remote)
 	sent := 0
 	for range 30 {
-		f.arrive(0, time.Second)
-		for _, s := range f.actionsOf(Send) {
+		h.arrive(0, time.Second)
+		for _, s := range h.actionsOf(Send) {
 			sent++
-			if e := f.b.endpoints[s.Endpoint]; !slices.Contains(stretch, e) {
-				t.Fatalf("sent to %d outside the stretch though its members do not fail", e.ID)
+			if e := h.b.endpoints[s.Endpoint]; !slices.Contains(subset, e) {
+				t.Fatalf("sent to %d outside the subset though no endpoint in it is ejected", e.ID)
 			}
 		}
 	}
-	if sent != len(stretch) {
-		t.Errorf("%d sent, want one to each of the %d in the stretch", sent, len(stretch))
+	if sent != len(subset) {
+		t.Errorf("%d sent, want one to each of the %d in the subset", sent, len(subset))
 	}
-	for _, e := range stretch {
-		f.b.recordFailure(e, 0)
+	for _, e := range subset {
+		h.b.recordFailure(e, 0)
 	}
-	f.arrive(0, time.Second)
-	sends := f.actionsOf(Send) // those held until now go too
+	h.arrive(0, time.Second)
+	sends := h.actionsOf(Send) // those queued until now are sent too
 	if len(sends) == 0 {
-		t.Fatal("nobody was sent to though others do not fail")
+		t.Fatal("nothing was sent though endpoints outside the subset are not ejected")
 	}
 	for _, s := range sends {
-		if e := f.b.endpoints[s.Endpoint]; slices.Contains(stretch, e) {
-			t.Errorf("sent to %d though it fails", e.ID)
+		if e := h.b.endpoints[s.Endpoint]; slices.Contains(subset, e) {
+			t.Errorf("sent to %d though it is ejected", e.ID)
 		}
 	}
 }
 
-// In a shortage the class whose worth is highest for a server's time goes first, and the class served
-// worst is not starved where the goal counts it.
+// In a shortage the class with the highest value per endpoint time must go first, and the class that is served
+// worst must not starve if the objective counts it.
 func TestClassesByValueOrder(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[0].Value = 12
 	cfg.Objective = ObjectiveWeights{Overall: 0.6, WorstClass: 0.4}
-	f := newHarness(t, cfg, testEndpoints(3)...)
-	f.b.countRequest(0)
-	f.b.countRequest(1)
-	f.b.classStats[0].served, f.b.classStats[1].served = 1, 1
-	if got := f.b.classesByValue(); got[0] != 0 {
-		t.Errorf("order %v, want the dear class first", got)
-	}
-	f.b.classStats[0].mean = 60 * f.b.classStats[1].mean
-	if got := f.b.classesByValue(); got[0] != 1 {
-		t.Errorf("order %v, want the class first that needs a sixtieth of the time", got)
-	}
-	f.b.classStats[0].mean = f.b.classStats[1].mean
+	h := newHarness(t, cfg, testEndpoints(3)...)
+	h.b.countRequest(0)
+	h.b.countRequest(1)
+	h.b.classStats[0].served, h.b.classStats[1].served = 1, 1
+	if got := h.b.classesByValue(); got[0] != 0 {
+		t.Errorf("order %v, want the valuable class first", got)
+	}
+	h.b.classStats[0].mean = 60 * h.b.classStats[1].mean
+	if got := h.b.classesByValue(); got[0] != 1 {
+		t.Errorf("order %v, want the class first whose latency is a sixtieth", got)
+	}
+	h.b.classStats[0].mean = h.b.classStats[1].mean
 	for range 100 {
-		f.b.countRequest(0)
-		f.b.countRequest(1)
-		f.b.classStats[0].served++
+		h.b.countRequest(0)
+		h.b.countRequest(1)
+		h.b.classStats[0].served++
 	}
-	f.b.cfg.Classes[0].Value = 2
-	if got := f.b.classesByValue(); got[0] != 1 {
+	h.b.cfg.Classes[0].Value = 2
+	if got := h.b.classesByValue(); got[0] != 1 {
 		t.Errorf("order %v, want the class that is served worst first", got)
 	}
 	for range 1000 {
-		f.b.countRequest(0)
+		h.b.countRequest(0)
 	}
-	if a := f.b.classStats[1].requests; a > 60 {
-		t.Errorf("%g requests of the second class counted after a change of the mix, want old ones forgotten", a)
+	if n := h.b.classStats[1].requests; n > 60 {
+		t.Errorf("%g requests of the second class counted after its requests ceased, want old ones forgotten", n)
 	}
 }
 
-// Held requests go out in that order.
+// Queued requests must be sent in the order of classesByValue.
 func TestQueueIsDispatchedByClassValue(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.Classes[0].Value = 12
 	cfg.Objective.Overall = 1
 	cfg.SidecarCount = subsetOverlap
-	f := newHarness(t, cfg, testEndpoints(1)...)
-	first := f.arrive(1, 2*time.Second)
-	e := f.sentEndpoint()
-	dear := f.arrive(0, 2*time.Second)
-	f.arrive(1, 2*time.Second)
-	f.now += 20 * ms
-	f.endAttempt(first, 0, e, OK, 20*ms)
-	f.sentEndpoint()
-	if got := f.actionsOf(Send)[0].Request; got != dear {
-		t.Errorf("request %d was sent, want %d of the dear class though it is older", got, dear)
+	h := newHarness(t, cfg, testEndpoints(1)...)
+	first := h.arrive(1, 2*time.Second)
+	e := h.sentEndpoint()
+	valuable := h.arrive(0, 2*time.Second)
+	h.arrive(1, 2*time.Second)
+	h.now += 20 * ms
+	h.endAttempt(first, 0, e, OK, 20*ms)
+	h.sentEndpoint()
+	if got := h.actionsOf(Send)[0].Request; got != valuable {
+		t.Errorf("request %d was sent, want %d of the more valuable class though it is older", got, valuable)
 	}
 }
 
-// Connections that something drops unseen after some idle time are closed before the next call; where
-// calls are lost on connections in use as well, closing would not help.
+// If something silently drops connections after some idle time, idle ones must be closed before the next
+// attempt. Where attempts are lost on connections in use as well, closing would not help.
 func TestStaleIdleConnectionsAreClosedBeforeSend(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.SidecarCount = 1
 	for _, lostInUse := range []bool{false, true} {
-		f := newHarness(t, cfg, testEndpoints(1)...)
-		// call sends after an idle time; it is lost if lost is, but on a new connection only if lostInUse.
-		call := func(idle time.Duration, lost bool) (released bool) {
-			f.now += idle
-			f.b.endpoints[1].ejectedUntil = 0
-			r := f.arrive(2, 2*time.Second)
-			e := f.sentEndpoint()
-			released = len(f.actionsOf(CloseIdle)) > 0
-			f.now += 50 * ms
+		h := newHarness(t, cfg, testEndpoints(1)...)
+		// attempt sends an attempt after an idle time and reports whether idle connections were closed first.
+		// If lost is set, the attempt is lost, but on a new connection only if lostInUse is set too.
+		attempt := func(idle time.Duration, lost bool) (closedIdle bool) {
+			h.now += idle
+			h.b.endpoints[1].ejectedUntil = 0
+			r := h.arrive(2, 2*time.Second)
+			e := h.sentEndpoint()
+			closedIdle = len(h.actionsOf(CloseIdle)) > 0
+			h.now += 50 * ms
 			res := OK
-			if lost && (lostInUse || !released) {
+			if lost && (lostInUse || !closedIdle) {
 				res = Timeout
 			}
-			f.endAttempt(r, 0, e, res, 50*ms)
-			return released
+			h.endAttempt(r, 0, e, res, 50*ms)
+			return closedIdle
 		}
-		call(time.Second, false)
-		if call(2*time.Second, false) {
-			t.Error("a sound connection was closed")
+		attempt(time.Second, false)
+		if attempt(2*time.Second, false) {
+			t.Error("a working connection was closed")
 		}
 		for range 4 {
-			call(2*time.Second, true)
-			call(20*ms, lostInUse)
-			call(20*ms, lostInUse)
+			attempt(2*time.Second, true)
+			attempt(20*ms, lostInUse)
+			attempt(20*ms, lostInUse)
 		}
-		if got := call(2*time.Second, false); got == lostInUse {
-			t.Errorf("calls lost in use too: %v; idle connection closed first: %v", lostInUse, got)
+		if got := attempt(2*time.Second, false); got == lostInUse {
+			t.Errorf("attempts lost in use too: %v; idle connections closed first: %v", lostInUse, got)
 		}
-		if call(60*ms, false) {
+		if attempt(60*ms, false) {
 			t.Error("a connection idle for a short time was closed")
 		}
 	}
 }
 
-// A call lost after a long wait must cost its endpoint more than the least back-off: a jammed one recovers
-// only if it is left alone, and each further call there is lost as slowly.
+// An attempt that is lost after a long time must eject its endpoint for longer than the base ejection time: a
+// congested endpoint recovers only if it is left alone, and each further attempt there is lost as slowly.
 func TestEjectionTimeGrowsWithLostAttempt(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(2)...)
-	e := f.b.endpoints[1]
-	f.b.recordFailure(e, 2*time.Second)
-	if wait := e.ejectedUntil - f.b.now; wait < time.Second {
-		t.Errorf("passed over for %v after a call lost in 2 s", wait)
+	h := newHarness(t, testConfig(), testEndpoints(2)...)
+	e := h.b.endpoints[1]
+	h.b.recordFailure(e, 2*time.Second)
+	if ejection := e.ejectedUntil - h.b.now; ejection < time.Second {
+		t.Errorf("ejected for %v after an attempt lost in 2 s", ejection)
 	}
-	f.b.recordFailure(f.b.endpoints[2], 0)
-	if wait := f.b.endpoints[2].ejectedUntil - f.b.now; wait > time.Second {
-		t.Errorf("passed over for %v after a quick failure", wait)
+	h.b.recordFailure(h.b.endpoints[2], 0)
+	if ejection := h.b.endpoints[2].ejectedUntil - h.b.now; ejection > time.Second {
+		t.Errorf("ejected for %v after a fast failure", ejection)
 	}
 }
 
-// Where many sidecars share few endpoints, one call of each is too much for a jammed one: calls lost in
-// silence must cut how many are out, and answers let it grow again.
+// Where many sidecars share few endpoints, one attempt of each is too much for a congested endpoint. Attempts
+// lost silently must cut the congestion window, and responses must widen it again.
 func TestCongestionWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Costs.Probe = 0.01
 	cfg.SidecarCount = 100
-	f := newHarness(t, cfg, testEndpoints(10)...)
-	outs := func() (n int) {
+	h := newHarness(t, cfg, testEndpoints(10)...)
+	// fill passes 20 new requests to the balancer and returns the number of attempts that it sends.
+	fill := func() (n int) {
 		for range 20 {
-			f.arrive(2, 2*time.Second)
-			n += len(f.actionsOf(Send))
+			h.arrive(2, 2*time.Second)
+			n += len(h.actionsOf(Send))
 		}
 		return n
 	}
-	settle := func(res Result, took time.Duration) {
-		f.now += took
-		for _, r := range f.b.requests {
+	// endAll ends all attempts in flight and all ejections.
+	endAll := func(res Result, elapsed time.Duration) {
+		h.now += elapsed
+		for _, r := range h.b.requests {
 			for i := range r.attempts {
 				if a := &r.attempts[i]; a.inFlight {
-					f.endAttempt(r.ID, i, a.endpoint.ID, res, took)
+					h.endAttempt(r.ID, i, a.endpoint.ID, res, elapsed)
 				}
 			}
 		}
-		for _, e := range f.b.ready {
+		for _, e := range h.b.ready {
 			e.ejectedUntil = 0
 		}
 	}
-	if n := outs(); n != 1 {
-		t.Fatalf("%d calls out at the start, want one: a hundred sidecars meet ten endpoints", n)
+	if n := fill(); n != 1 {
+		t.Fatalf("%d attempts in flight at the start, want one: a hundred sidecars share ten endpoints", n)
 	}
-	f.b.queue = nil
-	settle(Timeout, time.Second)
-	if f.b.congestionWindow >= 0.5 {
-		t.Fatalf("window %g after all calls were lost, want under one", f.b.congestionWindow)
+	h.b.queue = nil
+	endAll(Timeout, time.Second)
+	if h.b.congestionWindow >= 0.5 {
+		t.Fatalf("window %g after all attempts were lost, want under one", h.b.congestionWindow)
 	}
-	f.b.queue = nil
-	f.b.lastSentAt = f.now
-	if n := outs(); n != 0 {
-		t.Errorf("%d calls at once after all were lost, want them spaced out", n)
+	h.b.queue = nil
+	h.b.lastSentAt = h.now
+	if n := fill(); n != 0 {
+		t.Errorf("%d attempts at once after all were lost, want them spaced out", n)
 	}
-	f.now += time.Minute
-	if n := outs(); n != 1 {
-		t.Errorf("%d calls after a while, want one to find out", n)
+	h.now += time.Minute
+	if n := fill(); n != 1 {
+		t.Errorf("%d attempts after a while, want one to try again", n)
 	}
-	idle := f.b.congestionWindow
-	f.b.queue = nil
-	settle(OK, 50*ms)
-	if f.b.congestionWindow != idle {
-		t.Errorf("the window grew from %g to %g though nobody waited", idle, f.b.congestionWindow)
+	window := h.b.congestionWindow
+	h.b.queue = nil
+	endAll(OK, 50*ms)
+	if h.b.congestionWindow != window {
+		t.Errorf("the window grew from %g to %g though no request waited", window, h.b.congestionWindow)
 	}
 	for range 200 {
-		f.now += time.Second
-		outs()
-		settle(OK, 50*ms)
+		h.now += time.Second
+		fill()
+		endAll(OK, 50*ms)
 	}
-	if f.b.congestionWindow < 3 {
-		t.Errorf("window %g after many answers, want it open again", f.b.congestionWindow)
+	if h.b.congestionWindow < 3 {
+		t.Errorf("window %g after many responses, want it wide again", h.b.congestionWindow)
 	}
 }
 
-// A request with little time left must not be refused before a probe has told whether anybody is idle.
+// A request with little time left must not be refused before a probe has shown whether an endpoint is idle.
 func TestShortTimeoutRequestWaitsForProbe(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(3)...)
-	f.b.classStats[0].mean = 0.4
-	r := f.arrive(0, 300*ms) // less than a usual call
-	p := f.actionsOf(Probe)
-	for _, a := range f.actionsOf(SetTimer) {
+	h := newHarness(t, testConfig(), testEndpoints(3)...)
+	h.b.classStats[0].mean = 0.4
+	r := h.arrive(0, 300*ms) // less than the mean latency
+	probes := h.actionsOf(Probe)
+	for _, a := range h.actionsOf(SetTimer) {
 		if a.Timer.Kind == timerRequest && a.Delay < ms {
-			t.Errorf("it is looked at again after %v, before a probe can have come back", a.Delay)
+			t.Errorf("its timer fires after %v, before a probe can have ended", a.Delay)
 		}
 	}
-	f.now += ms
-	f.fireRequestTimer(r)
-	if len(f.actionsOf(Shed)) != 0 {
-		t.Fatal("refused while a probe is out")
+	h.now += ms
+	h.fireRequestTimer(r)
+	if len(h.actionsOf(Shed)) != 0 {
+		t.Fatal("refused while a probe is in flight")
 	}
-	f.endProbe(p[0].Endpoint, 0)
-	f.sentEndpoint()
-	f.b.drawTokens = 0
-	f.arrive(0, 300*ms)
-	f.now += probeWait
-	f.fireRequestTimer(f.lastID)
-	if len(f.actionsOf(Shed)) != 1 {
-		t.Errorf("%+v, want it refused once nobody was found in a probe's time", f.actions)
+	h.endProbe(probes[0].Endpoint, 0)
+	h.sentEndpoint()
+	h.b.drawTokens = 0
+	h.arrive(0, 300*ms)
+	h.now += probeWait
+	h.fireRequestTimer(h.lastID)
+	if len(h.actionsOf(Shed)) != 1 {
+		t.Errorf("%+v, want it refused once no idle endpoint was found in a probe's time", h.actions)
 	}
 }
 
-// While new connections fail, endpoints that a connection is open to are probed and taken first; once new
-// ones succeed again, all are.
+// While new connections fail, endpoints with an open connection must be probed and picked first; once they
+// succeed again, all endpoints are.
 func TestConnectedEndpointsPreferredWhileConnectsFail(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(200)...)
-	linked := make(map[EndpointID]bool)
-	end := func(res Result) {
-		f.b.probeTokens, f.b.pendingProbes = maxProbeTokens, nil
-		for _, e := range f.b.ready {
+	h := newHarness(t, testConfig(), testEndpoints(200)...)
+	connected := make(map[EndpointID]bool)
+	// runAttempt sends a request and ends its attempt with res.
+	runAttempt := func(res Result) {
+		h.b.probeTokens, h.b.pendingProbes = maxProbeTokens, nil
+		for _, e := range h.b.ready {
 			e.probing = false
 		}
-		r, e := f.sendToIdle(2)
-		f.now += 20 * ms
-		f.endAttempt(r, 0, e, res, 20*ms)
-		linked[e] = linked[e] || res == OK
-		f.actions = f.b.RequestAbandoned(f.now, r, nil)
+		r, e := h.sendToIdle(2)
+		h.now += 20 * ms
+		h.endAttempt(r, 0, e, res, 20*ms)
+		connected[e] = connected[e] || res == OK
+		h.actions = h.b.RequestAbandoned(h.now, r, nil)
 	}
-	// share is the part of samples that are linked endpoints.
+	// share returns the share of sampled endpoints that have a connection.
 	share := func() float64 {
-		hit := 0
+		hits := 0
 		for range 100 {
-			if linked[f.b.sampleForProbe(false, 0).ID] {
-				hit++
+			if connected[h.b.sampleForProbe(false, 0).ID] {
+				hits++
 			}
 		}
-		return float64(hit) / 100
+		return float64(hits) / 100
 	}
 	for range 4 {
-		end(OK)
+		runAttempt(OK)
 	}
 	if s := share(); s > 0.2 {
-		t.Errorf("%g of the samples are linked endpoints though new connections succeed", s)
+		t.Errorf("%g of the samples are connected endpoints though new connections succeed", s)
 	}
 	for range 6 {
-		end(ConnectFailed)
+		runAttempt(ConnectFailed)
 	}
 	if s := share(); s < 0.4 {
-		t.Errorf("%g of the samples are linked endpoints while new connections fail", s)
+		t.Errorf("%g of the samples are connected endpoints while new connections fail", s)
 	}
-	two := []*endpoint{f.b.endpoints[1], f.b.endpoints[2]}
+	two := []*endpoint{h.b.endpoints[1], h.b.endpoints[2]}
 	for i, e := range two {
-		e.ejectedUntil, e.speedPenalty, e.lastResponseAt = 0, 0, time.Duration(i)*f.now
-		f.b.recordLoad(e, &Load{}, f.now)
+		e.ejectedUntil, e.speedPenalty, e.lastResponseAt = 0, 0, time.Duration(i)*h.now
+		h.b.recordLoad(e, &Load{}, h.now)
 	}
-	f.b.idleEndpoints = append(f.b.idleEndpoints[:0], two...)
-	if got := f.b.pick(&request{class: &f.b.cfg.Classes[0]}); got != two[1] {
-		t.Errorf("picked %+v of two idle endpoints, want the linked one", got)
+	h.b.idleEndpoints = append(h.b.idleEndpoints[:0], two...)
+	if got := h.b.pick(&request{class: &h.b.cfg.Classes[0]}); got != two[1] {
+		t.Errorf("picked %+v of two idle endpoints, want the connected one", got)
 	}
 }
 
-// Ties among idle endpoints of one type are broken uniformly: 4000 picks of four, within five deviations.
+// Ties among idle endpoints of one type must be broken uniformly: in 4000 picks among four endpoints each count
+// must be within five standard deviations.
 func TestIdleTiesAreBrokenUniformly(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(4)...)
+	h := newHarness(t, testConfig(), testEndpoints(4)...)
 	const n = 4000
-	got := make(map[EndpointID]int)
+	picked := make(map[EndpointID]int)
 	for range n {
-		f.b.idleEndpoints = f.b.idleEndpoints[:0]
-		for _, e := range f.b.ready {
-			f.b.recordLoad(e, &Load{}, f.now)
-			f.b.idleEndpoints = append(f.b.idleEndpoints, e)
+		h.b.idleEndpoints = h.b.idleEndpoints[:0]
+		for _, e := range h.b.ready {
+			h.b.recordLoad(e, &Load{}, h.now)
+			h.b.idleEndpoints = append(h.b.idleEndpoints, e)
 		}
-		got[f.b.pick(&request{class: &f.b.cfg.Classes[0]}).ID]++
+		picked[h.b.pick(&request{class: &h.b.cfg.Classes[0]}).ID]++
 	}
 	for id := EndpointID(1); id <= 4; id++ {
-		if d := math.Abs(float64(got[id]) - n/4); d > 5*math.Sqrt(n*0.25*0.75) {
-			t.Errorf("endpoint %d was picked %d times of %d, want about a quarter", id, got[id], n)
+		if diff := math.Abs(float64(picked[id]) - n/4); diff > 5*math.Sqrt(n*0.25*0.75) {
+			t.Errorf("endpoint %d was picked %d times of %d, want about a quarter", id, picked[id], n)
 		}
 	}
 }
 
-// A request awaits one probe at a time: asking several at once cost twice as much. A probe that
-// is late must not hold it up, and an endpoint just found busy is not asked again at once.
+// A request must have one probe in flight at a time: several at once cost twice as much. An overdue probe must not
+// delay it, and an endpoint that was just found busy must not be probed again at once.
 func TestOneProbeInFlightPerRequest(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(3)...)
-	f.arrive(0, time.Second)
-	asked := make(map[EndpointID]bool)
-	next := func(what string) EndpointID {
+	h := newHarness(t, testConfig(), testEndpoints(3)...)
+	h.arrive(0, time.Second)
+	probed := make(map[EndpointID]bool)
+	nextProbe := func(when string) EndpointID {
 		t.Helper()
-		probes := f.actionsOf(Probe)
-		if len(probes) != 1 || asked[probes[0].Endpoint] {
-			t.Fatalf("%s: probes %v after %v, want one to another endpoint", what, probes, asked)
+		probes := h.actionsOf(Probe)
+		if len(probes) != 1 || probed[probes[0].Endpoint] {
+			t.Fatalf("%s: probes %v after %v, want one to another endpoint", when, probes, probed)
 		}
-		asked[probes[0].Endpoint] = true
+		probed[probes[0].Endpoint] = true
 		return probes[0].Endpoint
 	}
-	first := next("request")
-	f.now += probeWait
-	f.actions = f.b.TimerFired(f.now, Timer{Kind: timerDispatch}, nil)
-	second := next("the first is late")
-	f.now += ms
-	f.actions = f.b.ProbeEnded(f.now, second, OK, &Load{InFlight: 1}, nil)
-	third := next("the second is busy")
-	f.now += ms
-	f.actions = f.b.ProbeEnded(f.now, third, OK, &Load{InFlight: 1}, nil)
-	if probes := f.actionsOf(Probe); len(probes) > 0 {
+	first := nextProbe("at the arrival")
+	h.now += probeWait
+	h.actions = h.b.TimerFired(h.now, Timer{Kind: timerDispatch}, nil)
+	second := nextProbe("with the first overdue")
+	h.now += ms
+	h.actions = h.b.ProbeEnded(h.now, second, OK, &Load{InFlight: 1}, nil)
+	third := nextProbe("with the second busy")
+	h.now += ms
+	h.actions = h.b.ProbeEnded(h.now, third, OK, &Load{InFlight: 1}, nil)
+	if probes := h.actionsOf(Probe); len(probes) > 0 {
 		t.Errorf("probes %v to endpoints just found busy", probes)
 	}
-	f.actions = f.b.ProbeEnded(f.now, first, OK, &Load{InFlight: 0}, nil)
-	if sends := f.actionsOf(Send); len(sends) != 1 || sends[0].Endpoint != first {
+	h.actions = h.b.ProbeEnded(h.now, first, OK, &Load{InFlight: 0}, nil)
+	if sends := h.actionsOf(Send); len(sends) != 1 || sends[0].Endpoint != first {
 		t.Errorf("sends %v, want one to %d", sends, first)
 	}
 }
 
-// A whole list tells of a departure only by leaving the endpoint out: its idle connections are
-// closed all the same, and it is forgotten once nothing is out to it.
+// A full list shows a removal only by the absence of the entry. The idle connections to the endpoint must be
+// closed all the same, and it must be deleted once nothing is in flight to it.
 func TestRemovedEndpointIsDeleted(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxDrainIdleTime = time.Second
-	f := newHarness(t, cfg, testEndpoints(2)...)
-	f.arrive(0, time.Second)
-	out := f.actionsOf(Probe)[0].Endpoint
-	f.actions = f.b.EndpointsUpdated(f.now, ListFull, nil, nil)
-	if len(f.b.endpoints) != 1 || f.b.endpoints[out] == nil {
-		t.Errorf("%d endpoints known, want the one that is probed", len(f.b.endpoints))
+	h := newHarness(t, cfg, testEndpoints(2)...)
+	h.arrive(0, time.Second)
+	probed := h.actionsOf(Probe)[0].Endpoint
+	h.actions = h.b.EndpointsUpdated(h.now, ListFull, nil, nil)
+	if len(h.b.endpoints) != 1 || h.b.endpoints[probed] == nil {
+		t.Errorf("%d endpoints, want the one that is probed", len(h.b.endpoints))
 	}
-	if got := f.actionsOf(CloseIdle); len(got) != 1 || got[0].Endpoint != out {
-		t.Errorf("released %v, want the one that was asked", got)
+	if got := h.actionsOf(CloseIdle); len(got) != 1 || got[0].Endpoint != probed {
+		t.Errorf("closed idle connections %v, want those to the endpoint that was probed", got)
 	}
-	f.actions = f.b.ProbeEnded(f.now, out, OK, nil, nil)
-	if len(f.b.endpoints) != 0 {
-		t.Errorf("%d endpoints known in the end", len(f.b.endpoints))
+	h.actions = h.b.ProbeEnded(h.now, probed, OK, nil, nil)
+	if len(h.b.endpoints) != 0 {
+		t.Errorf("%d endpoints after the probe ended, want none", len(h.b.endpoints))
 	}
 }
 
-// A refused client is told to come back while a retry can still be in time, or else as late as
-// it heeds; where clients heed nothing, it is told nothing.
+// The client of a shed request must be asked to retry while a retry can still be in time, or else after the
+// longest delay that clients obey; where they obey none, the delay must be 0.
 func TestShedRetryAfterDelay(t *testing.T) {
-	for _, most := range []time.Duration{0, 2 * time.Second} {
+	for _, longest := range []time.Duration{0, 2 * time.Second} {
 		cfg := testConfig()
-		cfg.Limits.MaxRetryAfter = most
-		f := newHarness(t, cfg)
-		id := f.arrive(0, 2*time.Second)
-		f.b.classStats[0].mean = 0.1
-		f.now += 300 * ms // 400 of its goal's 800 ms are left beyond a call
-		f.b.now, f.b.actions = f.now, nil
-		f.b.shedOrFail(f.b.requests[id])
-		f.actions = f.b.actions
-		soon := f.actionsOf(Shed)
-		f.b.classStats[0].mean = 1
-		f.arrive(0, 0)
-		late := f.actionsOf(Shed)
+		cfg.Limits.MaxRetryAfter = longest
+		h := newHarness(t, cfg)
+		id := h.arrive(0, 2*time.Second)
+		h.b.classStats[0].mean = 0.1
+		h.now += 300 * ms // of its target latency of 800 ms, 400 remain beyond the mean latency
+		h.b.now, h.b.actions = h.now, nil
+		h.b.shedOrFail(h.b.requests[id])
+		h.actions = h.b.actions
+		soon := h.actionsOf(Shed)
+		h.b.classStats[0].mean = 1
+		h.arrive(0, 0)
+		late := h.actionsOf(Shed)
 		if len(soon) != 1 || len(late) != 1 {
-			t.Fatalf("refused %v and %v", soon, late)
+			t.Fatalf("shed %v and %v", soon, late)
 		}
-		if soon[0].Delay != min(200*ms, most) || late[0].Delay != most {
-			t.Errorf("told %v and %v, with %v at most", soon[0].Delay, late[0].Delay, most)
+		if soon[0].Delay != min(200*ms, longest) || late[0].Delay != longest {
+			t.Errorf("delays %v and %v, with %v at most", soon[0].Delay, late[0].Delay, longest)
 		}
 	}
 }
 
-// A probe that the sidecar could not send is not the endpoint's fault.
+// A probe that the sidecar could not send must not count as a failure of the endpoint.
 func TestProbeNotSentIsNoEndpointFailure(t *testing.T) {
 	for res, want := range map[Result]int{NotSent: 0, Timeout: 1} {
-		f := newHarness(t, testConfig(), testEndpoints(1)...)
-		f.arrive(0, time.Second)
-		if probes := f.actionsOf(Probe); len(probes) != 1 {
+		h := newHarness(t, testConfig(), testEndpoints(1)...)
+		h.arrive(0, time.Second)
+		if probes := h.actionsOf(Probe); len(probes) != 1 {
 			t.Fatalf("probes %v", probes)
 		}
-		f.b.ProbeEnded(f.now, 1, res, nil, nil)
-		if got := f.b.endpoints[1].consecutiveFailures; got != want {
+		h.b.ProbeEnded(h.now, 1, res, nil, nil)
+		if got := h.b.endpoints[1].consecutiveFailures; got != want {
 			t.Errorf("result %d: %d failures, want %d", res, got, want)
 		}
 	}
 }
 
-// A class's bounds hold beside those of the limits, and at once for what waits: a request that may have
-// no further attempt is answered as soon as that is so.
+// The limits of a class apply in addition to Config.Limits, and at once to queued requests: a request that may
+// have no further attempt must get its final response as soon as that is so.
 func TestClassLimits(t *testing.T) {
-	lost := func(cfg Config) (*harness, RequestID) {
-		f := newHarness(t, cfg, testEndpoints(20)...)
-		r, e := f.sendToIdle(0)
-		f.b.idleEndpoints = nil
-		f.endAttempt(r, 0, e, Error, ms)
-		return f, r
-	}
-	answered := func(f *harness) bool { return len(f.actionsOf(Shed))+len(f.actionsOf(Fail)) == 1 }
-	for name, bound := range map[string]func(c *Class){
+	// failFirst sends a request and fails its first attempt.
+	failFirst := func(cfg Config) (*harness, RequestID) {
+		h := newHarness(t, cfg, testEndpoints(20)...)
+		r, e := h.sendToIdle(0)
+		h.b.idleEndpoints = nil
+		h.endAttempt(r, 0, e, Error, ms)
+		return h, r
+	}
+	finished := func(h *harness) bool { return len(h.actionsOf(Shed))+len(h.actionsOf(Fail)) == 1 }
+	for name, setLimit := range map[string]func(c *Class){
 		"one attempt": func(c *Class) { c.MaxAttempts = 1 }, "no retry": func(c *Class) { c.MaxRetries = -1 },
 		"no time": func(c *Class) { c.RetryStartWindow = 1 },
 	} {
 		cfg := testConfig()
-		bound(&cfg.Classes[0])
-		if f, _ := lost(cfg); !answered(f) {
-			t.Errorf("%s: not answered: %+v", name, f.actions)
+		setLimit(&cfg.Classes[0])
+		if h, _ := failFirst(cfg); !finished(h) {
+			t.Errorf("%s: no final response: %+v", name, h.actions)
 		}
 	}
 	cfg := testConfig()
 	cfg.Classes[0].RetryStartWindow = 300 * ms
-	f, r := lost(cfg)
-	if answered(f) || len(f.b.queue) != 1 {
-		t.Fatalf("answered with time for a retry: %+v", f.actions)
+	h, r := failFirst(cfg)
+	if finished(h) || len(h.b.queue) != 1 {
+		t.Fatalf("final response though there is time for a retry: %+v", h.actions)
 	}
-	f.now = f.b.requests[r].arrivedAt + 300*ms
-	if f.fireRequestTimer(r); !answered(f) {
-		t.Errorf("not answered once no retry may begin: %+v", f.actions)
+	h.now = h.b.requests[r].arrivedAt + 300*ms
+	if h.fireRequestTimer(r); !finished(h) {
+		t.Errorf("no final response once no retry may start: %+v", h.actions)
 	}
-	f, _ = lost(testConfig())
-	if f.actions = f.b.SetClassLimits(f.now, 0, Class{MaxAttempts: 1}, nil); !answered(f) {
-		t.Errorf("not answered once the bound is lowered: %+v", f.actions)
+	h, _ = failFirst(testConfig())
+	if h.actions = h.b.SetClassLimits(h.now, 0, Class{MaxAttempts: 1}, nil); !finished(h) {
+		t.Errorf("no final response once the limit is lowered: %+v", h.actions)
 	}
 	cfg = testConfig()
 	cfg.Classes[0].NoHedging = true
-	f = newHarness(t, cfg, testEndpoints(20)...)
-	if r, _ := f.sendToIdle(0); f.b.requests[r].hedgeAt != 0 {
-		t.Error("a second copy is planned")
+	h = newHarness(t, cfg, testEndpoints(20)...)
+	if r, _ := h.sendToIdle(0); h.b.requests[r].hedgeAt != 0 {
+		t.Error("a hedge is scheduled")
 	}
 }
 
-// A second copy that waits for an idle endpoint is dropped once it may not begin: no probe is sent for it.
+// A hedge that waits for an idle endpoint must be dropped once it may not start anymore, and no probe be sent for
+// it.
 func TestQueuedHedgeIsDroppedAfterRetryStartWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.Classes[0].RetryStartWindow = 400 * ms
-	f := newHarness(t, cfg, testEndpoints(20)...)
-	f.b.classStats[0] = latencyStats{mean: 0.05, meanDeviation: 0.02}
-	r, _ := f.sendToIdle(0)
-	f.b.idleEndpoints = nil
-	f.now = f.b.requests[r].hedgeAt
-	if f.fireRequestTimer(r); len(f.b.queue) != 1 {
-		t.Fatalf("%d held, want the copy", len(f.b.queue))
+	h := newHarness(t, cfg, testEndpoints(20)...)
+	h.b.classStats[0] = latencyStats{mean: 0.05, meanDeviation: 0.02}
+	r, _ := h.sendToIdle(0)
+	h.b.idleEndpoints = nil
+	h.now = h.b.requests[r].hedgeAt
+	if h.fireRequestTimer(r); len(h.b.queue) != 1 {
+		t.Fatalf("%d queued, want the hedge", len(h.b.queue))
 	}
-	f.now = f.b.requests[r].arrivedAt + 400*ms
-	if f.actions = f.b.TimerFired(f.now, Timer{Kind: timerDispatch}, nil); len(f.b.queue) != 0 || len(f.actionsOf(Probe)) != 0 {
-		t.Errorf("%d held, actions %+v", len(f.b.queue), f.actions)
+	h.now = h.b.requests[r].arrivedAt + 400*ms
+	if h.actions = h.b.TimerFired(h.now, Timer{Kind: timerDispatch}, nil); len(h.b.queue) != 0 || len(h.actionsOf(Probe)) != 0 {
+		t.Errorf("%d queued, actions %+v, want none", len(h.b.queue), h.actions)
 	}
 }
 
-// Where calls are quicker than probes, a report is older than it is believed for by the time it comes. It
-// is used as it comes all the same: held requests were given up on beside idle endpoints.
+// Where requests are faster than probes, a report arrives after its lifetime. It must be used on arrival all the
+// same: otherwise queued requests were shed although endpoints were idle.
 func TestReportIsUsableOnArrival(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(4)...)
-	f.b.classStats[0] = latencyStats{mean: 0.0005, meanDeviation: 0.0001, samples: 1000}
-	f.arrive(0, time.Second)
-	p := f.actionsOf(Probe)
-	if len(p) == 0 {
-		t.Fatalf("no probe: %+v", f.actions)
+	h := newHarness(t, testConfig(), testEndpoints(4)...)
+	h.b.classStats[0] = latencyStats{mean: 0.0005, meanDeviation: 0.0001, samples: 1000}
+	h.arrive(0, time.Second)
+	probes := h.actionsOf(Probe)
+	if len(probes) == 0 {
+		t.Fatalf("no probe: %+v", h.actions)
 	}
-	f.now += 2 * ms // four calls' time
-	if f.endProbe(p[0].Endpoint, 0); len(f.actionsOf(Send)) != 1 {
-		t.Errorf("not sent to an endpoint that was just reported idle: %+v", f.actions)
+	h.now += 2 * ms // four times the mean latency
+	if h.endProbe(probes[0].Endpoint, 0); len(h.actionsOf(Send)) != 1 {
+		t.Errorf("not sent to an endpoint that was just reported idle: %+v", h.actions)
 	}
-	// Later, the report is old.
-	f.b.idleEndpoints = append(f.b.idleEndpoints, f.b.endpoints[p[0].Endpoint])
-	f.now += 5 * ms
-	if f.arrive(0, time.Second); len(f.actionsOf(Send)) != 0 {
-		t.Errorf("sent by an old report: %+v", f.actions)
+	// Later, the report has expired.
+	h.b.idleEndpoints = append(h.b.idleEndpoints, h.b.endpoints[probes[0].Endpoint])
+	h.now += 5 * ms
+	if h.arrive(0, time.Second); len(h.actionsOf(Send)) != 0 {
+		t.Errorf("sent by an expired report: %+v", h.actions)
 	}
 }
 
-// Where no probes come back, a request that finds all endpoints suspect is sent as a suspicion ends: it had
-// waited until it was nearly late.
+// Without probes, a request that finds all endpoints ejected must be sent when an ejection ends. There was no
+// event at that time, and it waited until it was nearly late.
 func TestQueuedRequestIsSentWhenEjectionEnds(t *testing.T) {
 	cfg := testConfig()
 	cfg.Reporting = ReportsInResponse
-	f := newHarness(t, cfg, testEndpoints(1)...)
-	first := f.arrive(0, time.Second)
-	f.endAttempt(first, 0, f.sentEndpoint(), Reset, ms)
-	if len(f.actionsOf(Send)) > 0 {
-		t.Fatalf("sent to a suspect: %+v", f.actions)
-	}
-	end := f.b.endpoints[1].ejectedUntil
-	at := time.Duration(0)
-	for _, a := range f.actionsOf(SetTimer) {
+	h := newHarness(t, cfg, testEndpoints(1)...)
+	first := h.arrive(0, time.Second)
+	h.endAttempt(first, 0, h.sentEndpoint(), Reset, ms)
+	if len(h.actionsOf(Send)) > 0 {
+		t.Fatalf("sent to an ejected endpoint: %+v", h.actions)
+	}
+	end := h.b.endpoints[1].ejectedUntil
+	dueAt := time.Duration(0)
+	for _, a := range h.actionsOf(SetTimer) {
 		if a.Timer.Kind == timerDispatch {
-			at = f.now + a.Delay
+			dueAt = h.now + a.Delay
 		}
 	}
-	if at != end {
-		t.Fatalf("looks again at %v, want %v: %+v", at, end, f.actions)
+	if dueAt != end {
+		t.Fatalf("dispatch timer due at %v, want %v: %+v", dueAt, end, h.actions)
 	}
-	f.now = at
-	if f.actions = f.b.TimerFired(f.now, Timer{Kind: timerDispatch}, nil); len(f.actionsOf(Send)) == 0 {
-		t.Errorf("not sent as the suspicion ended: %+v", f.actions)
+	h.now = dueAt
+	if h.actions = h.b.TimerFired(h.now, Timer{Kind: timerDispatch}, nil); len(h.actionsOf(Send)) == 0 {
+		t.Errorf("not sent when the ejection ended: %+v", h.actions)
 	}
 }
 
-// Calls whose bodies are still arriving, and those whose answers flow, take no core of their
-// endpoints: slow callers, however many, keep nobody else from being served. Once whole they count.
+// Attempts whose bodies are still arriving, and those whose responses are streaming, occupy no core of their
+// endpoints: slow callers, however many, must not block other requests. Attempts with complete bodies count.
 func TestSlowCallersDoNotOccupyEndpoints(t *testing.T) {
 	cfg := testConfig()
 	cfg.SidecarCount, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
-	f := newHarness(t, cfg, testEndpoints(2)...)
-	sends := func(arriving bool) (ids []RequestID, to []EndpointID) {
+	h := newHarness(t, cfg, testEndpoints(2)...)
+	// sendMany passes 30 new requests to the balancer and returns those that are sent, and where to.
+	sendMany := func(arriving bool) (ids []RequestID, endpoints []EndpointID) {
 		for range 30 {
-			f.lastID++
-			f.actions = f.b.RequestArrived(f.now, Request{ID: f.lastID, Class: 1, Timeout: time.Second, BodyArriving: arriving}, nil)
-			for _, a := range f.actionsOf(Send) {
-				ids, to = append(ids, a.Request), append(to, a.Endpoint)
+			h.lastID++
+			h.actions = h.b.RequestArrived(h.now, Request{ID: h.lastID, Class: 1, Timeout: time.Second, BodyArriving: arriving}, nil)
+			for _, a := range h.actionsOf(Send) {
+				ids, endpoints = append(ids, a.Request), append(endpoints, a.Endpoint)
 			}
 		}
-		return ids, to
+		return ids, endpoints
 	}
-	slow, at := sends(true)
-	if len(slow) != 30 {
-		t.Fatalf("%d of 30 uploads were sent", len(slow))
+	uploads, uploadEndpoints := sendMany(true)
+	if len(uploads) != 30 {
+		t.Fatalf("%d of 30 uploads were sent", len(uploads))
 	}
-	short, _ := sends(false)
+	short, _ := sendMany(false)
 	if len(short) == 0 || len(short) == 30 {
-		t.Fatalf("%d short calls were sent beside them: as many as there are free cores", len(short))
+		t.Fatalf("%d of 30 short requests were sent beside them, want as many as there are free cores", len(short))
 	}
-	for _, id := range slow[:15] {
-		f.actions = f.b.BodyStateChanged(f.now, id, BodyComplete, nil)
+	for _, id := range uploads[:15] {
+		h.actions = h.b.BodyStateChanged(h.now, id, BodyComplete, nil)
 	}
-	if more, _ := sends(false); len(more) > 0 {
-		t.Errorf("%d were sent to endpoints that have work now", len(more))
+	if more, _ := sendMany(false); len(more) > 0 {
+		t.Errorf("%d were sent to endpoints whose cores are busy now", len(more))
 	}
-	f.actions = f.b.ResponseStarted(f.now, slow[0], 0, nil)
-	for i, id := range slow {
-		f.endAttempt(id, 0, at[i], OK, ms)
+	h.actions = h.b.ResponseStarted(h.now, uploads[0], 0, nil)
+	for i, id := range uploads {
+		h.endAttempt(id, 0, uploadEndpoints[i], OK, ms)
 	}
 	for _, id := range short {
-		f.endAttempt(id, 0, 1, OK, ms)
+		h.endAttempt(id, 0, 1, OK, ms)
 	}
-	if f.b.inFlight < 0 {
-		t.Errorf("%d calls are out", f.b.inFlight)
+	if h.b.inFlight < 0 {
+		t.Errorf("%d attempts are in flight", h.b.inFlight)
 	}
-	for _, e := range f.b.endpoints {
+	for _, e := range h.b.endpoints {
 		if e.waitingForCaller != 0 {
-			t.Errorf("endpoint %d: %d wait for callers", e.ID, e.waitingForCaller)
+			t.Errorf("endpoint %d: %d attempts wait for callers", e.ID, e.waitingForCaller)
 		}
 	}
 }
 
-// Held requests go out oldest first, so that none waits for long where there is enough for all;
-// newest first once the oldest has waited for a part of its patience, as in overload.
+// Queued requests must be sent oldest first, so that none waits for long where there is capacity for all, but
+// newest first once the oldest has waited for a share of its time, as in overload.
 func TestQueueIsFIFOThenLIFO(t *testing.T) {
 	for _, c := range []struct {
-		waited time.Duration
-		oldest bool
+		waited      time.Duration
+		oldestFirst bool
 	}{{2 * ms, true}, {200 * ms, false}} {
 		cfg := testConfig()
 		cfg.SidecarCount, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
-		f := newHarness(t, cfg, testEndpoints(1)...)
-		var out, held []RequestID
-		var at EndpointID
-		for len(held) < 3 {
-			id := f.arrive(0, 2*time.Second)
-			if s := f.actionsOf(Send); len(s) > 0 {
-				out, at = append(out, id), s[0].Endpoint
+		h := newHarness(t, cfg, testEndpoints(1)...)
+		var sent, queued []RequestID
+		var endpoint EndpointID
+		for len(queued) < 3 {
+			id := h.arrive(0, 2*time.Second)
+			if s := h.actionsOf(Send); len(s) > 0 {
+				sent, endpoint = append(sent, id), s[0].Endpoint
 			} else {
-				held = append(held, id)
+				queued = append(queued, id)
 			}
 		}
-		f.now += c.waited
-		f.endAttempt(out[0], 0, at, OK, ms)
-		want := held[2]
-		if c.oldest {
-			want = held[0]
+		h.now += c.waited
+		h.endAttempt(sent[0], 0, endpoint, OK, ms)
+		want := queued[2]
+		if c.oldestFirst {
+			want = queued[0]
 		}
-		if s := f.actionsOf(Send); len(s) != 1 || s[0].Request != want {
+		if s := h.actionsOf(Send); len(s) != 1 || s[0].Request != want {
 			t.Errorf("after %v: %+v, want request %d", c.waited, s, want)
 		}
 	}
 }
 
-// A keyed request that may have run waits for a further attempt no longer than its key is
-// remembered: then it can't have one, and is answered at once.
+// A keyed request that may have run must wait for a further attempt no longer than its key is remembered. After
+// that it can have none and must get its final response at once.
 func TestQueuedKeyedRetryEndsWithRepeatWindow(t *testing.T) {
 	cfg := testConfig()
 	cfg.SidecarCount, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
 	cfg.Classes[1].RepeatWindow = 100 * ms
-	f := newHarness(t, cfg, testEndpoints(2)...)
-	r := f.arrive(1, 2*time.Second)
-	to := f.sentEndpoint()
-	f.now += 150 * ms
-	f.endAttempt(r, 0, to, Error, 150*ms)
-	for _, a := range f.actionsOf(SetTimer) {
+	h := newHarness(t, cfg, testEndpoints(2)...)
+	r := h.arrive(1, 2*time.Second)
+	endpoint := h.sentEndpoint()
+	h.now += 150 * ms
+	h.endAttempt(r, 0, endpoint, Error, 150*ms)
+	for _, a := range h.actionsOf(SetTimer) {
 		if a.Timer.Kind == timerRequest && a.Delay <= ms {
-			f.now += a.Delay
-			f.fireRequestTimer(r)
+			h.now += a.Delay
+			h.fireRequestTimer(r)
 		}
 	}
-	if got := f.actionsOf(Shed); len(got) != 1 || got[0].Request != r {
-		t.Errorf("%+v: it waits for nothing", f.actions)
+	if got := h.actionsOf(Shed); len(got) != 1 || got[0].Request != r {
+		t.Errorf("%+v, want it shed: it can have no further attempt", h.actions)
 	}
 }
 
+// The sidecar may send a retry later than it is decided on. A keyed retry must go out while the endpoints still
+// remember its key.
 func TestKeyedRetryStartDeadline(t *testing.T) {
-	f := newHarness(t, testConfig(), testEndpoints(4)...)
-	r, first := f.sendToIdle(1)
-	sent := f.now
-	f.now += 100 * ms
-	f.endAttempt(r, 0, first, Reset, 100*ms)
-	for n := 0; len(f.actionsOf(Send)) == 0; n++ {
+	h := newHarness(t, testConfig(), testEndpoints(4)...)
+	r, first := h.sendToIdle(1)
+	sentAt := h.now
+	h.now += 100 * ms
+	h.endAttempt(r, 0, first, Reset, 100*ms)
+	for n := 0; len(h.actionsOf(Send)) == 0; n++ {
 		if n == 100 {
-			t.Fatal("it is not sent again")
+			t.Fatal("no retry was sent")
 		}
-		for _, p := range f.actionsOf(Probe) {
-			f.now += ms
-			f.endProbe(p.Endpoint, 0)
+		for _, p := range h.actionsOf(Probe) {
+			h.now += ms
+			h.endProbe(p.Endpoint, 0)
 		}
-		if len(f.actionsOf(Send)) == 0 {
-			f.fireDispatchTimer()
+		if len(h.actionsOf(Send)) == 0 {
+			h.fireDispatchTimer()
 		}
 	}
-	window := f.b.cfg.Classes[1].RepeatWindow
-	if got, want := f.actionsOf(Send)[0].StartDeadline, sent+window-150*ms; got <= 0 || got > want {
-		t.Errorf("it may begin to go out until %v after the first attempt, want %v", got-sent, want-sent)
+	window := h.b.cfg.Classes[1].RepeatWindow
+	if got, want := h.actionsOf(Send)[0].StartDeadline, sentAt+window-150*ms; got <= 0 || got > want {
+		t.Errorf("the retry may start until %v after the first attempt, want %v", got-sentAt, want-sentAt)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -7,8 +7,8 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// A request from its arrival to its answer, with a further try in between: the sidecar feeds events and
-// carries out actions; here it prints those that leave it.
+// A request from its arrival to its response, with a retry in between. The sidecar feeds events and carries out
+// actions; here it prints the actions that send something.
 func Example() {
 	b, err := balance.New(balance.Config{
 		SidecarCount: 1,
@@ -24,8 +24,8 @@
 		return
 	}
 	now := time.Second
-	show := func(acts []balance.Action) {
-		for _, a := range acts {
+	printActions := func(actions []balance.Action) {
+		for _, a := range actions {
 			switch a.Kind {
 			case balance.Probe:
 				fmt.Println(now, "probe an endpoint")
@@ -35,23 +35,23 @@
 		}
 	}
 	list := []balance.Endpoint{{ID: 1, Weight: 1}}
-	show(b.EndpointsUpdated(now, balance.ListLastKnown, list, nil))
-	show(b.RequestArrived(now, balance.Request{ID: 7, Timeout: time.Second}, nil))
+	printActions(b.EndpointsUpdated(now, balance.ListLastKnown, list, nil))
+	printActions(b.RequestArrived(now, balance.Request{ID: 7, Timeout: time.Second}, nil))
 
 	now += time.Millisecond
-	show(b.ProbeEnded(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
+	printActions(b.ProbeEnded(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
 
-	// The endpoint turns the request away unread, so it may be sent again.
+	// The endpoint refuses the request unread, so it may be sent again.
 	now += time.Millisecond
-	show(b.AttemptEnded(now, balance.Outcome{
+	printActions(b.AttemptEnded(now, balance.Outcome{
 		Request: 7, Attempt: 0, Endpoint: 1, Result: balance.Rejected, Elapsed: time.Millisecond,
 	}, nil))
 
 	now += time.Millisecond
-	show(b.ProbeEnded(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
+	printActions(b.ProbeEnded(now, 1, balance.OK, &balance.Load{InFlight: 0}, nil))
 
 	now += time.Millisecond
-	show(b.AttemptEnded(now, balance.Outcome{
+	printActions(b.AttemptEnded(now, balance.Outcome{
 		Request: 7, Attempt: 1, Endpoint: 1, Result: balance.OK, RequestFinished: true, Elapsed: time.Millisecond,
 	}, nil))
 	// Output:
