--- a/balance/balance.go
+++ b/balance/balance.go
@@ -287,8 +287,8 @@
 	Request       RequestID
 	Endpoint      EndpointID
 	Attempt       int
-	Deadline      time.Duration // when the attempt must be abandoned
-	StartDeadline time.Duration // the attempt must not go out later than this; 0 is no such limit
+	Deadline      time.Duration // when the attempt must be abandoned, on the Balancer's clock
+	StartDeadline time.Duration // the attempt must not go out later than this, on the same clock; 0 is no such limit
 	Delay         time.Duration // from the time of the event
 	Timer         Timer
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -31,7 +31,7 @@
 	// become idle or busy in that time.
 	reportLifetimeShare = 0.05
 
-	maxSamples = 24   // endpoints examined for one choice: its cost must not grow with their number
+	maxSamples = 24   // endpoints examined per choice, so that its cost does not grow with their number
 	drawBudget = 0.02 // draws among busy endpoints per request: in overload such requests would be late
 )
 
@@ -41,13 +41,13 @@
 	// what one endpoint loses is spread over several others.
 	subsetOverlap = 5
 
-	slowdownGain = 0.01 // weight of an attempt in the mean slowdown: some hundred tell crowding from chance
+	slowdownGain = 0.01 // weight of an attempt in the mean slowdown: about 100 tell congestion from chance
 
 	// The concurrency limit is adjusted after minAdjustInterval and minSlowdownSamples attempts at least.
 	minAdjustInterval, minSlowdownSamples = 300 * time.Millisecond, 30
 
 	congestionThreshold = 0.25 // a mean log slowdown that is this much over its best shows a lack of cores
-	maxTargetShare      = 0.25 // the limit is also cut if usual attempts take more of the target latency
+	maxTargetShare      = 0.25 // the limit is also cut above this mean share of the target latency
 
 	// The concurrency limit is decreased by a factor and increased by a term, as this makes the limits of all
 	// sidecars alike.
@@ -59,7 +59,7 @@
 	minTotalConcurrency = 3.0
 
 	rejectionSlowdown = 1.5    // a rejected attempt counts as this much over the best log slowdown
-	baseSlowdownDrift = 0.0001 // rise of the best log slowdown per attempt: a lucky stretch is forgotten
+	baseSlowdownDrift = 0.0001 // rise of the best log slowdown per attempt: forgets a run of lucky ones
 
 	// A lost attempt multiplies the congestion window by windowDecrease, down to minWindow; the responses to
 	// a full window add windowIncrease.
@@ -76,12 +76,12 @@
 	// from its queueing to its latest start, and newest first after that.
 	maxFIFOWaitShare = 0.03
 
-	classCountDecay = 0.999 // factor of the counts by class per arrival: they cover a thousand requests
+	classCountDecay = 0.999 // factor of the counts by class per arrival: they cover about 1000 requests
 )
 
 const ( // health, further attempts and discovery
-	// baseEjectionTime is the least mean time of an endpoint's ejection after a failure. It doubles with each
-	// failure in a row.
+	// baseEjectionTime is the least time of an endpoint's ejection after a failure, before jitter. It doubles
+	// with each failure in a row.
 	baseEjectionTime, maxEjectionTime = 300 * time.Millisecond, 10 * time.Second
 
 	penaltyGain = 0.1 // weight of an attempt in its endpoint's speed penalty
@@ -102,11 +102,11 @@
 
 	hedgeDelayDeviations = 3.0 // an attempt is hedged after the mean latency and this many mean deviations
 
-	// hedgeBudget and retryBudget are the shares of requests hedged, or retried though work may be lost.
+	// Shares of requests that are hedged, or that are retried though work may have been lost.
 	hedgeBudget, retryBudget = 0.1, 0.2
 
-	maxBudgetTokens      = 10              // how much of a budget can be saved up
-	firstSubscribeSpread = 2 * time.Second // jitter of the first: all sidecars may start at the same time
+	maxBudgetTokens      = 10              // requests that a budget can save up
+	firstSubscribeSpread = 2 * time.Second // jitter of the first Subscribe: all sidecars may start at once
 
 	// connectFailureGain is the weight of a new connection in the share of those that fail. That share has an
 	// effect only above minConnectFailureShare.
@@ -145,7 +145,7 @@
 	probedAt            time.Duration
 }
 
-// attempt is an attempt of a request.
+// attempt is one attempt of a request. Actions number the attempts by their index in request.attempts.
 type attempt struct {
 	endpoint       *endpoint
 	sentAt         time.Duration
@@ -192,7 +192,7 @@
 	endpoints       map[EndpointID]*endpoint
 	statsByWeight   map[int]*latencyStats // by logarithm of the listed weight, see updateEndpoint
 	ready           []*endpoint           // in service, in list order
-	local, remote   []*endpoint           // subset that requests go to, in its own zone and in others
+	local, remote   []*endpoint           // endpoints to send to, in its own zone and in others
 	requests        map[RequestID]*request
 	queue           []*request // requests that wait for an endpoint, newest last
 	classQueue      []*request // scratch space of orderQueue
@@ -945,9 +945,8 @@
 	return b.now-e.lastSentAt >= gap
 }
 
-// drawWeighted draws a type by speed x share, then an endpoint of it uniformly. This is the same as drawing
-// an endpoint by the speed of its type; where there are many, it draws from a sample. Ejected endpoints come
-// last.
+// drawWeighted draws a type by speed x share, then an endpoint of it uniformly, which is the same as drawing
+// an endpoint by its type's speed. It draws from a sample if there are many. Ejected endpoints come last.
 func (b *Balancer) drawWeighted(r *request) *endpoint {
 	set := b.ready
 	if !b.probesOnArrival {
@@ -1027,7 +1026,7 @@
 	return b.cfg.Limits.Hedging && !r.class.NoHedging && !r.BodyArriving
 }
 
-// mayRepeatAt reports whether a request that may run at first, sent there at sentAt, may also go to e.
+// mayRepeatAt reports whether a request that was sent to first at sentAt and may run may also go to e.
 func (b *Balancer) mayRepeatAt(r *request, first *endpoint, sentAt time.Duration, e *endpoint) bool {
 	if r.class.Semantics != Keyed {
 		return r.class.Semantics == Safe
@@ -1119,7 +1118,7 @@
 	return step
 }
 
-// losesIdleConnections reports whether too many attempts are lost on connections idle for step or less.
+// losesIdleConnections reports whether connections idle for up to step lose more attempts than those in use.
 func (b *Balancer) losesIdleConnections(step int) bool {
 	return step > 0 && slices.Max(b.idleLossShares[1:step+1]) > math.Max(maxIdleLoss, 2*b.idleLossShares[0])
 }
