--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -569,7 +569,7 @@
 			toCold += len(h.actionsOf(Send))
 		}
 	}
-	// In three seconds a warm endpoint would get 6 requests. The share of a cold one is at most 0.6.
+	// In three seconds a warm endpoint would get 6 requests, and a cold one at most 0.6 of these.
 	if toCold > 8 {
 		t.Errorf("%d attempts to the cold endpoint by %d sidecars, want a few", toCold, sidecars)
 	}
@@ -907,7 +907,7 @@
 	}
 	h.b.classStats[0].mean = 60 * h.b.classStats[1].mean
 	if got := h.b.classesByValue(); got[0] != 1 {
-		t.Errorf("order %v, want the class first whose latency is a sixtieth", got)
+		t.Errorf("order %v, want the class first that has a sixtieth of the latency", got)
 	}
 	h.b.classStats[0].mean = h.b.classStats[1].mean
 	for range 100 {
@@ -1344,8 +1344,8 @@
 	}
 }
 
-// Without probes, a request that finds all endpoints ejected must be sent when an ejection ends. There was no
-// event at that time, and it waited until it was nearly late.
+// Without probes, a request that finds all endpoints ejected must be sent when an ejection ends. Without a
+// timer there was no event at that time, and it waited until it was nearly late.
 func TestQueuedRequestIsSentWhenEjectionEnds(t *testing.T) {
 	cfg := testConfig()
 	cfg.Reporting = ReportsInResponse
@@ -1430,17 +1430,17 @@
 		cfg.SidecarCount, cfg.Reporting, cfg.Limits.Probes = 1, ReportsNone, false
 		h := newHarness(t, cfg, testEndpoints(1)...)
 		var sent, queued []RequestID
-		var endpoint EndpointID
+		var endpointID EndpointID
 		for len(queued) < 3 {
 			id := h.arrive(0, 2*time.Second)
 			if s := h.actionsOf(Send); len(s) > 0 {
-				sent, endpoint = append(sent, id), s[0].Endpoint
+				sent, endpointID = append(sent, id), s[0].Endpoint
 			} else {
 				queued = append(queued, id)
 			}
 		}
 		h.now += c.waited
-		h.endAttempt(sent[0], 0, endpoint, OK, ms)
+		h.endAttempt(sent[0], 0, endpointID, OK, ms)
 		want := queued[2]
 		if c.oldestFirst {
 			want = queued[0]
@@ -1459,9 +1459,9 @@
 	cfg.Classes[1].RepeatWindow = 100 * ms
 	h := newHarness(t, cfg, testEndpoints(2)...)
 	r := h.arrive(1, 2*time.Second)
-	endpoint := h.sentEndpoint()
+	endpointID := h.sentEndpoint()
 	h.now += 150 * ms
-	h.endAttempt(r, 0, endpoint, Error, 150*ms)
+	h.endAttempt(r, 0, endpointID, Error, 150*ms)
 	for _, a := range h.actionsOf(SetTimer) {
 		if a.Timer.Kind == timerRequest && a.Delay <= ms {
 			h.now += a.Delay
