--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -22,8 +22,8 @@
 
 // instance is one sidecar: its balancer, nil if its settings were at fault, and its report's fields.
 type instance struct {
-	balancer *balance.Balancer
-	fields   []wire.LoadField
+	balancer   *balance.Balancer
+	loadFields []wire.LoadField
 }
 
 // run answers batches until the input ends.
@@ -47,7 +47,7 @@
 			e := &batch.Events[i]
 			switch e.Kind {
 			case wire.InstanceCreated:
-				instances[e.Instance], err = start(e)
+				instances[e.Instance], err = newInstance(e)
 				if err != nil {
 					reply = wire.AppendPanic(reply, e.Instance, err.Error())
 				}
@@ -63,7 +63,7 @@
 			if in.balancer == nil {
 				continue
 			}
-			actions, err = handle(in, &batch, e, actions[:0])
+			actions, err = handleEvent(in, &batch, e, actions[:0])
 			if errors.Is(err, errPanic) {
 				in.balancer = nil
 				reply = wire.AppendPanic(reply, e.Instance, err.Error())
@@ -86,19 +86,19 @@
 	}
 }
 
-func start(e *wire.Event) (*instance, error) {
+func newInstance(e *wire.Event) (*instance, error) {
 	cfg, fields, err := wire.ParseConfig(e.ConfigJSON)
 	if err != nil {
 		return &instance{}, err
 	}
 	b, err := balance.New(cfg, e.Seed)
-	return &instance{balancer: b, fields: fields}, err
+	return &instance{balancer: b, loadFields: fields}, err
 }
 
 var errPanic = errors.New("panic")
 
-// handle gives an event to its balancer.
-func handle(in *instance, batch *wire.Batch, e *wire.Event, acts []balance.Action) (_ []balance.Action, err error) {
+// handleEvent gives an event to its balancer.
+func handleEvent(in *instance, batch *wire.Batch, e *wire.Event, acts []balance.Action) (_ []balance.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", errPanic, p)
@@ -113,7 +113,7 @@
 	case wire.ResponseStarted:
 		return b.ResponseStarted(now, e.Request.ID, e.Outcome.Attempt, acts), nil
 	case wire.AttemptEnded:
-		if e.Outcome.Load, err = e.Load(in.fields); err != nil {
+		if e.Outcome.Load, err = e.Load(in.loadFields); err != nil {
 			return acts, err
 		}
 		return b.AttemptEnded(now, e.Outcome, acts), nil
@@ -122,7 +122,7 @@
 	case wire.TimerFired:
 		return b.TimerFired(now, e.Timer, acts), nil
 	case wire.ProbeEnded:
-		load, err := e.Load(in.fields)
+		load, err := e.Load(in.loadFields)
 		if err != nil {
 			return acts, err
 		}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-const settings = `{"balancers": 1, "classes": [{"goalTimeNs": 800000000, "hardLimitNs": 2000000000, "importance": 1,
+const settingsJSON = `{"balancers": 1, "classes": [{"goalTimeNs": 800000000, "hardLimitNs": 2000000000, "importance": 1,
 "keyScope": "all", "lateShare": 0, "name": "x", "repeatWindowNs": 0, "semantics": "safe", "stream": false}],
 "limits": {"attemptsCap": 4, "cancel": true, "probes": true}, "loadInfo": {"fields": ["busy_reqs"], "how": "pull"},
 "me": 0, "stepNs": 1000000, "weights": "silent", "zone": 0}`
 
 func oneLine(s string) string { return strings.ReplaceAll(s, "\n", " ") }
 
-func script(t *testing.T) string {
+func startupBatch(t *testing.T) string {
 	t.Helper()
-	return "TICK 1000000000 1\nNEW_INSTANCE sidecar_3 7 " + oneLine(settings) +
+	return "TICK 1000000000 1\nNEW_INSTANCE sidecar_3 7 " + oneLine(settingsJSON) +
 		"\nREGISTER 0 1\nENTRY 5 0 0 0 in_service 1 -\nENDPOINTS sidecar_3 remembered 1 0\nEOB\n"
 }
 
-func TestRequestIsServed(t *testing.T) {
-	in := script(t) +
+func TestRunServesRequest(t *testing.T) {
+	in := startupBatch(t) +
 		"TICK 1001000000 2\nQUERY sidecar_3 51fdf2bc5d3a91c4 0 - - 700000000 0 -\nEOB\n" +
 		"TICK 1003000000 3\nPROBE_RESULT sidecar_3 5 completed 2000000 0\nEOB\n" +
 		"TICK 1004000000 4\nREPLY sidecar_3 51fdf2bc5d3a91c4 completed 1 5 0 1000000 -\nEOB\n"
@@ -37,8 +37,8 @@
 	}
 }
 
-func TestRestartInOneBatch(t *testing.T) {
-	in := script(t) + strings.Replace(script(t), "TICK 1000000000 1\n", "TICK 1001000000 2\nPOWER_OFF sidecar_3\n", 1) +
+func TestInstanceRestartsWithinOneBatch(t *testing.T) {
+	in := startupBatch(t) + strings.Replace(startupBatch(t), "TICK 1000000000 1\n", "TICK 1001000000 2\nPOWER_OFF sidecar_3\n", 1) +
 		"TICK 1002000000 3\nABORTED sidecar_3 51fdf2bc5d3a91c4\nEOB\n"
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -46,9 +46,9 @@
 	}
 }
 
-func TestSettingsAtFaultArePanics(t *testing.T) {
+func TestInvalidSettingsReplyPanic(t *testing.T) {
 	for _, bad := range []string{`"semantics": "perhaps"`, `"semantics": 4`} {
-		in := strings.Replace(script(t), `"semantics": "safe"`, bad, 1)
+		in := strings.Replace(startupBatch(t), `"semantics": "safe"`, bad, 1)
 		var out bytes.Buffer
 		if err := run(strings.NewReader(in), &out); err != nil {
 			t.Fatal(err)
@@ -57,19 +57,19 @@
 			t.Errorf("%s: reply %q, want PANIC", bad, out.String())
 		}
 	}
-	in := strings.Replace(script(t), `"goalTimeNs": 800000000`, `"goalTimeNs": -1`, 1)
+	in := strings.Replace(startupBatch(t), `"goalTimeNs": 800000000`, `"goalTimeNs": -1`, 1)
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil || !strings.Contains(out.String(), "Classes[0].Goal") {
 		t.Errorf("reply %q, error %v, want PANIC naming Classes[0].Goal", out.String(), err)
 	}
 }
 
-func TestBadInputEndsTheRun(t *testing.T) {
+func TestRunFailsOnMalformedInput(t *testing.T) {
 	for in, want := range map[string]string{
-		"TICK 1 1\nABORTED sidecar_9 51fdf2bc5d3a91c4\nEOB\n":                            "line 2: unknown instance sidecar_9",
-		"TICK 1 1\nABORTED sidecar_9 51fd\nEOB\n":                                        "line 2: ",
-		script(t) + "TICK 1 2\n":                                                         "cut off",
-		script(t) + "TICK 1001000000 2\nPROBE_RESULT sidecar_3 5 completed 2 1,2\nEOB\n": "line 8: a load report",
+		"TICK 1 1\nABORTED sidecar_9 51fdf2bc5d3a91c4\nEOB\n":                                  "line 2: unknown instance sidecar_9",
+		"TICK 1 1\nABORTED sidecar_9 51fd\nEOB\n":                                              "line 2: ",
+		startupBatch(t) + "TICK 1 2\n":                                                         "cut off",
+		startupBatch(t) + "TICK 1001000000 2\nPROBE_RESULT sidecar_3 5 completed 2 1,2\nEOB\n": "line 8: a load report",
 	} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(in), &out)
@@ -82,8 +82,8 @@
 	}
 }
 
-// replies runs the adapter on its input and returns what it wrote.
-func replies(t *testing.T, in string) string {
+// runAdapter runs the adapter on its input and returns what it wrote.
+func runAdapter(t *testing.T, in string) string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := run(strings.NewReader(in), &out); err != nil {
@@ -93,7 +93,7 @@
 }
 
 // Odd but legal input: each request must get one final answer, and each batch its END.
-func TestOddInputIsAnswered(t *testing.T) {
+func TestUnusableEndpointListShedsRequest(t *testing.T) {
 	const query = "QUERY sidecar_3 51fdf2bc5d3a91c4 0 - - 700000000 0 -\n"
 	const deadline = "TICK 1699000000 3\nRING sidecar_3 1.51fdf2bc5d3a91c4\nEOB\n"
 	for name, list := range map[string]string{
@@ -104,7 +104,7 @@
 		"named twice":  "REGISTER 0 2\nENTRY 5 0 0 0 in_service 1 -\nENTRY 5 0 0 0 in_service 1 -\nENDPOINTS sidecar_3 all 2 0\n",
 		"refused":      "ENDPOINTS sidecar_3 refused - -\n",
 	} {
-		got := replies(t, script(t)+"TICK 1001000000 2\n"+list+query+"EOB\n"+deadline)
+		got := runAdapter(t, startupBatch(t)+"TICK 1001000000 2\n"+list+query+"EOB\n"+deadline)
 		if n := strings.Count(got, "SHED sidecar_3 51fdf2bc5d3a91c4"); n != 1 || !strings.HasSuffix(got, "END 3\n") {
 			t.Errorf("%s: %d final answers, want 1: %q", name, n, got)
 		}
@@ -112,14 +112,14 @@
 }
 
 func TestEmptyBatches(t *testing.T) {
-	if got := replies(t, "TICK 1 1\nEOB\n\nTICK 2 2\nEOB\n"); got != "END 1\nEND 2\n" {
+	if got := runAdapter(t, "TICK 1 1\nEOB\n\nTICK 2 2\nEOB\n"); got != "END 1\nEND 2\n" {
 		t.Errorf("replies %q to two empty batches", got)
 	}
 }
 
-func TestVeryLongBatch(t *testing.T) {
+func TestLongBatch(t *testing.T) {
 	var in strings.Builder
-	in.WriteString(script(t) + "TICK 1001000000 2\n")
+	in.WriteString(startupBatch(t) + "TICK 1001000000 2\n")
 	const n = 3000
 	for i := range n {
 		fmt.Fprintf(&in, "QUERY sidecar_3 %016x 0 - - 700000000 0 -\n", i+1)
@@ -129,14 +129,14 @@
 		fmt.Fprintf(&in, "RING sidecar_3 1.%016x\n", i+1)
 	}
 	in.WriteString("EOB\n")
-	if got := strings.Count(replies(t, in.String()), "SHED "); got != n {
+	if got := strings.Count(runAdapter(t, in.String()), "SHED "); got != n {
 		t.Errorf("%d of %d requests were answered", got, n)
 	}
 }
 
 // Events about what is no longer held, or never was, are passed over.
-func TestLateAndUnknownEvents(t *testing.T) {
-	got := replies(t, script(t)+"TICK 1001000000 2\n"+
+func TestLateAndUnknownEventsAreIgnored(t *testing.T) {
+	got := runAdapter(t, startupBatch(t)+"TICK 1001000000 2\n"+
 		"ABORTED sidecar_3 51fdf2bc5d3a91c4\n"+
 		"REPLY sidecar_3 51fdf2bc5d3a91c4 completed 1 5 0 1000000 0\n"+
 		"REPLY sidecar_3 51fdf2bc5d3a91c4 completed 1 99 7 1000000 -\n"+
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -49,10 +49,10 @@
 			LateValueShare: k.LateShare, TargetWorkFactor: k.AimStretch, RepeatWindow: k.RepeatWindow, Streaming: k.Stream,
 		}
 		var ok bool
-		if class.Semantics, ok = semantics[k.Semantics]; !ok {
+		if class.Semantics, ok = semanticsByName[k.Semantics]; !ok {
 			return c, nil, fmt.Errorf("config: classes[%d].semantics: unknown value %q", i, k.Semantics)
 		}
-		if class.Scope, ok = scopes[k.KeyScope]; !ok && class.Semantics == balance.Keyed {
+		if class.Scope, ok = scopeByName[k.KeyScope]; !ok && class.Semantics == balance.Keyed {
 			return c, nil, fmt.Errorf("config: classes[%d].keyScope: unknown value %q", i, k.KeyScope)
 		}
 		c.Classes = append(c.Classes, class)
@@ -61,15 +61,15 @@
 		c.Tenants = append(c.Tenants, balance.Tenant(t))
 	}
 	var ok bool
-	if c.WeightMeaning, ok = weights[s.Weights]; !ok {
+	if c.WeightMeaning, ok = weightMeaningByName[s.Weights]; !ok {
 		return c, nil, fmt.Errorf("config: weights: unknown value %q", s.Weights)
 	}
-	if c.Reporting, ok = reporting[s.LoadInfo.How]; !ok {
+	if c.Reporting, ok = reportingByName[s.LoadInfo.How]; !ok {
 		return c, nil, fmt.Errorf("config: loadInfo.how: unknown value %q", s.LoadInfo.How)
 	}
 	fields := make([]LoadField, len(s.LoadInfo.Fields))
 	for i, name := range s.LoadInfo.Fields {
-		fields[i] = loadFields[name]
+		fields[i] = loadFieldByName[name]
 	}
 	return c, fields, nil
 }
@@ -130,21 +130,21 @@
 
 // An empty name is a key that was left out.
 var (
-	semantics = map[string]balance.Semantics{
+	semanticsByName = map[string]balance.Semantics{
 		"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe,
 	}
-	scopes = map[string]balance.Scope{
+	scopeByName = map[string]balance.Scope{
 		"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell,
 	}
-	weights = map[string]balance.WeightMeaning{
+	weightMeaningByName = map[string]balance.WeightMeaning{
 		"": balance.WeightNone, "silent": balance.WeightNone, "nominal": balance.WeightCapacity,
 		"rough": balance.WeightCapacityEstimate, "live": balance.WeightCapacityPerLoad,
 	}
-	reporting = map[string]balance.Reporting{
+	reportingByName = map[string]balance.Reporting{
 		"": balance.ReportsNone, "silent": balance.ReportsNone, "pull": balance.ReportsInProbe,
 		"piggyback": balance.ReportsInResponse,
 	}
-	loadFields = map[string]LoadField{
+	loadFieldByName = map[string]LoadField{
 		"busy_reqs": FieldInFlight, "pending": FieldQueued, "cpu_share": FieldUtilization,
 		"svc_ms": FieldLatency, "served_ps": FieldServed, "failed_ps": FieldFailed,
 	}
--- a/internal/wire/parse.go
+++ b/internal/wire/parse.go
@@ -13,9 +13,9 @@
 // parser takes the values of a line one by one. The first mistake sticks and
 // end returns it.
 type parser struct {
-	rest []byte
-	none bool // nothing is left, not even an empty value
-	err  error
+	rest      []byte
+	exhausted bool // nothing is left, not even an empty value
+	err       error
 }
 
 func (p *parser) fail(format string, args ...any) {
@@ -24,14 +24,14 @@
 	}
 }
 
-func (p *parser) word() []byte {
-	if p.none {
+func (p *parser) token() []byte {
+	if p.exhausted {
 		p.fail("too few values")
 		return nil
 	}
 	i := bytes.IndexByte(p.rest, ' ')
 	if i < 0 {
-		p.none = true
+		p.exhausted = true
 		return p.rest
 	}
 	w := p.rest[:i]
@@ -39,23 +39,23 @@
 	return w
 }
 
-func (p *parser) text() []byte {
-	if p.none {
+func (p *parser) remainder() []byte {
+	if p.exhausted {
 		p.fail("too few values")
 		return nil
 	}
-	p.none = true
+	p.exhausted = true
 	return p.rest
 }
 
-func (p *parser) end() error {
-	if !p.none {
+func (p *parser) expectEnd() error {
+	if !p.exhausted {
 		p.fail("too many values")
 	}
 	return p.err
 }
 
-func (p *parser) number(w []byte, bits int) uint64 {
+func (p *parser) parseUint(w []byte, bits int) uint64 {
 	var n uint64
 	if len(w) == 0 {
 		p.fail("bad number %q", w)
@@ -73,30 +73,30 @@
 	return n
 }
 
-func (p *parser) uint(bits int) uint64 { return p.number(p.word(), bits) }
+func (p *parser) uint(bits int) uint64 { return p.parseUint(p.token(), bits) }
 
-// optional takes a number that may be absent, which counts as 0.
-func (p *parser) optional(bits int) uint64 {
-	w := p.word()
+// optionalUint takes a number that may be absent, which counts as 0.
+func (p *parser) optionalUint(bits int) uint64 {
+	w := p.token()
 	if string(w) == "-" {
 		return 0
 	}
-	return p.number(w, bits)
+	return p.parseUint(w, bits)
 }
 
 func (p *parser) int() int64 {
-	w := p.word()
+	w := p.token()
 	if len(w) > 0 && w[0] == '-' {
-		return -int64(p.number(w[1:], 63))
+		return -int64(p.parseUint(w[1:], 63))
 	}
-	return int64(p.number(w, 63))
+	return int64(p.parseUint(w, 63))
 }
 
-// small takes a number to be used as an index.
-func (p *parser) small() int { return int(p.uint(31)) }
+// index takes a number to be used as an index.
+func (p *parser) index() int { return int(p.uint(31)) }
 
 func (p *parser) float(absent float64) float64 {
-	w := p.word()
+	w := p.token()
 	if string(w) == "-" {
 		return absent
 	}
@@ -108,7 +108,7 @@
 }
 
 func (p *parser) bool() bool {
-	w := p.word()
+	w := p.token()
 	if len(w) != 1 || w[0] != '0' && w[0] != '1' {
 		p.fail("%.40q is neither 0 nor 1", w)
 		return false
@@ -116,30 +116,30 @@
 	return w[0] == '1'
 }
 
-func (p *parser) instance() uint32 {
-	w := p.word()
+func (p *parser) instanceID() uint32 {
+	w := p.token()
 	n, ok := bytes.CutPrefix(w, []byte("sidecar_"))
 	if !ok {
 		p.fail("bad instance %.40q", w)
 		return 0
 	}
-	return uint32(p.number(n, 32))
+	return uint32(p.parseUint(n, 32))
 }
 
-func (p *parser) endpoint() balance.EndpointID { return balance.EndpointID(p.uint(32)) }
+func (p *parser) endpointID() balance.EndpointID { return balance.EndpointID(p.uint(32)) }
 
-func (p *parser) request() balance.RequestID {
-	w := p.word()
-	n, ok := hex(w)
+func (p *parser) requestID() balance.RequestID {
+	w := p.token()
+	n, ok := parseHex(w)
 	if !ok || len(w) != 16 {
 		p.fail("bad request id %.40q", w)
 	}
 	return balance.RequestID(n)
 }
 
-// cookie takes a timer's token; one that no reply of ours has set is none of ours.
-func (p *parser) cookie() balance.Timer {
-	w := p.word()
+// timer takes a timer's token; one that no reply of ours has set is none of ours.
+func (p *parser) timer() balance.Timer {
+	w := p.token()
 	if len(w) == 0 || len(w) > 64 {
 		p.fail("bad cookie %.70q", w)
 	}
@@ -147,14 +147,14 @@
 	if !ok || len(kind) != 1 || kind[0] < '0' || kind[0] > '9' || len(ref) != 16 {
 		return balance.Timer{}
 	}
-	n, ok := hex(ref)
+	n, ok := parseHex(ref)
 	if !ok {
 		return balance.Timer{}
 	}
 	return balance.Timer{Kind: kind[0] - '0', Ref: n}
 }
 
-func hex(w []byte) (n uint64, ok bool) {
+func parseHex(w []byte) (n uint64, ok bool) {
 	for _, c := range w {
 		switch {
 		case c >= '0' && c <= '9':
@@ -168,8 +168,8 @@
 	return n, true
 }
 
-func (p *parser) base64() {
-	w := p.word()
+func (p *parser) skipBase64() {
+	w := p.token()
 	if string(w) == "-" {
 		return
 	}
@@ -179,8 +179,8 @@
 	}
 }
 
-func (p *parser) state() balance.EndpointState {
-	switch w := p.word(); string(w) {
+func (p *parser) endpointState() balance.EndpointState {
+	switch w := p.token(); string(w) {
 	case "in_service":
 		return balance.InService
 	case "terminating":
@@ -194,7 +194,7 @@
 }
 
 func (p *parser) result() balance.Result {
-	switch w := p.word(); string(w) {
+	switch w := p.token(); string(w) {
 	case "completed":
 		return balance.OK
 	case "errored":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -45,9 +45,9 @@
 	Outcome    balance.Outcome    // Reply, and ProbeResult as far as it goes; Load is not set
 	Timer      balance.Timer      // zero for a cookie that no reply has set
 
-	report [MaxLoadFields]float64
-	values int // of report; -1 without one
-	load   balance.Load
+	reportValues [MaxLoadFields]float64
+	reportLen    int // of report; -1 without one
+	load         balance.Load
 }
 
 // Batch is what has come in at one time.
@@ -59,17 +59,17 @@
 
 // Reader reads batches.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	text  []byte
-	long  []byte
-	banks [16]bank
-	arena []byte
+	input        *bufio.Reader
+	lineNumber   int
+	line         []byte
+	longLine     []byte
+	lists        [16]registeredList
+	configBuffer []byte
 }
 
-type bank struct {
-	set     bool
-	entries []balance.Endpoint
+type registeredList struct {
+	registered bool
+	endpoints  []balance.Endpoint
 }
 
 // MaxLoadFields is the most values that a load report has.
@@ -91,160 +91,160 @@
 
 // NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<20)}
+	return &Reader{input: bufio.NewReaderSize(in, 1<<20)}
 }
 
 // Read reads the next batch into b. It returns io.EOF at the end of the input between two batches.
 func (r *Reader) Read(b *Batch) error {
 	b.Events = b.Events[:0]
-	r.arena = r.arena[:0]
+	r.configBuffer = r.configBuffer[:0]
 	for {
-		if err := r.next(); err != nil {
+		if err := r.readLine(); err != nil {
 			if errors.Is(err, io.EOF) {
 				return io.EOF
 			}
-			return fmt.Errorf("line %d: %w", r.line, err)
+			return fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
-		if len(r.text) > 0 {
+		if len(r.line) > 0 {
 			break
 		}
 	}
-	p := parser{rest: r.text}
-	name := p.word()
+	p := parser{rest: r.line}
+	name := p.token()
 	if string(name) != "TICK" {
-		return r.wrong(name, fmt.Errorf("a batch starts with TICK"))
+		return r.lineError(name, fmt.Errorf("a batch starts with TICK"))
 	}
 	b.Now = time.Duration(p.int())
 	b.SequenceNumber = p.uint(64)
-	if err := p.end(); err != nil {
-		return r.wrong(name, err)
+	if err := p.expectEnd(); err != nil {
+		return r.lineError(name, err)
 	}
 	for {
-		if err := r.next(); err != nil {
+		if err := r.readLine(); err != nil {
 			if errors.Is(err, io.EOF) {
-				return fmt.Errorf("line %d: batch %d is cut off: no EOB", r.line, b.SequenceNumber)
+				return fmt.Errorf("line %d: batch %d is cut off: no EOB", r.lineNumber, b.SequenceNumber)
 			}
-			return fmt.Errorf("line %d: %w", r.line, err)
+			return fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
-		p := parser{rest: r.text}
-		name := p.word()
+		p := parser{rest: r.line}
+		name := p.token()
 		if string(name) == "EOB" {
-			if err := p.end(); err != nil {
-				return r.wrong(name, err)
+			if err := p.expectEnd(); err != nil {
+				return r.lineError(name, err)
 			}
 			return nil
 		}
-		if err := r.event(b, name, &p); err != nil {
-			return r.wrong(name, err)
+		if err := r.readEvent(b, name, &p); err != nil {
+			return r.lineError(name, err)
 		}
 	}
 }
 
-func (r *Reader) wrong(name []byte, err error) error {
-	return fmt.Errorf("line %d: %.40q: %w", r.line, name, err)
+func (r *Reader) lineError(name []byte, err error) error {
+	return fmt.Errorf("line %d: %.40q: %w", r.lineNumber, name, err)
 }
 
-// next reads a line into r.text, without its end.
-func (r *Reader) next() error {
-	text, err := r.in.ReadSlice('\n')
+// readLine reads a line into r.text, without its end.
+func (r *Reader) readLine() error {
+	text, err := r.input.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		r.long = append(r.long[:0], text...)
+		r.longLine = append(r.longLine[:0], text...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			text, err = r.in.ReadSlice('\n')
-			r.long = append(r.long, text...)
+			text, err = r.input.ReadSlice('\n')
+			r.longLine = append(r.longLine, text...)
 		}
-		text = r.long
+		text = r.longLine
 	}
 	if errors.Is(err, io.EOF) && len(text) > 0 {
-		r.line++
+		r.lineNumber++
 		return fmt.Errorf("%.40q: cut off: the line has no end", text)
 	}
 	if err != nil {
 		return err
 	}
-	r.line++
-	r.text = text[:len(text)-1]
+	r.lineNumber++
+	r.line = text[:len(text)-1]
 	return nil
 }
 
-func (r *Reader) event(b *Batch, name []byte, p *parser) error {
+func (r *Reader) readEvent(b *Batch, name []byte, p *parser) error {
 	if string(name) == "REGISTER" {
-		return r.register(p)
+		return r.readList(p)
 	}
-	b.Events = append(b.Events, Event{Line: r.line})
+	b.Events = append(b.Events, Event{Line: r.lineNumber})
 	e := &b.Events[len(b.Events)-1]
-	e.Instance = p.instance()
+	e.Instance = p.instanceID()
 	switch string(name) {
 	case "NEW_INSTANCE":
 		e.Kind = InstanceCreated
 		e.Seed = p.uint(64)
-		from := len(r.arena)
-		r.arena = append(r.arena, p.text()...)
-		e.ConfigJSON = r.arena[from:len(r.arena):len(r.arena)]
+		from := len(r.configBuffer)
+		r.configBuffer = append(r.configBuffer, p.remainder()...)
+		e.ConfigJSON = r.configBuffer[from:len(r.configBuffer):len(r.configBuffer)]
 	case "POWER_OFF":
 		e.Kind = InstanceStopped
 	case "ENDPOINTS":
 		e.Kind = EndpointsUpdated
-		return r.endpoints(e, p)
+		return r.readEndpoints(e, p)
 	case "QUERY":
 		e.Kind = RequestArrived
-		e.query(p)
+		e.readQuery(p)
 	case "HEAD_RECEIVED":
 		e.Kind = ResponseStarted
-		e.Request.ID = p.request()
-		e.Outcome.Attempt = p.small()
+		e.Request.ID = p.requestID()
+		e.Outcome.Attempt = p.index()
 		e.Outcome.Elapsed = time.Duration(p.int())
-		e.Outcome.Endpoint = p.endpoint()
+		e.Outcome.Endpoint = p.endpointID()
 	case "REPLY":
 		e.Kind = AttemptEnded
-		e.Request.ID = p.request()
+		e.Request.ID = p.requestID()
 		e.Outcome.Request = e.Request.ID
 		e.Outcome.Result = p.result()
 		e.Outcome.RequestFinished = p.bool()
-		e.Outcome.Endpoint = p.endpoint()
-		e.Outcome.Attempt = p.small()
+		e.Outcome.Endpoint = p.endpointID()
+		e.Outcome.Attempt = p.index()
 		e.Outcome.Elapsed = time.Duration(p.int())
 		e.readLoad(p)
 	case "ABORTED":
 		e.Kind = RequestAbandoned
-		e.Request.ID = p.request()
+		e.Request.ID = p.requestID()
 	case "RING":
 		e.Kind = TimerFired
-		e.Timer = p.cookie()
+		e.Timer = p.timer()
 	case "PROBE_RESULT":
 		e.Kind = ProbeEnded
-		e.Outcome.Endpoint = p.endpoint()
+		e.Outcome.Endpoint = p.endpointID()
 		e.Outcome.Result = p.result()
 		e.Outcome.Elapsed = time.Duration(p.int())
 		e.readLoad(p)
 	case "INBOX":
 		e.Kind = PeerMessage
 		p.uint(31)
-		p.base64()
+		p.skipBase64()
 	default:
 		return errors.New("unknown message")
 	}
-	return p.end()
+	return p.expectEnd()
 }
 
-func (e *Event) query(p *parser) {
+func (e *Event) readQuery(p *parser) {
 	q := &e.Request
-	q.ID = p.request()
-	marks := p.optional(32)
-	q.Tenant = int(p.optional(16))
-	p.optional(53)
+	q.ID = p.requestID()
+	marks := p.optionalUint(32)
+	q.Tenant = int(p.optionalUint(16))
+	p.optionalUint(53)
 	q.Timeout = time.Duration(p.int())
-	q.Class = p.small()
-	hint := p.optional(62)
+	q.Class = p.index()
+	hint := p.optionalUint(62)
 	if marks&1 != 0 {
 		q.ExpectedWork = time.Duration(hint)
 	}
 	q.ClientRetry = marks&2 != 0
 }
 
-func (r *Reader) endpoints(e *Event, p *parser) error {
-	kind := p.word()
-	p.optional(64)
+func (r *Reader) readEndpoints(e *Event, p *parser) error {
+	kind := p.token()
+	p.optionalUint(64)
 	switch string(kind) {
 	case "changes":
 		e.ListKind = balance.ListChanges
@@ -254,69 +254,69 @@
 		e.ListKind = balance.ListLastKnown
 	case "refused":
 		e.ListKind = balance.ListUnavailable
-		p.word()
-		return p.end()
+		p.token()
+		return p.expectEnd()
 	default:
 		return fmt.Errorf("unknown kind of list %.40q", kind)
 	}
 	n := p.uint(64)
-	if err := p.end(); err != nil {
+	if err := p.expectEnd(); err != nil {
 		return err
 	}
-	if n >= uint64(len(r.banks)) || !r.banks[n].set {
+	if n >= uint64(len(r.lists)) || !r.lists[n].registered {
 		return fmt.Errorf("no list has the number %d", n)
 	}
-	e.Endpoints = r.banks[n].entries
+	e.Endpoints = r.lists[n].endpoints
 	return nil
 }
 
-// register reads a list. Events read before keep the one that had its number.
-func (r *Reader) register(p *parser) error {
+// readList reads a list. Events read before keep the one that had its number.
+func (r *Reader) readList(p *parser) error {
 	n := p.uint(64)
 	count := p.uint(31)
-	if err := p.end(); err != nil {
+	if err := p.expectEnd(); err != nil {
 		return err
 	}
-	if n >= uint64(len(r.banks)) {
-		return fmt.Errorf("list number %d is not from 0 to %d", n, len(r.banks)-1)
+	if n >= uint64(len(r.lists)) {
+		return fmt.Errorf("list number %d is not from 0 to %d", n, len(r.lists)-1)
 	}
 	entries := make([]balance.Endpoint, 0, min(count, 1<<16))
 	for range count {
-		if err := r.next(); err != nil {
+		if err := r.readLine(); err != nil {
 			return fmt.Errorf("the list is cut off: %w", err)
 		}
-		p := parser{rest: r.text}
-		if name := p.word(); string(name) != "ENTRY" {
+		p := parser{rest: r.line}
+		if name := p.token(); string(name) != "ENTRY" {
 			return fmt.Errorf("the list is cut off by %.40q", name)
 		}
 		var e balance.Endpoint
-		e.ID = p.endpoint()
-		e.Zone = int(p.optional(31))
-		p.optional(31)
-		e.Cell = int(p.optional(31))
-		e.State = p.state()
+		e.ID = p.endpointID()
+		e.Zone = int(p.optionalUint(31))
+		p.optionalUint(31)
+		e.Cell = int(p.optionalUint(31))
+		e.State = p.endpointState()
 		e.Weight = p.float(1)
-		e.StartedAt = time.Duration(p.optional(63))
-		if err := p.end(); err != nil {
+		e.StartedAt = time.Duration(p.optionalUint(63))
+		if err := p.expectEnd(); err != nil {
 			return fmt.Errorf("ENTRY: %w", err)
 		}
 		entries = append(entries, e)
 	}
-	r.banks[n] = bank{set: true, entries: entries}
+	r.lists[n] = registeredList{registered: true, endpoints: entries}
 	return nil
 }
 
 // readLoad takes the report at the end of a line. What its values mean is in the instance's settings.
 func (e *Event) readLoad(p *parser) {
-	e.values = -1
-	row := p.word()
+	e.reportLen = -1
+	row := p.token()
 	if string(row) == "-" || p.err != nil {
 		return
 	}
-	for e.values = 0; len(row) > 0; e.values++ {
+	for e.reportLen = 0; len(row) > 0; e.reportLen++ {
 		part, rest, _ := bytes.Cut(row, []byte{','})
 		row = rest
-		if e.values == MaxLoadFields {
+		if e.reportLen == MaxLoadFields {
 			p.fail("a load report of over %d values", MaxLoadFields)
 			return
 		}
@@ -328,22 +328,22 @@
 				return
 			}
 		}
-		e.report[e.values] = v
+		e.reportValues[e.reportLen] = v
 	}
 }
 
 // Load returns the report of a Reply or ProbeResult whose values are these fields, or nil if it has none.
 // It is valid as long as the event.
 func (e *Event) Load(fields []LoadField) (*balance.Load, error) {
-	if e.values < 0 {
+	if e.reportLen < 0 {
 		return nil, nil
 	}
-	if e.values != len(fields) {
-		return nil, fmt.Errorf("a load report of %d values, not %d", e.values, len(fields))
+	if e.reportLen != len(fields) {
+		return nil, fmt.Errorf("a load report of %d values, not %d", e.reportLen, len(fields))
 	}
 	e.load = balance.Load{InFlight: -1, Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}
 	for i, f := range fields {
-		switch v := e.report[i]; f {
+		switch v := e.reportValues[i]; f {
 		case FieldInFlight:
 			e.load.InFlight = v
 		case FieldQueued:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,32 +11,32 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-func read(text string) (*Batch, error) {
+func readBatch(text string) (*Batch, error) {
 	b := new(Batch)
 	return b, NewReader(strings.NewReader(text)).Read(b)
 }
 
-// one reads a batch of the lines given and returns its last event.
-func one(t *testing.T, lines string) *Event {
+// readLastEvent reads a batch of the lines given and returns its last event.
+func readLastEvent(t *testing.T, lines string) *Event {
 	t.Helper()
-	b, err := read("TICK 8412250000 12\n" + lines + "\nEOB\n")
+	b, err := readBatch("TICK 8412250000 12\n" + lines + "\nEOB\n")
 	if err != nil {
 		t.Fatalf("%s: %v", lines, err)
 	}
 	return &b.Events[len(b.Events)-1]
 }
 
-func TestEvents(t *testing.T) {
-	e := one(t, "QUERY sidecar_3 51fdf2bc5d3a91c4 3 2 4569004829183723 240000000 1 12000000")
+func TestReadEvents(t *testing.T) {
+	e := readLastEvent(t, "QUERY sidecar_3 51fdf2bc5d3a91c4 3 2 4569004829183723 240000000 1 12000000")
 	want := balance.Request{ID: 0x51fdf2bc5d3a91c4, Class: 1, Tenant: 2, Timeout: 240 * time.Millisecond,
 		ClientRetry: true, ExpectedWork: 12 * time.Millisecond}
 	if e.Kind != RequestArrived || e.Instance != 3 || e.Request != want {
 		t.Errorf("QUERY: %+v", e)
 	}
-	if e = one(t, "QUERY sidecar_3 51fdf2bc5d3a91c4 0 - - 240000000 0 -"); e.Request.ExpectedWork != 0 || e.Request.ClientRetry {
+	if e = readLastEvent(t, "QUERY sidecar_3 51fdf2bc5d3a91c4 0 - - 240000000 0 -"); e.Request.ExpectedWork != 0 || e.Request.ClientRetry {
 		t.Errorf("QUERY without optional values: %+v", e.Request)
 	}
-	e = one(t, "REPLY sidecar_3 51fdf2bc5d3a91c4 completed 1 51530247 0 18500000 2,-,0.5")
+	e = readLastEvent(t, "REPLY sidecar_3 51fdf2bc5d3a91c4 completed 1 51530247 0 18500000 2,-,0.5")
 	if o := e.Outcome; e.Kind != AttemptEnded || o.Result != balance.OK || !o.RequestFinished || o.Endpoint != 51530247 ||
 		o.Elapsed != 18500*time.Microsecond {
 		t.Errorf("REPLY: %+v", o)
@@ -48,20 +48,20 @@
 	if _, err := e.Load([]LoadField{FieldInFlight}); err == nil {
 		t.Error("a report with too many values was taken")
 	}
-	if e = one(t, "PROBE_RESULT sidecar_3 7 overdue 50000000 -"); e.Kind != ProbeEnded ||
+	if e = readLastEvent(t, "PROBE_RESULT sidecar_3 7 overdue 50000000 -"); e.Kind != ProbeEnded ||
 		e.Outcome.Result != balance.Timeout || e.Outcome.Endpoint != 7 {
 		t.Errorf("PROBE_RESULT: %+v", e)
 	}
 	if load, err := e.Load(nil); load != nil || err != nil {
 		t.Errorf("absent load: %+v, %v", load, err)
 	}
-	if e = one(t, "RING sidecar_3 2.00000000000000ff"); e.Timer != (balance.Timer{Kind: 2, Ref: 255}) {
+	if e = readLastEvent(t, "RING sidecar_3 2.00000000000000ff"); e.Timer != (balance.Timer{Kind: 2, Ref: 255}) {
 		t.Errorf("RING: %+v", e.Timer)
 	}
-	if e = one(t, "RING sidecar_3 sweep"); e.Timer != (balance.Timer{}) {
+	if e = readLastEvent(t, "RING sidecar_3 sweep"); e.Timer != (balance.Timer{}) {
 		t.Errorf("RING of a foreign cookie: %+v", e.Timer)
 	}
-	if e = one(t, "HEAD_RECEIVED sidecar_3 67c3e1570e6f2b19 1 5 9"); e.Kind != ResponseStarted || e.Outcome.Attempt != 1 {
+	if e = readLastEvent(t, "HEAD_RECEIVED sidecar_3 67c3e1570e6f2b19 1 5 9"); e.Kind != ResponseStarted || e.Outcome.Attempt != 1 {
 		t.Errorf("HEAD_RECEIVED: %+v", e)
 	}
 	for line, kind := range map[string]EventKind{
@@ -73,14 +73,14 @@
 		"ENDPOINTS sidecar_5 refused 41 0":    EndpointsUpdated,
 		"ENDPOINTS sidecar_5 refused - -":     EndpointsUpdated,
 	} {
-		if e := one(t, line); e.Kind != kind || e.Instance != 5 {
+		if e := readLastEvent(t, line); e.Kind != kind || e.Instance != 5 {
 			t.Errorf("%s: %+v", line, e)
 		}
 	}
 }
 
-func TestListsAreResolvedInOrder(t *testing.T) {
-	b, err := read(`TICK 1 1
+func TestEndpointsResolvesLatestRegisteredList(t *testing.T) {
+	b, err := readBatch(`TICK 1 1
 REGISTER 0 2
 ENTRY 51530247 0 0 0 in_service 1 -
 ENTRY 747639282 1 0 4 terminating 1.5 6100000000
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestReadRejectsMalformedInput(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"no tick":         {"QUERY x\n", "line 1"},
 		"bad clock":       {"TICK now 1\nEOB\n", "bad number"},
@@ -130,17 +130,17 @@
 		"cut batch":       {"TICK 1 7\nPOWER_OFF sidecar_1\n", "batch 7 is cut off"},
 		"cut line":        {"TICK 1 7\nPOWER_OFF sidecar_1", "cut off"},
 	} {
-		_, err := read(c.text)
+		_, err := readBatch(c.text)
 		if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
-	if _, err := read(""); !errors.Is(err, io.EOF) {
+	if _, err := readBatch(""); !errors.Is(err, io.EOF) {
 		t.Errorf("end of input: %v, want io.EOF", err)
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestAppendAction(t *testing.T) {
 	for _, c := range []struct {
 		a    balance.Action
 		want string
@@ -162,7 +162,7 @@
 	timer := balance.Timer{Kind: 1, Ref: 0xfedcba9876543210}
 	line := string(AppendAction(nil, 3, &balance.Action{Kind: balance.SetTimer, Timer: timer, Delay: 9}))
 	cookie := strings.Fields(line)[2]
-	if e := one(t, "RING sidecar_3 "+cookie); e.Timer != timer {
+	if e := readLastEvent(t, "RING sidecar_3 "+cookie); e.Timer != timer {
 		t.Errorf("%q came back as %+v", line, e.Timer)
 	}
 	if got := string(AppendPanic(nil, 3, "a\nb")); got != "PANIC sidecar_3 a b\n" {
@@ -170,7 +170,7 @@
 	}
 }
 
-const settingsText = `{"balancers": 8, "unknown": [1], "classes": [{"goalTimeNs": 1540000000, "hardLimitNs": 3850000000,
+const settingsJSON = `{"balancers": 8, "unknown": [1], "classes": [{"goalTimeNs": 1540000000, "hardLimitNs": 3850000000,
 "importance": 1.0, "keyScope": "zone", "lateShare": 0.5, "name": "x", "repeatWindowNs": 10000000000,
 "semantics": "keyed", "stream": false}], "discovery": "ask", "limits": {"attemptsCap": 6, "cancel": true,
 "probes": true, "secondCopies": true, "peers": true, "retryAfter": true, "maxRetryAfterNs": 2000000000,
@@ -180,8 +180,8 @@
 "goal": {"whole": 0.6, "worstWindow": 0.1, "worstClass": 0.2, "worstTenant": 0.4, "logLossPart": 0.3, "ninesFull": 2},
 "costs": {"connection": 1, "crossZone": 2, "handshake": 3, "lateFail": 4, "peer": 5, "probe": 6, "waste": 7, "moves": 8}, "stepNs": 1000000, "tier": 1, "weights": "nominal", "zone": 1}`
 
-func TestConfig(t *testing.T) {
-	c, fields, err := ParseConfig([]byte(settingsText))
+func TestParseConfig(t *testing.T) {
+	c, fields, err := ParseConfig([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,7 +220,7 @@
 		{`"keyed"`, `"maybe"`}, {`"zone", "late`, `"room", "late`}, {`"nominal"`, `"heavy"`}, {`"pull"`, `"push"`},
 		{`{"balancers"`, `{"balancers`},
 	} {
-		if _, _, err := ParseConfig([]byte(strings.Replace(settingsText, spoil[0], spoil[1], 1))); err == nil {
+		if _, _, err := ParseConfig([]byte(strings.Replace(settingsJSON, spoil[0], spoil[1], 1))); err == nil {
 			t.Errorf("%s in place of %s was taken", spoil[1], spoil[0])
 		}
 	}
