--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,6 @@
-// Command adapter hosts balancers for the operators' bench: batches of events
-// on standard input, replies on standard output.
+// Command adapter runs balancers for the operators' bench. It reads batches of
+// events from standard input and writes one reply for each to standard output, in
+// the line protocol of package wire.
 package main
 
 import (
@@ -20,17 +21,21 @@
 	}
 }
 
-// instance is one sidecar: its balancer, nil if its settings were at fault, and its report's fields.
+// instance is one simulated sidecar.
 type instance struct {
-	balancer   *balance.Balancer
-	loadFields []wire.LoadField
+	balancer   *balance.Balancer // nil if the settings were invalid or the balancer has panicked
+	loadFields []wire.LoadField  // what the values of a load report measure, in their order
 }
 
-// run answers batches until the input ends.
-func run(in io.Reader, out io.Writer) error {
+// run reads batches from input and writes their replies to output until the input
+// ends between two batches. It returns an error for malformed input, an event of an
+// unknown instance and a failed write. Invalid settings and a panic of a balancer
+// are no errors: the reply reports them in a PANIC line, and later events of that
+// instance are ignored until it is created again.
+func run(input io.Reader, output io.Writer) error {
 	instances := make(map[uint32]*instance)
-	reader := wire.NewReader(in)
-	w := bufio.NewWriterSize(out, 1<<16)
+	reader := wire.NewReader(input)
+	writer := bufio.NewWriterSize(output, 1<<16)
 	var batch wire.Batch
 	var reply []byte
 	var actions []balance.Action
@@ -56,16 +61,16 @@
 				delete(instances, e.Instance)
 				continue
 			}
-			in := instances[e.Instance]
-			if in == nil {
+			inst := instances[e.Instance]
+			if inst == nil {
 				return fmt.Errorf("line %d: unknown instance sidecar_%d", e.Line, e.Instance)
 			}
-			if in.balancer == nil {
+			if inst.balancer == nil {
 				continue
 			}
-			actions, err = handleEvent(in, &batch, e, actions[:0])
+			actions, err = handleEvent(inst, &batch, e, actions[:0])
 			if errors.Is(err, errPanic) {
-				in.balancer = nil
+				inst.balancer = nil
 				reply = wire.AppendPanic(reply, e.Instance, err.Error())
 				continue
 			}
@@ -77,15 +82,17 @@
 			}
 		}
 		reply = wire.AppendEnd(reply, batch.SequenceNumber)
-		if _, err := w.Write(reply); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
+// newInstance returns the instance that an InstanceCreated event describes. Beside
+// an error it returns an instance without a balancer.
 func newInstance(e *wire.Event) (*instance, error) {
 	cfg, fields, err := wire.ParseConfig(e.ConfigJSON)
 	if err != nil {
@@ -95,38 +102,41 @@
 	return &instance{balancer: b, loadFields: fields}, err
 }
 
+// errPanic says that a balancer panicked. Its text is part of the PANIC line.
 var errPanic = errors.New("panic")
 
-// handleEvent gives an event to its balancer.
-func handleEvent(in *instance, batch *wire.Batch, e *wire.Event, acts []balance.Action) (_ []balance.Action, err error) {
+// handleEvent passes an event to the balancer of its instance and returns actions
+// with the balancer's actions appended. The error is errPanic if the balancer
+// panicked; any other error is a load report that does not fit the settings.
+func handleEvent(inst *instance, batch *wire.Batch, e *wire.Event, actions []balance.Action) (_ []balance.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", errPanic, p)
 		}
 	}()
-	b, now := in.balancer, batch.Now
+	b, now := inst.balancer, batch.Now
 	switch e.Kind {
 	case wire.EndpointsUpdated:
-		return b.EndpointsUpdated(now, e.ListKind, e.Endpoints, acts), nil
+		return b.EndpointsUpdated(now, e.ListKind, e.Endpoints, actions), nil
 	case wire.RequestArrived:
-		return b.RequestArrived(now, e.Request, acts), nil
+		return b.RequestArrived(now, e.Request, actions), nil
 	case wire.ResponseStarted:
-		return b.ResponseStarted(now, e.Request.ID, e.Outcome.Attempt, acts), nil
+		return b.ResponseStarted(now, e.Request.ID, e.Outcome.Attempt, actions), nil
 	case wire.AttemptEnded:
-		if e.Outcome.Load, err = e.Load(in.loadFields); err != nil {
-			return acts, err
+		if e.Outcome.Load, err = e.Load(inst.loadFields); err != nil {
+			return actions, err
 		}
-		return b.AttemptEnded(now, e.Outcome, acts), nil
+		return b.AttemptEnded(now, e.Outcome, actions), nil
 	case wire.RequestAbandoned:
-		return b.RequestAbandoned(now, e.Request.ID, acts), nil
+		return b.RequestAbandoned(now, e.Request.ID, actions), nil
 	case wire.TimerFired:
-		return b.TimerFired(now, e.Timer, acts), nil
+		return b.TimerFired(now, e.Timer, actions), nil
 	case wire.ProbeEnded:
-		load, err := e.Load(in.loadFields)
+		load, err := e.Load(inst.loadFields)
 		if err != nil {
-			return acts, err
+			return actions, err
 		}
-		return b.ProbeEnded(now, e.Outcome.Endpoint, e.Outcome.Result, load, acts), nil
+		return b.ProbeEnded(now, e.Outcome.Endpoint, e.Outcome.Result, load, actions), nil
 	}
-	return acts, nil // a peer's message: the balancer has no use for it
+	return actions, nil // a PeerMessage: balancers exchange no messages
 }
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -8,73 +8,80 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// ParseConfig reads an instance's settings, and the fields of its load reports in
-// order. Unknown keys are skipped.
+// ParseConfig parses an instance's settings, a JSON object. It returns the
+// balancer's configuration and the fields of a load report in the order in which
+// reports list them. Unknown keys are ignored. Attempts can be canceled and a
+// connection carries one request at a time unless limits.cancel and
+// limits.maxStreams say otherwise. A field of a load report whose name is unknown
+// is [FieldUnknown]. ParseConfig rejects unknown enumerated values and leaves all
+// other checks to [balance.New].
 func ParseConfig(text []byte) (balance.Config, []LoadField, error) {
-	var s settings
-	s.Limits.Cancel, s.Limits.MaxStreams = true, 1
-	if err := json.Unmarshal(text, &s); err != nil {
+	var raw settings
+	raw.Limits.Cancel, raw.Limits.MaxStreams = true, 1
+	if err := json.Unmarshal(text, &raw); err != nil {
 		return balance.Config{}, nil, fmt.Errorf("config: %w", err)
 	}
-	c := balance.Config{
-		SidecarIndex: s.Me, SidecarCount: s.Balancers, Tier: s.Tier, Zone: s.Zone,
-		OverQuotaValue:             s.OverShareWorth,
-		ClientsMarkRetries:         s.Clients.MarksRetry,
-		EndpointsPropagateDeadline: s.Specifics.PassesDeadline,
-		MustSubscribe:              s.Discovery == "ask",
-		MaxSubscribeDelay:          s.Rules.AskWithin,
-		Costs:                      s.Costs,
+	cfg := balance.Config{
+		SidecarIndex: raw.Me, SidecarCount: raw.Balancers, Tier: raw.Tier, Zone: raw.Zone,
+		OverQuotaValue:             raw.OverShareWorth,
+		ClientsMarkRetries:         raw.Clients.MarksRetry,
+		EndpointsPropagateDeadline: raw.Specifics.PassesDeadline,
+		MustSubscribe:              raw.Discovery == "ask",
+		MaxSubscribeDelay:          raw.Rules.AskWithin,
+		Costs:                      raw.Costs,
 		Limits: balance.Limits{
-			MaxAttempts: s.Limits.AttemptsCap, Hedging: s.Limits.SecondCopies,
-			Probes: s.Limits.Probes, Cancel: s.Limits.Cancel, PeerMessages: s.Limits.Peers, MaxRetryAfter: s.Limits.MaxRetryAfter,
-			ConnectTimeout: s.Limits.ConnectTimeout, KeepAlive: s.Limits.KeepAlive,
-			MaxStreams: s.Limits.MaxStreams,
+			MaxAttempts: raw.Limits.AttemptsCap, Hedging: raw.Limits.SecondCopies,
+			Probes: raw.Limits.Probes, Cancel: raw.Limits.Cancel, PeerMessages: raw.Limits.Peers, MaxRetryAfter: raw.Limits.MaxRetryAfter,
+			ConnectTimeout: raw.Limits.ConnectTimeout, KeepAlive: raw.Limits.KeepAlive,
+			MaxStreams: raw.Limits.MaxStreams,
 		},
-		ColdCapacityShare: s.Rules.ColdShare, WarmupTime: s.Rules.Cold,
-		ColdOverloadMultiple: s.Rules.FallMultiple, ColdOverloadTime: s.Rules.TipAfter,
-		DrainGrace: s.Rules.DrainGrace, MaxDrainIdleTime: s.Rules.ReleaseWithin,
+		ColdCapacityShare: raw.Rules.ColdShare, WarmupTime: raw.Rules.Cold,
+		ColdOverloadMultiple: raw.Rules.FallMultiple, ColdOverloadTime: raw.Rules.TipAfter,
+		DrainGrace: raw.Rules.DrainGrace, MaxDrainIdleTime: raw.Rules.ReleaseWithin,
 		Objective: balance.ObjectiveWeights{
-			Overall: s.Goal.Whole, WorstWindow: s.Goal.WorstWindow, WorstClass: s.Goal.WorstClass,
-			WorstTenant: s.Goal.WorstTenant, Nines: s.Goal.LogLossPart, NinesTarget: s.Goal.NinesFull,
+			Overall: raw.Goal.Whole, WorstWindow: raw.Goal.WorstWindow, WorstClass: raw.Goal.WorstClass,
+			WorstTenant: raw.Goal.WorstTenant, Nines: raw.Goal.LogLossPart, NinesTarget: raw.Goal.NinesFull,
 		},
-		ValueScalesWithWork: s.CountedBy == "work",
-		ClockResolution:     s.Step,
+		ValueScalesWithWork: raw.CountedBy == "work",
+		ClockResolution:     raw.Step,
 	}
-	if !s.Limits.RetryAfter {
-		c.Limits.MaxRetryAfter = 0
+	if !raw.Limits.RetryAfter {
+		cfg.Limits.MaxRetryAfter = 0
 	}
-	for i, k := range s.Classes {
+	for i, rawClass := range raw.Classes {
 		class := balance.Class{
-			Name: k.Name, TargetLatency: k.Goal, Deadline: k.Deadline, Value: k.Importance,
-			LateValueShare: k.LateShare, TargetWorkFactor: k.AimStretch, RepeatWindow: k.RepeatWindow, Streaming: k.Stream,
+			Name: rawClass.Name, TargetLatency: rawClass.Goal, Deadline: rawClass.Deadline, Value: rawClass.Importance,
+			LateValueShare: rawClass.LateShare, TargetWorkFactor: rawClass.AimStretch, RepeatWindow: rawClass.RepeatWindow, Streaming: rawClass.Stream,
 		}
 		var ok bool
-		if class.Semantics, ok = semanticsByName[k.Semantics]; !ok {
-			return c, nil, fmt.Errorf("config: classes[%d].semantics: unknown value %q", i, k.Semantics)
+		if class.Semantics, ok = semanticsByName[rawClass.Semantics]; !ok {
+			return cfg, nil, fmt.Errorf("config: classes[%d].semantics: unknown value %q", i, rawClass.Semantics)
 		}
-		if class.Scope, ok = scopeByName[k.KeyScope]; !ok && class.Semantics == balance.Keyed {
-			return c, nil, fmt.Errorf("config: classes[%d].keyScope: unknown value %q", i, k.KeyScope)
+		if class.Scope, ok = scopeByName[rawClass.KeyScope]; !ok && class.Semantics == balance.Keyed {
+			return cfg, nil, fmt.Errorf("config: classes[%d].keyScope: unknown value %q", i, rawClass.KeyScope)
 		}
-		c.Classes = append(c.Classes, class)
+		cfg.Classes = append(cfg.Classes, class)
 	}
-	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, balance.Tenant(t))
+	for _, t := range raw.Tenants {
+		cfg.Tenants = append(cfg.Tenants, balance.Tenant(t))
 	}
 	var ok bool
-	if c.WeightMeaning, ok = weightMeaningByName[s.Weights]; !ok {
-		return c, nil, fmt.Errorf("config: weights: unknown value %q", s.Weights)
+	if cfg.WeightMeaning, ok = weightMeaningByName[raw.Weights]; !ok {
+		return cfg, nil, fmt.Errorf("config: weights: unknown value %q", raw.Weights)
 	}
-	if c.Reporting, ok = reportingByName[s.LoadInfo.How]; !ok {
-		return c, nil, fmt.Errorf("config: loadInfo.how: unknown value %q", s.LoadInfo.How)
+	if cfg.Reporting, ok = reportingByName[raw.LoadInfo.How]; !ok {
+		return cfg, nil, fmt.Errorf("config: loadInfo.how: unknown value %q", raw.LoadInfo.How)
 	}
-	fields := make([]LoadField, len(s.LoadInfo.Fields))
-	for i, name := range s.LoadInfo.Fields {
+	fields := make([]LoadField, len(raw.LoadInfo.Fields))
+	for i, name := range raw.LoadInfo.Fields {
 		fields[i] = loadFieldByName[name]
 	}
-	return c, fields, nil
+	return cfg, fields, nil
 }
 
-// settings are the settings as they come; times are in nanoseconds.
+// settings is the JSON form of an instance's settings. Durations are in
+// nanoseconds. Field names without a tag are JSON keys, which encoding/json
+// matches without regard to case and prints in its errors, so they can't be renamed.
 type settings struct {
 	Balancers, Me, Tier, Zone int
 	Classes                   []struct {
@@ -128,7 +135,8 @@
 	Weights string
 }
 
-// An empty name is a key that was left out.
+// The enumerated values of the settings and the names of load report fields. The
+// empty string, where it is listed, stands for an absent key.
 var (
 	semanticsByName = map[string]balance.Semantics{
 		"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe,
--- a/internal/wire/parse.go
+++ b/internal/wire/parse.go
@@ -10,20 +10,23 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// parser takes the values of a line one by one. The first mistake sticks and
-// end returns it.
+// parser parses the values of a line one by one. Values are separated by single
+// spaces. The parser keeps the first error, which expectEnd returns. Values
+// that are taken after an error are meaningless.
 type parser struct {
-	rest      []byte
-	exhausted bool // nothing is left, not even an empty value
-	err       error
+	rest      []byte // the part of the line that has not been parsed
+	exhausted bool   // no value remains; an empty rest before that is one empty value
+	err       error  // the first error
 }
 
+// fail records an error unless there is one already.
 func (p *parser) fail(format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf(format, args...)
 	}
 }
 
+// token takes the next value.
 func (p *parser) token() []byte {
 	if p.exhausted {
 		p.fail("too few values")
@@ -39,6 +42,7 @@
 	return w
 }
 
+// remainder takes the rest of the line as one value, which may contain spaces.
 func (p *parser) remainder() []byte {
 	if p.exhausted {
 		p.fail("too few values")
@@ -48,6 +52,8 @@
 	return p.rest
 }
 
+// expectEnd returns the first error of the line. A line that has further values
+// is an error too.
 func (p *parser) expectEnd() error {
 	if !p.exhausted {
 		p.fail("too many values")
@@ -55,6 +61,8 @@
 	return p.err
 }
 
+// parseUint parses a decimal number without a sign that fits into the given
+// number of bits.
 func (p *parser) parseUint(w []byte, bits int) uint64 {
 	var n uint64
 	if len(w) == 0 {
@@ -73,9 +81,11 @@
 	return n
 }
 
+// uint takes an unsigned number.
 func (p *parser) uint(bits int) uint64 { return p.parseUint(p.token(), bits) }
 
-// optionalUint takes a number that may be absent, which counts as 0.
+// optionalUint takes an unsigned number, or "-" for an absent one, which it
+// returns as 0.
 func (p *parser) optionalUint(bits int) uint64 {
 	w := p.token()
 	if string(w) == "-" {
@@ -84,6 +94,7 @@
 	return p.parseUint(w, bits)
 }
 
+// int takes a signed number.
 func (p *parser) int() int64 {
 	w := p.token()
 	if len(w) > 0 && w[0] == '-' {
@@ -92,9 +103,12 @@
 	return int64(p.parseUint(w, 63))
 }
 
-// index takes a number to be used as an index.
+// index takes an unsigned number of 31 bits, which fits into an int on every
+// platform.
 func (p *parser) index() int { return int(p.uint(31)) }
 
+// float takes a finite floating-point number. For "-", an absent one, it returns
+// the value of absent.
 func (p *parser) float(absent float64) float64 {
 	w := p.token()
 	if string(w) == "-" {
@@ -107,6 +121,7 @@
 	return v
 }
 
+// bool takes 0 or 1.
 func (p *parser) bool() bool {
 	w := p.token()
 	if len(w) != 1 || w[0] != '0' && w[0] != '1' {
@@ -116,6 +131,8 @@
 	return w[0] == '1'
 }
 
+// instanceID takes the name of an instance, such as sidecar_3, and returns its
+// number.
 func (p *parser) instanceID() uint32 {
 	w := p.token()
 	n, ok := bytes.CutPrefix(w, []byte("sidecar_"))
@@ -126,8 +143,10 @@
 	return uint32(p.parseUint(n, 32))
 }
 
+// endpointID takes the number of an endpoint.
 func (p *parser) endpointID() balance.EndpointID { return balance.EndpointID(p.uint(32)) }
 
+// requestID takes a request's ID: 16 lower-case hexadecimal digits.
 func (p *parser) requestID() balance.RequestID {
 	w := p.token()
 	n, ok := parseHex(w)
@@ -137,7 +156,9 @@
 	return balance.RequestID(n)
 }
 
-// timer takes a timer's token; one that no reply of ours has set is none of ours.
+// timer takes the cookie of a timer, as [AppendAction] writes it: the timer's
+// kind, a dot and its reference. Any other cookie of 1 to 64 bytes is valid but
+// yields the zero Timer, which belongs to no balancer.
 func (p *parser) timer() balance.Timer {
 	w := p.token()
 	if len(w) == 0 || len(w) > 64 {
@@ -154,6 +175,7 @@
 	return balance.Timer{Kind: kind[0] - '0', Ref: n}
 }
 
+// parseHex parses lower-case hexadecimal digits; ok is false if w has any other byte.
 func parseHex(w []byte) (n uint64, ok bool) {
 	for _, c := range w {
 		switch {
@@ -168,6 +190,8 @@
 	return n, true
 }
 
+// skipBase64 takes a value in base64, or "-" for an absent one, and discards it
+// once it is checked.
 func (p *parser) skipBase64() {
 	w := p.token()
 	if string(w) == "-" {
@@ -179,6 +203,7 @@
 	}
 }
 
+// endpointState takes the status of an endpoint.
 func (p *parser) endpointState() balance.EndpointState {
 	switch w := p.token(); string(w) {
 	case "in_service":
@@ -193,6 +218,7 @@
 	}
 }
 
+// result takes the reason for which an attempt or a probe ended.
 func (p *parser) result() balance.Result {
 	switch w := p.token(); string(w) {
 	case "completed":
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire reads and writes the operators' line dialect: batches of events
-// in, replies of actions out. It takes no decisions.
+// Package wire reads and writes the line protocol of the operators' bench: it
+// reads batches of events and writes replies, which list actions. It makes no
+// balancing decisions.
 package wire
 
 import (
@@ -17,7 +18,7 @@
 // EventKind is the kind of an [Event].
 type EventKind uint8
 
-// The kinds of event.
+// The kinds of events.
 const (
 	InstanceCreated EventKind = iota
 	InstanceStopped
@@ -31,56 +32,57 @@
 	PeerMessage
 )
 
-// Event is one event of a batch. Only the fields of its kind are set.
+// Event is one event of a batch. Only the fields that its kind uses are set.
 type Event struct {
 	Kind     EventKind
-	Instance uint32
-	Line     int // its line in the input, from 1
+	Instance uint32 // number of the sidecar instance that the event is for
+	Line     int    // line number of the event in the input, from 1
 
-	Seed       uint64
-	ConfigJSON []byte // of NewInstance, valid until the next batch
-	ListKind   balance.ListKind
-	Endpoints  []balance.Endpoint // shared between events; valid until the next batch
-	Request    balance.Request    // Query; its ID for all events about a request
-	Outcome    balance.Outcome    // Reply, and ProbeResult as far as it goes; Load is not set
-	Timer      balance.Timer      // zero for a cookie that no reply has set
+	Seed       uint64             // of InstanceCreated
+	ConfigJSON []byte             // of InstanceCreated; valid until the next batch is read
+	ListKind   balance.ListKind   // of EndpointsUpdated
+	Endpoints  []balance.Endpoint // of EndpointsUpdated; shared between events, valid until the next batch is read
+	Request    balance.Request    // of RequestArrived; other events about a request set its ID only
+	Outcome    balance.Outcome    // of AttemptEnded, in part of ResponseStarted and ProbeEnded; its Load is not set, see [Event.Load]
+	Timer      balance.Timer      // of TimerFired; zero for a cookie that AppendAction did not write
 
 	reportValues [MaxLoadFields]float64
-	reportLen    int // of report; -1 without one
-	load         balance.Load
+	reportLen    int          // number of values in reportValues; -1 without a load report
+	load         balance.Load // what Load returns
 }
 
-// Batch is what has come in at one time.
+// Batch is the events of one point in time.
 type Batch struct {
-	Now            time.Duration
-	SequenceNumber uint64
+	Now            time.Duration // simulated time of the events
+	SequenceNumber uint64        // returned in the END line of the reply
 	Events         []Event
 }
 
-// Reader reads batches.
+// Reader reads batches. It is not safe for concurrent use.
 type Reader struct {
 	input        *bufio.Reader
-	lineNumber   int
-	line         []byte
-	longLine     []byte
-	lists        [16]registeredList
-	configBuffer []byte
+	lineNumber   int                // number of the current line, from 1
+	line         []byte             // the current line without its line feed
+	longLine     []byte             // holds a line that exceeds the buffer of input
+	lists        [16]registeredList // the registered endpoint lists by number
+	configBuffer []byte             // holds the ConfigJSON of the batch's events
 }
 
+// registeredList is an endpoint list that ENDPOINTS lines refer to by its number.
 type registeredList struct {
 	registered bool
 	endpoints  []balance.Endpoint
 }
 
-// MaxLoadFields is the most values that a load report has.
+// MaxLoadFields is the maximum number of values in a load report.
 const MaxLoadFields = 4
 
-// LoadField is a value of a load report.
+// LoadField says what a value of a load report measures.
 type LoadField uint8
 
-// The values of a load report.
+// The fields of a load report. They correspond to the fields of [balance.Load].
 const (
-	FieldUnknown LoadField = iota
+	FieldUnknown LoadField = iota // an unknown name in the settings; the value is ignored
 	FieldInFlight
 	FieldQueued
 	FieldUtilization
@@ -89,12 +91,14 @@
 	FieldFailed
 )
 
-// NewReader returns a Reader of in.
-func NewReader(in io.Reader) *Reader {
-	return &Reader{input: bufio.NewReaderSize(in, 1<<20)}
+// NewReader returns a Reader that reads from input.
+func NewReader(input io.Reader) *Reader {
+	return &Reader{input: bufio.NewReaderSize(input, 1<<20)}
 }
 
-// Read reads the next batch into b. It returns io.EOF at the end of the input between two batches.
+// Read reads the next batch into b and reuses the memory of b.Events. It returns
+// [io.EOF] if the input ends between two batches. Any other error begins with the
+// number of the line at fault.
 func (r *Reader) Read(b *Batch) error {
 	b.Events = b.Events[:0]
 	r.configBuffer = r.configBuffer[:0]
@@ -112,7 +116,7 @@
 	p := parser{rest: r.line}
 	name := p.token()
 	if string(name) != "TICK" {
-		return r.lineError(name, fmt.Errorf("a batch starts with TICK"))
+		return r.lineError(name, fmt.Errorf("batch does not start with TICK"))
 	}
 	b.Now = time.Duration(p.int())
 	b.SequenceNumber = p.uint(64)
@@ -122,7 +126,7 @@
 	for {
 		if err := r.readLine(); err != nil {
 			if errors.Is(err, io.EOF) {
-				return fmt.Errorf("line %d: batch %d is cut off: no EOB", r.lineNumber, b.SequenceNumber)
+				return fmt.Errorf("line %d: batch %d is truncated: no EOB", r.lineNumber, b.SequenceNumber)
 			}
 			return fmt.Errorf("line %d: %w", r.lineNumber, err)
 		}
@@ -140,11 +144,13 @@
 	}
 }
 
+// lineError prefixes err with the number and the message name of the current line.
 func (r *Reader) lineError(name []byte, err error) error {
 	return fmt.Errorf("line %d: %.40q: %w", r.lineNumber, name, err)
 }
 
-// readLine reads a line into r.text, without its end.
+// readLine reads the next line into r.line, without its line feed. The line is valid
+// until the next call. At the end of the input it returns [io.EOF].
 func (r *Reader) readLine() error {
 	text, err := r.input.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -157,7 +163,7 @@
 	}
 	if errors.Is(err, io.EOF) && len(text) > 0 {
 		r.lineNumber++
-		return fmt.Errorf("%.40q: cut off: the line has no end", text)
+		return fmt.Errorf("%.40q: truncated: no line feed at the end", text)
 	}
 	if err != nil {
 		return err
@@ -167,6 +173,8 @@
 	return nil
 }
 
+// readEvent parses the current line, whose message name has been taken, and adds
+// its event to b. REGISTER adds no event.
 func (r *Reader) readEvent(b *Batch, name []byte, p *parser) error {
 	if string(name) == "REGISTER" {
 		return r.readList(p)
@@ -178,9 +186,9 @@
 	case "NEW_INSTANCE":
 		e.Kind = InstanceCreated
 		e.Seed = p.uint(64)
-		from := len(r.configBuffer)
+		start := len(r.configBuffer)
 		r.configBuffer = append(r.configBuffer, p.remainder()...)
-		e.ConfigJSON = r.configBuffer[from:len(r.configBuffer):len(r.configBuffer)]
+		e.ConfigJSON = r.configBuffer[start:len(r.configBuffer):len(r.configBuffer)]
 	case "POWER_OFF":
 		e.Kind = InstanceStopped
 	case "ENDPOINTS":
@@ -227,21 +235,25 @@
 	return p.expectEnd()
 }
 
+// readQuery parses the request of a QUERY line. Bit 0 of its flags says that the
+// line's work hint applies, bit 1 that the client marked the request as a retry.
 func (e *Event) readQuery(p *parser) {
-	q := &e.Request
-	q.ID = p.requestID()
-	marks := p.optionalUint(32)
-	q.Tenant = int(p.optionalUint(16))
+	request := &e.Request
+	request.ID = p.requestID()
+	flags := p.optionalUint(32)
+	request.Tenant = int(p.optionalUint(16))
 	p.optionalUint(53)
-	q.Timeout = time.Duration(p.int())
-	q.Class = p.index()
-	hint := p.optionalUint(62)
-	if marks&1 != 0 {
-		q.ExpectedWork = time.Duration(hint)
+	request.Timeout = time.Duration(p.int())
+	request.Class = p.index()
+	workHint := p.optionalUint(62)
+	if flags&1 != 0 {
+		request.ExpectedWork = time.Duration(workHint)
 	}
-	q.ClientRetry = marks&2 != 0
+	request.ClientRetry = flags&2 != 0
 }
 
+// readEndpoints parses the rest of an ENDPOINTS line and resolves the list that it
+// refers to by number.
 func (r *Reader) readEndpoints(e *Event, p *parser) error {
 	kind := p.token()
 	p.optionalUint(64)
@@ -257,89 +269,96 @@
 		p.token()
 		return p.expectEnd()
 	default:
-		return fmt.Errorf("unknown kind of list %.40q", kind)
+		return fmt.Errorf("unknown list kind %.40q", kind)
 	}
-	n := p.uint(64)
+	listNumber := p.uint(64)
 	if err := p.expectEnd(); err != nil {
 		return err
 	}
-	if n >= uint64(len(r.lists)) || !r.lists[n].registered {
-		return fmt.Errorf("no list has the number %d", n)
+	if listNumber >= uint64(len(r.lists)) || !r.lists[listNumber].registered {
+		return fmt.Errorf("no list is registered under number %d", listNumber)
 	}
-	e.Endpoints = r.lists[n].endpoints
+	e.Endpoints = r.lists[listNumber].endpoints
 	return nil
 }
 
-// readList reads a list. Events read before keep the one that had its number.
+// readList parses a REGISTER line and the ENTRY lines after it, and registers the
+// list under its number. Events that were read before keep the previous list of
+// that number: each list has its own memory.
 func (r *Reader) readList(p *parser) error {
-	n := p.uint(64)
+	listNumber := p.uint(64)
 	count := p.uint(31)
 	if err := p.expectEnd(); err != nil {
 		return err
 	}
-	if n >= uint64(len(r.lists)) {
-		return fmt.Errorf("list number %d is not from 0 to %d", n, len(r.lists)-1)
+	if listNumber >= uint64(len(r.lists)) {
+		return fmt.Errorf("list number %d is not from 0 to %d", listNumber, len(r.lists)-1)
 	}
-	entries := make([]balance.Endpoint, 0, min(count, 1<<16))
+	endpoints := make([]balance.Endpoint, 0, min(count, 1<<16))
 	for range count {
 		if err := r.readLine(); err != nil {
-			return fmt.Errorf("the list is cut off: %w", err)
+			return fmt.Errorf("list is truncated: %w", err)
 		}
 		p := parser{rest: r.line}
 		if name := p.token(); string(name) != "ENTRY" {
-			return fmt.Errorf("the list is cut off by %.40q", name)
+			return fmt.Errorf("list is truncated by %.40q", name)
 		}
-		var e balance.Endpoint
-		e.ID = p.endpointID()
-		e.Zone = int(p.optionalUint(31))
+		var endpoint balance.Endpoint
+		endpoint.ID = p.endpointID()
+		endpoint.Zone = int(p.optionalUint(31))
 		p.optionalUint(31)
-		e.Cell = int(p.optionalUint(31))
-		e.State = p.endpointState()
-		e.Weight = p.float(1)
-		e.StartedAt = time.Duration(p.optionalUint(63))
+		endpoint.Cell = int(p.optionalUint(31))
+		endpoint.State = p.endpointState()
+		endpoint.Weight = p.float(1)
+		endpoint.StartedAt = time.Duration(p.optionalUint(63))
 		if err := p.expectEnd(); err != nil {
 			return fmt.Errorf("ENTRY: %w", err)
 		}
-		entries = append(entries, e)
+		endpoints = append(endpoints, endpoint)
 	}
-	r.lists[n] = registeredList{registered: true, endpoints: entries}
+	r.lists[listNumber] = registeredList{registered: true, endpoints: endpoints}
 	return nil
 }
 
-// readLoad takes the report at the end of a line. What its values mean is in the instance's settings.
+// readLoad parses the load report at the end of a line: numbers separated by
+// commas, of which an absent one is "-" and read as -1, or a sole "-" for no
+// report. The instance's settings define what each number measures; see
+// [Event.Load].
 func (e *Event) readLoad(p *parser) {
 	e.reportLen = -1
-	row := p.token()
-	if string(row) == "-" || p.err != nil {
+	unparsed := p.token()
+	if string(unparsed) == "-" || p.err != nil {
 		return
 	}
-	for e.reportLen = 0; len(row) > 0; e.reportLen++ {
-		part, rest, _ := bytes.Cut(row, []byte{','})
-		row = rest
+	for e.reportLen = 0; len(unparsed) > 0; e.reportLen++ {
+		number, rest, _ := bytes.Cut(unparsed, []byte{','})
+		unparsed = rest
 		if e.reportLen == MaxLoadFields {
-			p.fail("a load report of over %d values", MaxLoadFields)
+			p.fail("load report has more than %d values", MaxLoadFields)
 			return
 		}
-		v := -1.0
-		if string(part) != "-" {
+		value := -1.0
+		if string(number) != "-" {
 			var err error
-			if v, err = strconv.ParseFloat(string(part), 64); err != nil {
-				p.fail("bad number %.40q in a load report", part)
+			if value, err = strconv.ParseFloat(string(number), 64); err != nil {
+				p.fail("bad number %.40q in load report", number)
 				return
 			}
 		}
-		e.reportValues[e.reportLen] = v
+		e.reportValues[e.reportLen] = value
 	}
 }
 
-// Load returns the report of a Reply or ProbeResult whose values are these fields, or nil if it has none.
-// It is valid as long as the event.
+// Load returns the load report of an AttemptEnded or ProbeEnded event, or nil if it
+// has none. The fields are those of the instance's settings, in the order of the
+// report's values; a report of another length is an error. Fields that are not
+// reported are -1. The result belongs to e and is valid as long as e is.
 func (e *Event) Load(fields []LoadField) (*balance.Load, error) {
 	if e.reportLen < 0 {
 		return nil, nil
 	}
 	if e.reportLen != len(fields) {
-		return nil, fmt.Errorf("a load report of %d values, not %d", e.reportLen, len(fields))
+		return nil, fmt.Errorf("load report has %d values, want %d", e.reportLen, len(fields))
 	}
 	e.load = balance.Load{InFlight: -1, Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}
 	for i, f := range fields {
@@ -361,59 +380,62 @@
 	return &e.load, nil
 }
 
-// AppendAction appends the line of an action.
+// AppendAction appends to dst the line of an action of the given instance and
+// returns the extended buffer.
 func AppendAction(dst []byte, instance uint32, a *balance.Action) []byte {
-	line := func(name string) {
+	appendName := func(name string) {
 		dst = append(dst, name...)
 		dst = append(dst, " sidecar_"...)
 		dst = strconv.AppendUint(dst, uint64(instance), 10)
 	}
-	num := func(n int64) {
+	appendInt := func(n int64) {
 		dst = append(dst, ' ')
 		dst = strconv.AppendInt(dst, n, 10)
 	}
-	request := func() {
+	appendRequestID := func() {
 		dst = append(dst, ' ')
 		dst = appendHex(dst, uint64(a.Request))
 	}
 	switch a.Kind {
 	case balance.Send:
-		line("TRY")
-		request()
-		num(int64(a.Endpoint))
-		num(int64(a.Deadline))
+		appendName("TRY")
+		appendRequestID()
+		appendInt(int64(a.Endpoint))
+		appendInt(int64(a.Deadline))
 	case balance.Cancel:
-		line("WITHDRAW")
-		request()
-		num(int64(a.Attempt))
+		appendName("WITHDRAW")
+		appendRequestID()
+		appendInt(int64(a.Attempt))
 	case balance.Shed:
-		line("SHED")
-		request()
-		num(int64(a.Delay))
+		appendName("SHED")
+		appendRequestID()
+		appendInt(int64(a.Delay))
 	case balance.Fail:
-		line("RESPOND_ERROR")
-		request()
+		appendName("RESPOND_ERROR")
+		appendRequestID()
 	case balance.SetTimer:
-		line("AFTER")
+		appendName("AFTER")
 		dst = append(dst, ' ')
 		dst = strconv.AppendUint(dst, uint64(a.Timer.Kind), 10)
 		dst = append(dst, '.')
 		dst = appendHex(dst, a.Timer.Ref)
-		num(int64(a.Delay))
+		appendInt(int64(a.Delay))
 	case balance.Probe:
-		line("TEST")
-		num(int64(a.Endpoint))
+		appendName("TEST")
+		appendInt(int64(a.Endpoint))
 	case balance.CloseIdle:
-		line("RELEASE")
-		num(int64(a.Endpoint))
+		appendName("RELEASE")
+		appendInt(int64(a.Endpoint))
 	case balance.Subscribe:
-		line("STREAM_CHANGES")
-		num(1)
+		appendName("STREAM_CHANGES")
+		appendInt(1)
 	}
 	return append(dst, '\n')
 }
 
-// AppendPanic appends the line that reports a failure of the decision code.
+// AppendPanic appends to dst the line that reports that the instance's balancer
+// failed, and returns the extended buffer. Control characters in text are replaced
+// by spaces, so that it stays one line.
 func AppendPanic(dst []byte, instance uint32, text string) []byte {
 	dst = append(dst, "PANIC sidecar_"...)
 	dst = strconv.AppendUint(dst, uint64(instance), 10)
@@ -427,13 +449,15 @@
 	return append(dst, '\n')
 }
 
-// AppendEnd appends the line that ends a reply.
-func AppendEnd(dst []byte, serial uint64) []byte {
+// AppendEnd appends to dst the line that ends the reply to the batch with the given
+// sequence number, and returns the extended buffer.
+func AppendEnd(dst []byte, sequenceNumber uint64) []byte {
 	dst = append(dst, "END "...)
-	dst = strconv.AppendUint(dst, serial, 10)
+	dst = strconv.AppendUint(dst, sequenceNumber, 10)
 	return append(dst, '\n')
 }
 
+// appendHex appends n as 16 lower-case hexadecimal digits.
 func appendHex(dst []byte, n uint64) []byte {
 	for shift := 60; shift >= 0; shift -= 4 {
 		dst = append(dst, "0123456789abcdef"[n>>shift&15])
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,12 +11,13 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
+// readBatch reads the first batch of text.
 func readBatch(text string) (*Batch, error) {
 	b := new(Batch)
 	return b, NewReader(strings.NewReader(text)).Read(b)
 }
 
-// readLastEvent reads a batch of the lines given and returns its last event.
+// readLastEvent reads a batch that consists of lines and returns its last event.
 func readLastEvent(t *testing.T, lines string) *Event {
 	t.Helper()
 	b, err := readBatch("TICK 8412250000 12\n" + lines + "\nEOB\n")
@@ -46,7 +47,7 @@
 		t.Errorf("load %+v, %v", load, err)
 	}
 	if _, err := e.Load([]LoadField{FieldInFlight}); err == nil {
-		t.Error("a report with too many values was taken")
+		t.Error("a report with too many values was accepted")
 	}
 	if e = readLastEvent(t, "PROBE_RESULT sidecar_3 7 overdue 50000000 -"); e.Kind != ProbeEnded ||
 		e.Outcome.Result != balance.Timeout || e.Outcome.Endpoint != 7 {
@@ -59,7 +60,7 @@
 		t.Errorf("RING: %+v", e.Timer)
 	}
 	if e = readLastEvent(t, "RING sidecar_3 sweep"); e.Timer != (balance.Timer{}) {
-		t.Errorf("RING of a foreign cookie: %+v", e.Timer)
+		t.Errorf("RING with a foreign cookie: %+v", e.Timer)
 	}
 	if e = readLastEvent(t, "HEAD_RECEIVED sidecar_3 67c3e1570e6f2b19 1 5 9"); e.Kind != ResponseStarted || e.Outcome.Attempt != 1 {
 		t.Errorf("HEAD_RECEIVED: %+v", e)
@@ -79,6 +80,8 @@
 	}
 }
 
+// An ENDPOINTS event must get the list that was registered under its number before
+// it, also when a later REGISTER in the same batch reuses the number.
 func TestEndpointsResolvesLatestRegisteredList(t *testing.T) {
 	b, err := readBatch(`TICK 1 1
 REGISTER 0 2
@@ -108,27 +111,27 @@
 
 func TestReadRejectsMalformedInput(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"no tick":         {"QUERY x\n", "line 1"},
-		"bad clock":       {"TICK now 1\nEOB\n", "bad number"},
-		"unknown message": {"TICK 1 1\nHELLO sidecar_1\nEOB\n", `line 2: "HELLO": unknown message`},
-		"too few values":  {"TICK 1 1\nABORTED sidecar_1\nEOB\n", "too few values"},
-		"too many values": {"TICK 1 1\nPOWER_OFF sidecar_1 2\nEOB\n", "too many values"},
-		"bad number":      {"TICK 1 1\nPROBE_RESULT sidecar_1 7x completed 1 -\nEOB\n", `bad number "7x"`},
-		"number too big":  {"TICK 1 1\nPROBE_RESULT sidecar_1 4294967296 completed 1 -\nEOB\n", "bad number"},
-		"bad instance":    {"TICK 1 1\nPOWER_OFF 4\nEOB\n", "bad instance"},
-		"bad request id":  {"TICK 1 1\nABORTED sidecar_1 12\nEOB\n", "bad request id"},
-		"bad reason":      {"TICK 1 1\nPROBE_RESULT sidecar_1 7 fine 1 -\nEOB\n", "unknown reason"},
-		"bad report":      {"TICK 1 1\nPROBE_RESULT sidecar_1 7 completed 1 1,x\nEOB\n", "bad number"},
-		"report too long": {"TICK 1 1\nPROBE_RESULT sidecar_1 7 completed 1 1,2,3,4,5\nEOB\n", "over 4 values"},
-		"bad bool":        {"TICK 1 1\nREPLY sidecar_1 51fdf2bc5d3a91c4 completed 2 7 0 1 -\nEOB\n", "neither 0 nor 1"},
-		"bad list":        {"TICK 1 1\nENDPOINTS sidecar_1 some 1 0\nEOB\n", "unknown kind of list"},
-		"unknown bank":    {"TICK 1 1\nENDPOINTS sidecar_1 all 1 3\nEOB\n", "no list has the number 3"},
-		"bank too high":   {"TICK 1 1\nREGISTER 16 0\nEOB\n", "not from 0 to 15"},
-		"short list":      {"TICK 1 1\nREGISTER 0 2\nENTRY 1 0 0 0 in_service 1 -\nEOB\n", "cut off"},
-		"bad status":      {"TICK 1 1\nREGISTER 0 1\nENTRY 1 0 0 0 well 1 -\nEOB\n", "unknown status"},
-		"bad base64":      {"TICK 1 1\nINBOX sidecar_1 2 %%\nEOB\n", "bad base64"},
-		"cut batch":       {"TICK 1 7\nPOWER_OFF sidecar_1\n", "batch 7 is cut off"},
-		"cut line":        {"TICK 1 7\nPOWER_OFF sidecar_1", "cut off"},
+		"no TICK":                  {"QUERY x\n", "line 1"},
+		"bad clock":                {"TICK now 1\nEOB\n", "bad number"},
+		"unknown message":          {"TICK 1 1\nHELLO sidecar_1\nEOB\n", `line 2: "HELLO": unknown message`},
+		"too few values":           {"TICK 1 1\nABORTED sidecar_1\nEOB\n", "too few values"},
+		"too many values":          {"TICK 1 1\nPOWER_OFF sidecar_1 2\nEOB\n", "too many values"},
+		"bad number":               {"TICK 1 1\nPROBE_RESULT sidecar_1 7x completed 1 -\nEOB\n", `bad number "7x"`},
+		"number too big":           {"TICK 1 1\nPROBE_RESULT sidecar_1 4294967296 completed 1 -\nEOB\n", "bad number"},
+		"bad instance":             {"TICK 1 1\nPOWER_OFF 4\nEOB\n", "bad instance"},
+		"bad request id":           {"TICK 1 1\nABORTED sidecar_1 12\nEOB\n", "bad request id"},
+		"bad reason":               {"TICK 1 1\nPROBE_RESULT sidecar_1 7 fine 1 -\nEOB\n", "unknown reason"},
+		"bad report":               {"TICK 1 1\nPROBE_RESULT sidecar_1 7 completed 1 1,x\nEOB\n", "bad number"},
+		"too many report values":   {"TICK 1 1\nPROBE_RESULT sidecar_1 7 completed 1 1,2,3,4,5\nEOB\n", "more than 4 values"},
+		"bad bool":                 {"TICK 1 1\nREPLY sidecar_1 51fdf2bc5d3a91c4 completed 2 7 0 1 -\nEOB\n", "neither 0 nor 1"},
+		"bad list kind":            {"TICK 1 1\nENDPOINTS sidecar_1 some 1 0\nEOB\n", "unknown list kind"},
+		"unregistered list number": {"TICK 1 1\nENDPOINTS sidecar_1 all 1 3\nEOB\n", "no list is registered under number 3"},
+		"list number too high":     {"TICK 1 1\nREGISTER 16 0\nEOB\n", "not from 0 to 15"},
+		"truncated list":           {"TICK 1 1\nREGISTER 0 2\nENTRY 1 0 0 0 in_service 1 -\nEOB\n", "truncated"},
+		"bad status":               {"TICK 1 1\nREGISTER 0 1\nENTRY 1 0 0 0 well 1 -\nEOB\n", "unknown status"},
+		"bad base64":               {"TICK 1 1\nINBOX sidecar_1 2 %%\nEOB\n", "bad base64"},
+		"truncated batch":          {"TICK 1 7\nPOWER_OFF sidecar_1\n", "batch 7 is truncated"},
+		"truncated line":           {"TICK 1 7\nPOWER_OFF sidecar_1", "truncated"},
 	} {
 		_, err := readBatch(c.text)
 		if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.want) {
@@ -142,8 +145,8 @@
 
 func TestAppendAction(t *testing.T) {
 	for _, c := range []struct {
-		a    balance.Action
-		want string
+		action balance.Action
+		want   string
 	}{
 		{balance.Action{Kind: balance.Send, Request: 0x51fdf2bc5d3a91c4, Endpoint: 51530247, Deadline: 8492250000},
 			"TRY sidecar_3 51fdf2bc5d3a91c4 51530247 8492250000"},
@@ -154,16 +157,16 @@
 		{balance.Action{Kind: balance.CloseIdle, Endpoint: 7}, "RELEASE sidecar_3 7"},
 		{balance.Action{Kind: balance.Subscribe}, "STREAM_CHANGES sidecar_3 1"},
 	} {
-		if got := string(AppendAction(nil, 3, &c.a)); got != c.want+"\n" {
+		if got := string(AppendAction(nil, 3, &c.action)); got != c.want+"\n" {
 			t.Errorf("got %q, want %q", got, c.want)
 		}
 	}
-	// A timer comes back as it was set.
+	// The cookie of an AFTER action must be read back as the same timer.
 	timer := balance.Timer{Kind: 1, Ref: 0xfedcba9876543210}
 	line := string(AppendAction(nil, 3, &balance.Action{Kind: balance.SetTimer, Timer: timer, Delay: 9}))
 	cookie := strings.Fields(line)[2]
 	if e := readLastEvent(t, "RING sidecar_3 "+cookie); e.Timer != timer {
-		t.Errorf("%q came back as %+v", line, e.Timer)
+		t.Errorf("%q was read back as %+v", line, e.Timer)
 	}
 	if got := string(AppendPanic(nil, 3, "a\nb")); got != "PANIC sidecar_3 a b\n" {
 		t.Errorf("panic line %q", got)
@@ -181,52 +184,53 @@
 "costs": {"connection": 1, "crossZone": 2, "handshake": 3, "lateFail": 4, "peer": 5, "probe": 6, "waste": 7, "moves": 8}, "stepNs": 1000000, "tier": 1, "weights": "nominal", "zone": 1}`
 
 func TestParseConfig(t *testing.T) {
-	c, fields, err := ParseConfig([]byte(settingsJSON))
+	cfg, fields, err := ParseConfig([]byte(settingsJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := c.Classes[0]
-	if k.TargetLatency != 1540*time.Millisecond || k.Semantics != balance.Keyed || k.Scope != balance.ScopeZone ||
-		k.LateValueShare != 0.5 || k.RepeatWindow != 10*time.Second {
-		t.Errorf("class %+v", k)
+	class := cfg.Classes[0]
+	if class.TargetLatency != 1540*time.Millisecond || class.Semantics != balance.Keyed || class.Scope != balance.ScopeZone ||
+		class.LateValueShare != 0.5 || class.RepeatWindow != 10*time.Second {
+		t.Errorf("class %+v", class)
 	}
-	if c.SidecarIndex != 3 || c.Tier != 1 || !c.MustSubscribe || c.WeightMeaning != balance.WeightCapacity ||
-		c.Reporting != balance.ReportsInProbe || c.WarmupTime != 22*time.Second || c.Limits.MaxAttempts != 6 {
-		t.Errorf("config %+v", c)
+	if cfg.SidecarIndex != 3 || cfg.Tier != 1 || !cfg.MustSubscribe || cfg.WeightMeaning != balance.WeightCapacity ||
+		cfg.Reporting != balance.ReportsInProbe || cfg.WarmupTime != 22*time.Second || cfg.Limits.MaxAttempts != 6 {
+		t.Errorf("config %+v", cfg)
 	}
 	for name, got := range map[string]bool{
-		"rules.drainGraceNs":     c.DrainGrace == 500*time.Millisecond,
-		"rules.releaseWithinNs":  c.MaxDrainIdleTime == 800*time.Millisecond,
-		"rules.askWithinNs":      c.MaxSubscribeDelay == 9*time.Second,
-		"rules.fallMultiple":     c.ColdOverloadMultiple == 4,
-		"rules.tipAfterNs":       c.ColdOverloadTime == 1500*time.Millisecond,
-		"countedBy":              c.ValueScalesWithWork,
-		"goal":                   c.Objective == balance.ObjectiveWeights{Overall: 0.6, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.4, Nines: 0.3, NinesTarget: 2},
-		"costs":                  c.Costs == balance.Costs{Connection: 1, CrossZone: 2, Handshake: 3, LateFail: 4, Peer: 5, Probe: 6, Waste: 7},
-		"limits.peers":           c.Limits.PeerMessages,
-		"limits.secondCopies":    c.Limits.Hedging,
-		"limits.maxRetryAfterNs": c.Limits.MaxRetryAfter == 2*time.Second,
-		"limits.keepaliveNs":     c.Limits.KeepAlive == 30*time.Second,
-		"limits.maxStreams":      c.Limits.MaxStreams == 100,
+		"rules.drainGraceNs":     cfg.DrainGrace == 500*time.Millisecond,
+		"rules.releaseWithinNs":  cfg.MaxDrainIdleTime == 800*time.Millisecond,
+		"rules.askWithinNs":      cfg.MaxSubscribeDelay == 9*time.Second,
+		"rules.fallMultiple":     cfg.ColdOverloadMultiple == 4,
+		"rules.tipAfterNs":       cfg.ColdOverloadTime == 1500*time.Millisecond,
+		"countedBy":              cfg.ValueScalesWithWork,
+		"goal":                   cfg.Objective == balance.ObjectiveWeights{Overall: 0.6, WorstWindow: 0.1, WorstClass: 0.2, WorstTenant: 0.4, Nines: 0.3, NinesTarget: 2},
+		"costs":                  cfg.Costs == balance.Costs{Connection: 1, CrossZone: 2, Handshake: 3, LateFail: 4, Peer: 5, Probe: 6, Waste: 7},
+		"limits.peers":           cfg.Limits.PeerMessages,
+		"limits.secondCopies":    cfg.Limits.Hedging,
+		"limits.maxRetryAfterNs": cfg.Limits.MaxRetryAfter == 2*time.Second,
+		"limits.keepaliveNs":     cfg.Limits.KeepAlive == 30*time.Second,
+		"limits.maxStreams":      cfg.Limits.MaxStreams == 100,
 	} {
 		if !got {
-			t.Errorf("%s does not reach the module: %+v", name, c)
+			t.Errorf("%s does not reach the balancer's configuration: %+v", name, cfg)
 		}
 	}
 	if want := []LoadField{FieldInFlight, FieldUnknown, FieldUtilization}; !reflect.DeepEqual(fields, want) {
 		t.Errorf("fields %v, want %v", fields, want)
 	}
-	for _, spoil := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`"keyed"`, `"maybe"`}, {`"zone", "late`, `"room", "late`}, {`"nominal"`, `"heavy"`}, {`"pull"`, `"push"`},
 		{`{"balancers"`, `{"balancers`},
 	} {
-		if _, _, err := ParseConfig([]byte(strings.Replace(settingsJSON, spoil[0], spoil[1], 1))); err == nil {
-			t.Errorf("%s in place of %s was taken", spoil[1], spoil[0])
+		if _, _, err := ParseConfig([]byte(strings.Replace(settingsJSON, replacement[0], replacement[1], 1))); err == nil {
+			t.Errorf("%s in place of %s was accepted", replacement[1], replacement[0])
 		}
 	}
 }
 
-// Whatever comes in, the reader must end with an error or a batch, and its error must name a line.
+// FuzzRead checks that Read accepts or rejects arbitrary input without a panic, and
+// that its errors begin with a line number.
 func FuzzRead(f *testing.F) {
 	f.Add("TICK 1 1\nREGISTER 0 1\nENTRY 1 0 0 0 in_service 1 -\nENDPOINTS sidecar_3 all 1 0\nEOB\n")
 	f.Add("TICK 1 1\nQUERY sidecar_3 51fdf2bc5d3a91c4 1 0 4569004829183723 240000000 0 12000000\nEOB\n")
@@ -241,7 +245,7 @@
 			}
 			if err != nil {
 				if !strings.HasPrefix(err.Error(), "line ") {
-					t.Fatalf("error %q names no line", err)
+					t.Fatalf("error %q does not begin with a line number", err)
 				}
 				return
 			}
