--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleetsim.go
@@ -110,16 +110,16 @@
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	w := &world{
+	w := &simulation{
 		cfg: &c, now: time.Hour, // the module takes 0 for long ago
-		arrivals: stream(c.Seed, 1), works: stream(c.Seed, 2), errs: stream(c.Seed, 3),
-		res: Result{
+		arrivalRNG: newRNG(c.Seed, 1), workRNG: newRNG(c.Seed, 2), errorRNG: newRNG(c.Seed, 3),
+		result: Result{
 			Requests: make([]int, len(c.Classes)), InTime: make([]int, len(c.Classes)),
 			Late: make([]int, len(c.Classes)), Failed: make([]int, len(c.Classes)), PeakInFlight: make([]int, len(c.Nodes)),
 		},
 	}
 	for i := range c.Nodes {
-		w.nodes = append(w.nodes, &node{Node: &c.Nodes[i], at: i, w: w})
+		w.nodes = append(w.nodes, &node{Node: &c.Nodes[i], index: i, sim: w})
 	}
 	for i, s := range c.Sidecars {
 		m := c.Balancer
@@ -128,21 +128,21 @@
 		if err != nil {
 			return nil, fmt.Errorf("fleet: Module: %w", err)
 		}
-		x := &sidecar{w: w, b: b, calls: make(map[balance.RequestID]*call)}
+		x := &sidecar{sim: w, balancer: b, pending: make(map[balance.RequestID]*pendingTry)}
 		w.sidecars = append(w.sidecars, x)
 		var list []balance.Endpoint
 		for j, n := range c.Nodes {
 			list = append(list, balance.Endpoint{ID: balance.EndpointID(j + 1), Zone: n.Zone, Weight: n.Weight})
 		}
-		x.event(func(acts []balance.Action) []balance.Action {
+		x.dispatch(func(acts []balance.Action) []balance.Action {
 			return b.EndpointsUpdated(w.now, balance.ListLastKnown, list, acts)
 		})
 	}
-	w.arrive(w.now + c.Duration)
+	w.scheduleArrivals(w.now + c.Duration)
 	for w.step() {
 	}
-	return &w.res, nil
+	return &w.result, nil
 }
 
-// stream returns the random numbers of one concern: two policies meet the same arrivals and work.
-func stream(seed, concern uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, concern)) }
+// newRNG returns the random numbers of one concern: two policies meet the same arrivals and work.
+func newRNG(seed, concern uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, concern)) }
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -12,9 +12,9 @@
 
 const ms = time.Millisecond
 
-// small is a fleet of so many sidecars before nodes of two cores and unlike speeds, whose calls
+// smallFleet is a fleet of so many sidecars before nodes of two cores and unlike speeds, whose calls
 // wait for the tiers behind for longer than they compute.
-func small(sidecars int) Config {
+func smallFleet(sidecars int) Config {
 	c := Config{
 		Seed: 7,
 		Balancer: balance.Config{
@@ -45,7 +45,7 @@
 	return c
 }
 
-func run(t testing.TB, c Config) *Result {
+func mustRun(t testing.TB, c Config) *Result {
 	t.Helper()
 	r, err := Run(c)
 	if err != nil {
@@ -55,13 +55,13 @@
 }
 
 // However few sidecars share a small fleet that has cores to spare, it serves what is asked of it.
-func TestFewSidecarsUseTheFleet(t *testing.T) {
+func TestFewSidecarsServeInTime(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6} {
 		worst := 1.0
 		for seed := range uint64(10) {
-			c := small(n)
+			c := smallFleet(n)
 			c.Seed = seed
-			worst = min(worst, run(t, c).InTimeShare())
+			worst = min(worst, mustRun(t, c).InTimeShare())
 		}
 		if worst < 0.97 {
 			t.Errorf("%d sidecars: %.3f served in time on the worst of 10 days, want 0.97", n, worst)
@@ -70,28 +70,28 @@
 }
 
 // The same Config gives the same Result; another seed gives another.
-func TestSameSeedSameDay(t *testing.T) {
-	c := small(3)
-	a, b := run(t, c), run(t, c)
+func TestRunIsDeterministic(t *testing.T) {
+	c := smallFleet(3)
+	a, b := mustRun(t, c), mustRun(t, c)
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\nand then %+v", a, b)
 	}
 	c.Seed++
-	if reflect.DeepEqual(a, run(t, c)) {
+	if reflect.DeepEqual(a, mustRun(t, c)) {
 		t.Error("another seed gave the same day")
 	}
 }
 
 // Each request ends once, whatever happens to its attempts, and no node holds more than it can.
-func TestEachEndsOnce(t *testing.T) {
+func TestOverloadedRequestsEndOnce(t *testing.T) {
 	for _, reports := range []balance.Reporting{balance.ReportsNone, balance.ReportsInProbe, balance.ReportsInResponse} {
-		c := small(2)
+		c := smallFleet(2)
 		c.Balancer.Reporting, c.Balancer.Costs.Probe = reports, 0.002
 		c.OfferedLoad = 1.4
 		for i := range c.Nodes {
 			c.Nodes[i].MaxInFlight, c.Nodes[i].ErrorRate = 6, 0.1
 		}
-		r := run(t, c)
+		r := mustRun(t, c)
 		for i := range r.Requests {
 			if got := r.InTime[i] + r.Late[i] + r.Failed[i]; got != r.Requests[i] || r.Requests[i] == 0 {
 				t.Errorf("reports %d, class %d: %d ended of %d", reports, i, got, r.Requests[i])
@@ -110,18 +110,18 @@
 
 // A core that is shared evenly takes E[S]/(1-load) for a call on average, whatever the spread of
 // its work (Kleinrock, Queueing Systems II, 4.4: M/G/1 with processor sharing).
-func TestSharedCoreKeepsToTheory(t *testing.T) {
+func TestProcessorSharingMatchesTheory(t *testing.T) {
 	const calls, load = 60_000, 0.6
 	for _, cv := range []float64{0, 1.5} {
-		w := &world{cfg: &Config{}, works: stream(3, 2), errs: stream(3, 3), res: Result{PeakInFlight: make([]int, 1)}}
-		n := &node{Node: &Node{Cores: 1, CoreSpeed: 2, MaxInFlight: math.MaxInt}, w: w}
-		arrivals, took := stream(3, 1), 0.0
+		w := &simulation{cfg: &Config{}, workRNG: newRNG(3, 2), errorRNG: newRNG(3, 3), result: Result{PeakInFlight: make([]int, 1)}}
+		n := &node{Node: &Node{Cores: 1, CoreSpeed: 2, MaxInFlight: math.MaxInt}, sim: w}
+		arrivals, took := newRNG(3, 1), 0.0
 		at := time.Duration(0)
 		for range calls {
 			at += time.Duration(arrivals.ExpFloat64() / load * float64(time.Second))
-			w.after(at, func() {
+			w.schedule(at, func() {
 				began := w.now
-				n.take(&job{work: 2 * lognormal(w.works, 1, cv), done: func(balance.Result, *balance.Load) {
+				n.accept(&job{remainingWorkSeconds: 2 * lognormal(w.workRNG, 1, cv), onEnd: func(balance.Result, *balance.Load) {
 					took += (w.now - began).Seconds()
 				}})
 			})
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestSettingsAtFault(t *testing.T) {
+func TestRunRejectsInvalidConfig(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
 		"Nodes[1]":   func(c *Config) { c.Nodes[1].Cores = 0 },
 		"Classes[0]": func(c *Config) { c.Classes[0].MeanWork = 0 },
@@ -144,7 +144,7 @@
 		"Sidecars":   func(c *Config) { c.Sidecars = nil },
 		"Module":     func(c *Config) { c.Balancer.ColdCapacityShare = 2 },
 	} {
-		c := small(1)
+		c := smallFleet(1)
 		spoil(&c)
 		if _, err := Run(c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -155,6 +155,6 @@
 // BenchmarkRun is a day of 30 s at three sidecars and four nodes.
 func BenchmarkRun(b *testing.B) {
 	for b.Loop() {
-		run(b, small(3))
+		mustRun(b, smallFleet(3))
 	}
 }
