--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -1,11 +1,13 @@
-// Package fleetsim is a model of a fleet under simulated time: clients, sidecars that run the real
-// decision module, and the nodes of one tier. It opens no socket and reads no clock, and the same
-// Config gives the same Result. It is for questions that no machine here has the size for, and for
-// tests of decisions that show only when many of them meet.
+// Package fleetsim simulates a fleet: clients, sidecars that run the real balancer, and
+// the nodes of one tier. It uses simulated time, opens no sockets and reads no clock;
+// the same Config gives the same Result. It serves to study fleets that are too large
+// for the machines at hand, and to test effects of the balancer's decisions that show
+// only when many sidecars act at once.
 //
-// A node shares its cores evenly among the calls that compute at it (processor sharing), and a call
-// waits at it for the tiers behind, which are a delay here, before it is answered. Not modelled:
-// several tiers, connections, discovery's lag, cold starts, nodes that fall over.
+// A node shares its cores evenly among the requests that compute at it (processor
+// sharing). A request that has computed waits for the tiers behind the node, which are
+// modeled as a delay, before the node responds. Not modeled are several tiers,
+// connections, delays of discovery, cold starts and nodes that fail under overload.
 package fleetsim
 
 import (
@@ -18,100 +20,104 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// Config describes a fleet and a stretch of its life.
+// Config describes a fleet and its traffic.
 type Config struct {
 	Seed         uint64
-	Balancer     balance.Config // what all sidecars are told, but for Me, Balancers and Zone
+	Balancer     balance.Config // of all sidecars; Run sets SidecarIndex, SidecarCount and Zone
 	Sidecars     []Sidecar
 	Nodes        []Node
-	Classes      []Class // as many as Module.Classes, in their order
-	OfferedLoad  float64 // the work asked for over what the cores of all nodes can do, first tries alone
-	Duration     time.Duration
+	Classes      []Class       // one for each of Balancer.Classes, in their order
+	OfferedLoad  float64       // work of the clients' first tries over the capacity of all nodes' cores
+	Duration     time.Duration // new requests arrive for this time
 	NetworkDelay time.Duration // one way between a sidecar and a node
 	Clients      Clients
 }
 
-// Sidecar is one of those that send to the nodes.
+// Sidecar describes a sidecar that sends to the nodes.
 type Sidecar struct {
 	Zone          int
-	TrafficWeight float64 // of the requests, over the sum of all parts
+	TrafficWeight float64 // its share of the requests, relative to the sum of all sidecars' weights
 }
 
-// Node is an endpoint.
+// Node describes an endpoint.
 type Node struct {
 	Zone        int
 	Cores       int
-	CoreSpeed   float64 // of each core
-	Weight      float64 // as the list says it
-	MaxInFlight int     // calls that it holds; the next is turned away
-	ErrorRate   float64 // the share of calls that are answered with an error once their work is done
+	CoreSpeed   float64 // of each core; a core of speed 1 does one second of work in a second
+	Weight      float64 // as listed by discovery
+	MaxInFlight int     // requests beyond it are rejected
+	ErrorRate   float64 // share of the requests that end with an error after their work is done, from 0 to 1
 }
 
-// Class is the traffic of a class.
+// Class describes the traffic of a class.
 type Class struct {
-	TrafficWeight      float64       // of the requests, over the sum of all parts
-	MeanWork           time.Duration // that a call computes at a core of speed 1, on average
-	WorkCV             float64       // its coefficient of variation; it is lognormal
-	MeanDownstreamWait time.Duration // that it waits for the tiers behind, on average; exponential
+	TrafficWeight      float64       // its share of the requests, relative to the sum of all classes' weights
+	MeanWork           time.Duration // mean computing time of a request on a core of speed 1; lognormal
+	WorkCV             float64       // coefficient of variation of the computing time
+	MeanDownstreamWait time.Duration // mean wait of a request for the tiers behind; exponential
 }
 
-// Clients tells how those who ask behave.
+// Clients describes how clients time out and try again.
 type Clients struct {
-	MaxTries        int           // of each request at most, the first included; 0 is 1
-	TryTimeoutShare float64       // what a try waits, over its class's deadline; 0 is all of it
-	RetryDelay      time.Duration // before a further try, where no time to come back is told
+	MaxTries        int           // of each request, including the first; 0 means 1
+	TryTimeoutShare float64       // timeout of a try as a share of its class's deadline; 0 means the whole deadline
+	RetryDelay      time.Duration // delay of a further try if the response gives no retry delay
 }
 
-// Result is what became of the requests of a run. Counts are of requests, by class.
+// Result counts the requests of a run by their outcome. Slices of requests are indexed
+// by class. A request is counted once, regardless of the number of its tries.
 type Result struct {
-	Requests, InTime, Late, Failed []int
-	Attempts                       int // attempts of all requests
-	ClientTries                    int
-	PeakInFlight                   []int // the most calls that each node held
+	Requests, InTime, Late, Failed []int // InTime: within the class's target latency; Late: after it
+	Attempts                       int   // attempts that sidecars sent, of all requests
+	ClientTries                    int   // tries that clients sent, of all requests
+	PeakInFlight                   []int // by node: the maximum number of requests in flight at once
 }
 
-// InTimeShare is the share of the requests that were answered within their class's goal.
+// InTimeShare returns the share of the requests that were served within their class's
+// target latency, from 0 to 1. It is 0 if there were no requests.
 func (r *Result) InTimeShare() float64 {
-	asked, served := 0, 0
+	requests, inTime := 0, 0
 	for i := range r.Requests {
-		asked += r.Requests[i]
-		served += r.InTime[i]
+		requests += r.Requests[i]
+		inTime += r.InTime[i]
 	}
-	return float64(served) / math.Max(float64(asked), 1)
+	return float64(inTime) / math.Max(float64(requests), 1)
 }
 
-// check returns an error that names the first setting at fault; the module checks its own.
+// check returns an error that names the first invalid field. The fields of Balancer are
+// left to [balance.New].
 func (c *Config) check() error {
 	switch {
 	case len(c.Sidecars) == 0 || len(c.Nodes) == 0:
-		return errors.New("fleet: Sidecars, Nodes: none given")
+		return errors.New("fleetsim: Sidecars, Nodes: none given")
 	case len(c.Classes) != len(c.Balancer.Classes) || len(c.Classes) == 0:
-		return fmt.Errorf("fleet: Classes: %d, want %d as in Module", len(c.Classes), len(c.Balancer.Classes))
+		return fmt.Errorf("fleetsim: Classes: %d, want %d as in Balancer", len(c.Classes), len(c.Balancer.Classes))
 	case !(c.OfferedLoad > 0) || math.IsInf(c.OfferedLoad, 0):
-		return fmt.Errorf("fleet: Load: %g is not over 0", c.OfferedLoad)
+		return fmt.Errorf("fleetsim: OfferedLoad: %g: must be positive and finite", c.OfferedLoad)
 	case c.Duration <= 0 || c.NetworkDelay < 0:
-		return fmt.Errorf("fleet: Length, Net: %v, %v are out of range", c.Duration, c.NetworkDelay)
+		return fmt.Errorf("fleetsim: Duration, NetworkDelay: %v, %v are out of range", c.Duration, c.NetworkDelay)
 	}
 	for i, n := range c.Nodes {
 		if n.Cores < 1 || !(n.CoreSpeed > 0) || n.MaxInFlight < 1 || !(n.ErrorRate >= 0 && n.ErrorRate <= 1) {
-			return fmt.Errorf("fleet: Nodes[%d]: %+v: Cores, Speed and Most are over 0, Errors from 0 to 1", i, n)
+			return fmt.Errorf("fleetsim: Nodes[%d]: %+v: Cores, CoreSpeed and MaxInFlight must be positive, ErrorRate from 0 to 1", i, n)
 		}
 	}
 	for i, k := range c.Classes {
 		if !(k.TrafficWeight >= 0) || k.MeanWork <= 0 || !(k.WorkCV >= 0) || k.MeanDownstreamWait < 0 {
-			return fmt.Errorf("fleet: Classes[%d]: %+v: Work is over 0, the others not negative", i, k)
+			return fmt.Errorf("fleetsim: Classes[%d]: %+v: MeanWork must be positive, the others not negative", i, k)
 		}
 	}
 	return nil
 }
 
-// Run plays a fleet until the last request of its length has its answer.
+// Run simulates a fleet for c.Duration and until all its requests have ended. It
+// returns an error if c is invalid.
 func Run(c Config) (*Result, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	w := &simulation{
-		cfg: &c, now: time.Hour, // the module takes 0 for long ago
+	sim := &simulation{
+		cfg: &c, now: time.Hour, // balancers read a time of 0 as long ago
 		arrivalRNG: newRNG(c.Seed, 1), workRNG: newRNG(c.Seed, 2), errorRNG: newRNG(c.Seed, 3),
 		result: Result{
 			Requests: make([]int, len(c.Classes)), InTime: make([]int, len(c.Classes)),
@@ -119,30 +125,32 @@
 		},
 	}
 	for i := range c.Nodes {
-		w.nodes = append(w.nodes, &node{Node: &c.Nodes[i], index: i, sim: w})
+		sim.nodes = append(sim.nodes, &node{Node: &c.Nodes[i], index: i, sim: sim})
 	}
 	for i, s := range c.Sidecars {
-		m := c.Balancer
-		m.SidecarIndex, m.SidecarCount, m.Zone = i, len(c.Sidecars), s.Zone
-		b, err := balance.New(m, c.Seed+uint64(i))
+		cfg := c.Balancer
+		cfg.SidecarIndex, cfg.SidecarCount, cfg.Zone = i, len(c.Sidecars), s.Zone
+		b, err := balance.New(cfg, c.Seed+uint64(i))
 		if err != nil {
-			return nil, fmt.Errorf("fleet: Module: %w", err)
+			return nil, fmt.Errorf("fleetsim: Balancer: %w", err)
 		}
-		x := &sidecar{sim: w, balancer: b, pending: make(map[balance.RequestID]*pendingTry)}
-		w.sidecars = append(w.sidecars, x)
+		instance := &sidecar{sim: sim, balancer: b, pending: make(map[balance.RequestID]*pendingTry)}
+		sim.sidecars = append(sim.sidecars, instance)
 		var list []balance.Endpoint
 		for j, n := range c.Nodes {
 			list = append(list, balance.Endpoint{ID: balance.EndpointID(j + 1), Zone: n.Zone, Weight: n.Weight})
 		}
-		x.dispatch(func(acts []balance.Action) []balance.Action {
-			return b.EndpointsUpdated(w.now, balance.ListLastKnown, list, acts)
+		instance.dispatch(func(actions []balance.Action) []balance.Action {
+			return b.EndpointsUpdated(sim.now, balance.ListLastKnown, list, actions)
 		})
 	}
-	w.scheduleArrivals(w.now + c.Duration)
-	for w.step() {
+	sim.scheduleArrivals(sim.now + c.Duration)
+	for sim.step() {
 	}
-	return &w.result, nil
+	return &sim.result, nil
 }
 
-// newRNG returns the random numbers of one concern: two policies meet the same arrivals and work.
-func newRNG(seed, concern uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, concern)) }
+// newRNG returns the random number generator for one purpose. Each purpose has its own
+// generator, so that two versions of the balancer are run with the same arrivals and
+// work.
+func newRNG(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -12,8 +12,9 @@
 
 const ms = time.Millisecond
 
-// smallFleet is a fleet of so many sidecars before nodes of two cores and unlike speeds, whose calls
-// wait for the tiers behind for longer than they compute.
+// smallFleet returns a fleet of the given number of sidecars and four nodes, which have
+// two cores each and differ in speed. Requests wait for the tiers behind for longer than
+// they compute.
 func smallFleet(sidecars int) Config {
 	c := Config{
 		Seed: 7,
@@ -45,6 +46,7 @@
 	return c
 }
 
+// mustRun runs c and fails the test on an error.
 func mustRun(t testing.TB, c Config) *Result {
 	t.Helper()
 	r, err := Run(c)
@@ -54,7 +56,8 @@
 	return r
 }
 
-// However few sidecars share a small fleet that has cores to spare, it serves what is asked of it.
+// A small fleet with spare capacity must serve its requests in time, however few sidecars
+// send to it.
 func TestFewSidecarsServeInTime(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 6} {
 		worst := 1.0
@@ -64,25 +67,27 @@
 			worst = min(worst, mustRun(t, c).InTimeShare())
 		}
 		if worst < 0.97 {
-			t.Errorf("%d sidecars: %.3f served in time on the worst of 10 days, want 0.97", n, worst)
+			t.Errorf("%d sidecars: %.3f served in time with the worst of 10 seeds, want 0.97", n, worst)
 		}
 	}
 }
 
-// The same Config gives the same Result; another seed gives another.
+// The same Config must give the same Result, and another seed another one.
 func TestRunIsDeterministic(t *testing.T) {
 	c := smallFleet(3)
 	a, b := mustRun(t, c), mustRun(t, c)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v\nand then %+v", a, b)
+		t.Errorf("first run: %+v\nsecond run: %+v", a, b)
 	}
 	c.Seed++
 	if reflect.DeepEqual(a, mustRun(t, c)) {
-		t.Error("another seed gave the same day")
+		t.Error("another seed gave the same result")
 	}
 }
 
-// Each request ends once, whatever happens to its attempts, and no node holds more than it can.
+// Under overload, with rejections and errors, each request must end exactly once and no
+// node may exceed its MaxInFlight. A request that is counted twice or never would show
+// in the sums of the outcomes.
 func TestOverloadedRequestsEndOnce(t *testing.T) {
 	for _, reports := range []balance.Reporting{balance.ReportsNone, balance.ReportsInProbe, balance.ReportsInResponse} {
 		c := smallFleet(2)
@@ -94,65 +99,66 @@
 		r := mustRun(t, c)
 		for i := range r.Requests {
 			if got := r.InTime[i] + r.Late[i] + r.Failed[i]; got != r.Requests[i] || r.Requests[i] == 0 {
-				t.Errorf("reports %d, class %d: %d ended of %d", reports, i, got, r.Requests[i])
+				t.Errorf("reports %d, class %d: %d of %d requests ended", reports, i, got, r.Requests[i])
 			}
 		}
 		for i, n := range r.PeakInFlight {
 			if n > 6 {
-				t.Errorf("reports %d, node %d: held %d", reports, i, n)
+				t.Errorf("reports %d, node %d: %d in flight", reports, i, n)
 			}
 		}
 		if r.InTimeShare() > 0.95 || r.Failed[0] == 0 {
-			t.Errorf("reports %d: %.3f served at 1.4 of what the nodes can do", reports, r.InTimeShare())
+			t.Errorf("reports %d: %.3f served in time at an offered load of 1.4", reports, r.InTimeShare())
 		}
 	}
 }
 
-// A core that is shared evenly takes E[S]/(1-load) for a call on average, whatever the spread of
-// its work (Kleinrock, Queueing Systems II, 4.4: M/G/1 with processor sharing).
+// With processor sharing on one core, the mean time of a request at the node is
+// E[S]/(1-load), regardless of the distribution of its work S (Kleinrock, Queueing Systems
+// II, 4.4: M/G/1 with processor sharing). The simulated node must agree with that to 5%.
 func TestProcessorSharingMatchesTheory(t *testing.T) {
-	const calls, load = 60_000, 0.6
+	const requests, load = 60_000, 0.6
 	for _, cv := range []float64{0, 1.5} {
-		w := &simulation{cfg: &Config{}, workRNG: newRNG(3, 2), errorRNG: newRNG(3, 3), result: Result{PeakInFlight: make([]int, 1)}}
-		n := &node{Node: &Node{Cores: 1, CoreSpeed: 2, MaxInFlight: math.MaxInt}, sim: w}
-		arrivals, took := newRNG(3, 1), 0.0
-		at := time.Duration(0)
-		for range calls {
-			at += time.Duration(arrivals.ExpFloat64() / load * float64(time.Second))
-			w.schedule(at, func() {
-				began := w.now
-				n.accept(&job{remainingWorkSeconds: 2 * lognormal(w.workRNG, 1, cv), onEnd: func(balance.Result, *balance.Load) {
-					took += (w.now - began).Seconds()
+		sim := &simulation{cfg: &Config{}, workRNG: newRNG(3, 2), errorRNG: newRNG(3, 3), result: Result{PeakInFlight: make([]int, 1)}}
+		n := &node{Node: &Node{Cores: 1, CoreSpeed: 2, MaxInFlight: math.MaxInt}, sim: sim}
+		arrivalRNG, totalSeconds := newRNG(3, 1), 0.0
+		arrivesAt := time.Duration(0)
+		for range requests {
+			arrivesAt += time.Duration(arrivalRNG.ExpFloat64() / load * float64(time.Second))
+			sim.schedule(arrivesAt, func() {
+				acceptedAt := sim.now
+				n.accept(&job{remainingWorkSeconds: 2 * lognormal(sim.workRNG, 1, cv), onEnd: func(balance.Result, *balance.Load) {
+					totalSeconds += (sim.now - acceptedAt).Seconds()
 				}})
 			})
 		}
-		for w.step() {
+		for sim.step() {
 		}
-		if got, want := took/calls, 1/(1-load); math.Abs(got-want) > 0.05*want {
-			t.Errorf("cv %g: a call takes %.3f s, want %.3f", cv, got, want)
+		if got, want := totalSeconds/requests, 1/(1-load); math.Abs(got-want) > 0.05*want {
+			t.Errorf("cv %g: mean time at the node is %.3f s, want %.3f", cv, got, want)
 		}
 	}
 }
 
 func TestRunRejectsInvalidConfig(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
-		"Nodes[1]":   func(c *Config) { c.Nodes[1].Cores = 0 },
-		"Classes[0]": func(c *Config) { c.Classes[0].MeanWork = 0 },
-		"Classes: 1": func(c *Config) { c.Classes = c.Classes[:1] },
-		"Load":       func(c *Config) { c.OfferedLoad = math.NaN() },
-		"Length":     func(c *Config) { c.Duration = 0 },
-		"Sidecars":   func(c *Config) { c.Sidecars = nil },
-		"Module":     func(c *Config) { c.Balancer.ColdCapacityShare = 2 },
+	for want, invalidate := range map[string]func(*Config){
+		"Nodes[1]":    func(c *Config) { c.Nodes[1].Cores = 0 },
+		"Classes[0]":  func(c *Config) { c.Classes[0].MeanWork = 0 },
+		"Classes: 1":  func(c *Config) { c.Classes = c.Classes[:1] },
+		"OfferedLoad": func(c *Config) { c.OfferedLoad = math.NaN() },
+		"Duration":    func(c *Config) { c.Duration = 0 },
+		"Sidecars":    func(c *Config) { c.Sidecars = nil },
+		"Balancer:":   func(c *Config) { c.Balancer.ColdCapacityShare = 2 },
 	} {
 		c := smallFleet(1)
-		spoil(&c)
+		invalidate(&c)
 		if _, err := Run(c); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
 		}
 	}
 }
 
-// BenchmarkRun is a day of 30 s at three sidecars and four nodes.
+// BenchmarkRun measures a run of 30 simulated seconds with three sidecars and four nodes.
 func BenchmarkRun(b *testing.B) {
 	for b.Loop() {
 		mustRun(b, smallFleet(3))
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -9,26 +9,29 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// simulation is a fleet in motion.
+// simulation is the state of a run: a discrete-event simulation of a Config.
 type simulation struct {
 	cfg          *Config
-	now          time.Duration
+	now          time.Duration // simulated time
 	events       eventQueue
-	lastSequence uint64
+	lastSequence uint64 // sequence number of the event that was scheduled last
 	sidecars     []*sidecar
 	nodes        []*node
 	result       Result
 
+	// Random numbers of arrivals, of the requests' work and of the nodes' errors.
 	arrivalRNG, workRNG, errorRNG *rand.Rand
 }
 
-// event is something that happens. Of two at one time the one that was set first is first.
+// event is a scheduled function. Events that are due at the same time run in the
+// order in which they were scheduled.
 type event struct {
-	dueAt    time.Duration
-	sequence uint64
+	dueAt    time.Duration // simulated time
+	sequence uint64        // position in the order of scheduling
 	run      func()
 }
 
+// eventQueue is a heap of events, the next one first. It implements [heap.Interface].
 type eventQueue []event
 
 func (e eventQueue) Len() int      { return len(e) }
@@ -44,228 +47,252 @@
 	return x
 }
 
-// schedule has something happen later.
-func (w *simulation) schedule(d time.Duration, do func()) {
-	w.lastSequence++
-	heap.Push(&w.events, event{w.now + max(d, 0), w.lastSequence, do})
+// schedule runs a function after a delay of simulated time; a negative delay counts
+// as zero.
+func (sim *simulation) schedule(delay time.Duration, run func()) {
+	sim.lastSequence++
+	heap.Push(&sim.events, event{sim.now + max(delay, 0), sim.lastSequence, run})
 }
 
-// step lets the next event happen, and tells whether there was one.
-func (w *simulation) step() bool {
-	if len(w.events) == 0 {
+// step runs the next event and reports whether there was one.
+func (sim *simulation) step() bool {
+	if len(sim.events) == 0 {
 		return false
 	}
-	e := heap.Pop(&w.events).(event)
-	w.now = e.dueAt
+	e := heap.Pop(&sim.events).(event)
+	sim.now = e.dueAt
 	e.run()
 	return true
 }
 
-// scheduleArrivals has requests come one by one until the end: a Poisson process whose rate makes the load.
-func (w *simulation) scheduleArrivals(end time.Duration) {
-	parts, work, cores := 0.0, 0.0, 0.0
-	for _, k := range w.cfg.Classes {
-		parts += k.TrafficWeight
-		work += k.TrafficWeight * k.MeanWork.Seconds()
+// scheduleArrivals schedules the clients' requests until the simulated time end, one
+// after the other. They are a Poisson process whose rate yields the offered load.
+func (sim *simulation) scheduleArrivals(end time.Duration) {
+	totalWeight, weightedWork, capacity := 0.0, 0.0, 0.0
+	for _, k := range sim.cfg.Classes {
+		totalWeight += k.TrafficWeight
+		weightedWork += k.TrafficWeight * k.MeanWork.Seconds()
 	}
-	for _, n := range w.cfg.Nodes {
-		cores += float64(n.Cores) * n.CoreSpeed
+	for _, n := range sim.cfg.Nodes {
+		capacity += float64(n.Cores) * n.CoreSpeed
 	}
-	gap := work / parts / (w.cfg.OfferedLoad * cores)
-	var next func()
-	next = func() {
-		w.schedule(time.Duration(w.arrivalRNG.ExpFloat64()*gap*float64(time.Second)), func() {
-			if w.now < end {
-				w.startRequest()
-				next()
+	meanGapSeconds := weightedWork / totalWeight / (sim.cfg.OfferedLoad * capacity)
+	var scheduleNext func()
+	scheduleNext = func() {
+		sim.schedule(time.Duration(sim.arrivalRNG.ExpFloat64()*meanGapSeconds*float64(time.Second)), func() {
+			if sim.now < end {
+				sim.startRequest()
+				scheduleNext()
 			}
 		})
 	}
-	next()
+	scheduleNext()
 }
 
-// startRequest has a client send a request.
-func (w *simulation) startRequest() {
-	class := weightedIndex(w.arrivalRNG, len(w.cfg.Classes), func(i int) float64 { return w.cfg.Classes[i].TrafficWeight })
-	by := weightedIndex(w.arrivalRNG, len(w.cfg.Sidecars), func(i int) float64 { return w.cfg.Sidecars[i].TrafficWeight })
-	w.result.Requests[class]++
-	k := &w.cfg.Classes[class]
-	q := &clientRequest{
-		class: class, startedAt: w.now, sidecar: w.sidecars[by],
-		workSeconds: lognormal(w.workRNG, k.MeanWork.Seconds(), k.WorkCV), downstreamSeconds: w.workRNG.ExpFloat64() * k.MeanDownstreamWait.Seconds(),
+// startRequest starts a new request of a random class at a random sidecar.
+func (sim *simulation) startRequest() {
+	class := weightedIndex(sim.arrivalRNG, len(sim.cfg.Classes), func(i int) float64 { return sim.cfg.Classes[i].TrafficWeight })
+	sidecarIndex := weightedIndex(sim.arrivalRNG, len(sim.cfg.Sidecars), func(i int) float64 { return sim.cfg.Sidecars[i].TrafficWeight })
+	sim.result.Requests[class]++
+	traffic := &sim.cfg.Classes[class]
+	request := &clientRequest{
+		class: class, startedAt: sim.now, sidecar: sim.sidecars[sidecarIndex],
+		workSeconds: lognormal(sim.workRNG, traffic.MeanWork.Seconds(), traffic.WorkCV), downstreamSeconds: sim.workRNG.ExpFloat64() * traffic.MeanDownstreamWait.Seconds(),
 	}
-	w.sendTry(q)
+	sim.sendTry(request)
 }
 
-// weightedIndex returns an index by its part of the sum of all parts.
-func weightedIndex(rng *rand.Rand, n int, part func(int) float64) int {
+// weightedIndex returns a random index from 0 to n-1, each with a probability in
+// proportion to its weight.
+func weightedIndex(rng *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
-		sum += part(i)
+		sum += weight(i)
 	}
-	at := rng.Float64() * sum
+	remaining := rng.Float64() * sum
 	for i := range n - 1 {
-		if at -= part(i); at < 0 {
+		if remaining -= weight(i); remaining < 0 {
 			return i
 		}
 	}
 	return n - 1
 }
 
+// lognormal returns a lognormal random number with the given mean and coefficient of
+// variation.
 func lognormal(rng *rand.Rand, mean, cv float64) float64 {
-	s := math.Sqrt(math.Log1p(cv * cv))
-	return mean * math.Exp(s*rng.NormFloat64()-s*s/2)
+	sigma := math.Sqrt(math.Log1p(cv * cv))
+	return mean * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 }
 
-// clientRequest is what a client wants, over all its tries.
+// clientRequest is a client's request with all its tries. Each try goes to the same
+// sidecar and takes the same work.
 type clientRequest struct {
-	class                          int
-	startedAt                      time.Duration
-	tries                          int
-	sidecar                        *sidecar
-	workSeconds, downstreamSeconds float64 // in seconds
+	class     int
+	startedAt time.Duration // simulated time of the first try
+	tries     int           // tries so far
+	sidecar   *sidecar
+
+	// workSeconds is the computing time on a core of speed 1. downstreamSeconds is the
+	// wait for the tiers behind the node.
+	workSeconds, downstreamSeconds float64
 }
 
-// sendTry sends a request to its sidecar, as the client does each time.
-func (w *simulation) sendTry(q *clientRequest) {
-	q.tries++
-	w.result.ClientTries++
-	k := &w.cfg.Balancer.Classes[q.class]
-	budget := k.Deadline
-	if w.cfg.Clients.TryTimeoutShare > 0 {
-		budget = time.Duration(float64(budget) * w.cfg.Clients.TryTimeoutShare)
+// sendTry sends a try of a request to its sidecar. The try's timeout ends at the
+// deadline of the request at the latest.
+func (sim *simulation) sendTry(request *clientRequest) {
+	request.tries++
+	sim.result.ClientTries++
+	class := &sim.cfg.Balancer.Classes[request.class]
+	timeout := class.Deadline
+	if sim.cfg.Clients.TryTimeoutShare > 0 {
+		timeout = time.Duration(float64(timeout) * sim.cfg.Clients.TryTimeoutShare)
 	}
-	q.sidecar.receive(q, min(budget, q.startedAt+k.Deadline-w.now))
+	request.sidecar.receive(request, min(timeout, request.startedAt+class.Deadline-sim.now))
 }
 
-// endTry takes a try's final answer. A client whose patience has not run out tries again.
-func (w *simulation) endTry(q *clientRequest, ok bool, back time.Duration) {
-	k := &w.cfg.Balancer.Classes[q.class]
+// endTry handles the final response to a try. After a failure the client tries again
+// after retryAfter, or after its own delay if that is 0. If the deadline of the
+// request would have passed by then or no try is left, the request has failed.
+func (sim *simulation) endTry(request *clientRequest, ok bool, retryAfter time.Duration) {
+	class := &sim.cfg.Balancer.Classes[request.class]
 	switch {
-	case ok && w.now <= q.startedAt+k.TargetLatency:
-		w.result.InTime[q.class]++
+	case ok && sim.now <= request.startedAt+class.TargetLatency:
+		sim.result.InTime[request.class]++
 	case ok:
-		w.result.Late[q.class]++
+		sim.result.Late[request.class]++
 	default:
-		if back == 0 {
-			back = w.cfg.Clients.RetryDelay
+		if retryAfter == 0 {
+			retryAfter = sim.cfg.Clients.RetryDelay
 		}
-		if q.tries < max(w.cfg.Clients.MaxTries, 1) && w.now+back < q.startedAt+k.Deadline {
-			w.schedule(back, func() { w.sendTry(q) })
+		if request.tries < max(sim.cfg.Clients.MaxTries, 1) && sim.now+retryAfter < request.startedAt+class.Deadline {
+			sim.schedule(retryAfter, func() { sim.sendTry(request) })
 			return
 		}
-		w.result.Failed[q.class]++
+		sim.result.Failed[request.class]++
 	}
 }
 
-// sidecar runs the decision module, as the engine does over sockets.
+// sidecar is the running state of a Sidecar. It passes events to a real balancer and
+// executes the balancer's actions, as package engine does over sockets.
 type sidecar struct {
 	sim           *simulation
 	balancer      *balance.Balancer
 	pending       map[balance.RequestID]*pendingTry
 	lastRequestID balance.RequestID
-	actions       []balance.Action
+	actions       []balance.Action // reused by dispatch
 }
 
-// pendingTry is one try at a sidecar.
+// pendingTry is a client's try at a sidecar. For the balancer it is a request of its own.
 type pendingTry struct {
 	request      *clientRequest
-	responded    bool
-	attemptCount int
-	inFlight     map[int]*job
+	responded    bool         // the client has its final response
+	attemptCount int          // attempts sent so far; the number of the next one
+	inFlight     map[int]*job // by attempt number
 }
 
-func (s *sidecar) receive(q *clientRequest, budget time.Duration) {
+// receive accepts a client's try, which the client abandons after timeout.
+func (s *sidecar) receive(request *clientRequest, timeout time.Duration) {
 	s.lastRequestID++
 	id := s.lastRequestID
-	s.pending[id] = &pendingTry{request: q, inFlight: make(map[int]*job)}
-	s.dispatch(func(acts []balance.Action) []balance.Action {
-		return s.balancer.RequestArrived(s.sim.now, balance.Request{ID: id, Class: q.class, Timeout: budget}, acts)
+	s.pending[id] = &pendingTry{request: request, inFlight: make(map[int]*job)}
+	s.dispatch(func(actions []balance.Action) []balance.Action {
+		return s.balancer.RequestArrived(s.sim.now, balance.Request{ID: id, Class: request.class, Timeout: timeout}, actions)
 	})
 }
 
-// dispatch gives the module an event and carries out what it says.
-func (s *sidecar) dispatch(f func(acts []balance.Action) []balance.Action) {
-	s.actions = f(s.actions[:0])
+// dispatch calls handle, which passes an event to the balancer, and executes the
+// actions that it returns. Each action must only schedule events, so that dispatch
+// is not entered again meanwhile.
+func (s *sidecar) dispatch(handle func(actions []balance.Action) []balance.Action) {
+	s.actions = handle(s.actions[:0])
 	for i := range s.actions {
 		s.execute(s.actions[i])
 	}
 }
 
-func (s *sidecar) execute(a balance.Action) {
-	w := s.sim
-	switch a.Kind {
+// execute executes an action of the balancer.
+func (s *sidecar) execute(action balance.Action) {
+	sim := s.sim
+	switch action.Kind {
 	case balance.Send:
-		s.sendAttempt(a)
-	case balance.Cancel: // its work goes on, the sidecar does not wait for it
-		if c := s.pending[a.Request]; c != nil && c.inFlight[a.Attempt] != nil {
-			w.schedule(0, func() { s.endAttempt(a.Request, a.Attempt, balance.Canceled, nil) })
+		s.sendAttempt(action)
+	case balance.Cancel: // the node goes on with the work, but the sidecar does not wait for it
+		if try := s.pending[action.Request]; try != nil && try.inFlight[action.Attempt] != nil {
+			sim.schedule(0, func() { s.endAttempt(action.Request, action.Attempt, balance.Canceled, nil) })
 		}
 	case balance.Shed, balance.Fail:
-		if c := s.pending[a.Request]; c != nil && !c.responded {
-			c.responded = true
-			w.endTry(c.request, false, a.Delay)
-			s.removeIfDone(a.Request)
+		if try := s.pending[action.Request]; try != nil && !try.responded {
+			try.responded = true
+			sim.endTry(try.request, false, action.Delay)
+			s.removeIfDone(action.Request)
 		}
 	case balance.SetTimer:
-		w.schedule(a.Delay, func() {
-			s.dispatch(func(acts []balance.Action) []balance.Action { return s.balancer.TimerFired(w.now, a.Timer, acts) })
+		sim.schedule(action.Delay, func() {
+			s.dispatch(func(actions []balance.Action) []balance.Action {
+				return s.balancer.TimerFired(sim.now, action.Timer, actions)
+			})
 		})
 	case balance.Probe:
-		n := w.nodes[a.Endpoint-1]
-		w.schedule(w.cfg.NetworkDelay, func() {
-			l := n.loadReport()
-			w.schedule(w.cfg.NetworkDelay, func() {
-				s.dispatch(func(acts []balance.Action) []balance.Action {
-					return s.balancer.ProbeEnded(w.now, a.Endpoint, balance.OK, l, acts)
+		target := sim.nodes[action.Endpoint-1]
+		sim.schedule(sim.cfg.NetworkDelay, func() {
+			report := target.loadReport()
+			sim.schedule(sim.cfg.NetworkDelay, func() {
+				s.dispatch(func(actions []balance.Action) []balance.Action {
+					return s.balancer.ProbeEnded(sim.now, action.Endpoint, balance.OK, report, actions)
 				})
 			})
 		})
 	}
 }
 
-// sendAttempt sends an attempt, which is given up when its time is up.
-func (s *sidecar) sendAttempt(a balance.Action) {
-	w, c := s.sim, s.pending[a.Request]
-	if c == nil {
+// sendAttempt sends an attempt to its node. The attempt ends with its response or a
+// timeout at its deadline, whichever is first.
+func (s *sidecar) sendAttempt(action balance.Action) {
+	sim, try := s.sim, s.pending[action.Request]
+	if try == nil {
 		return
 	}
-	w.result.Attempts++
-	j := &job{sentAt: w.now, remainingWorkSeconds: c.request.workSeconds, downstreamSeconds: c.request.downstreamSeconds, endpoint: a.Endpoint}
-	n := c.attemptCount
-	c.inFlight[n] = j
-	c.attemptCount++
-	j.onEnd = func(res balance.Result, load *balance.Load) {
-		w.schedule(w.cfg.NetworkDelay, func() { s.endAttempt(a.Request, n, res, load) })
+	sim.result.Attempts++
+	attempt := &job{sentAt: sim.now, remainingWorkSeconds: try.request.workSeconds, downstreamSeconds: try.request.downstreamSeconds, endpoint: action.Endpoint}
+	attemptNumber := try.attemptCount
+	try.inFlight[attemptNumber] = attempt
+	try.attemptCount++
+	attempt.onEnd = func(result balance.Result, load *balance.Load) {
+		sim.schedule(sim.cfg.NetworkDelay, func() { s.endAttempt(action.Request, attemptNumber, result, load) })
 	}
-	w.schedule(w.cfg.NetworkDelay, func() { w.nodes[a.Endpoint-1].accept(j) })
-	w.schedule(a.Deadline-w.now, func() { s.endAttempt(a.Request, n, balance.Timeout, nil) })
+	sim.schedule(sim.cfg.NetworkDelay, func() { sim.nodes[action.Endpoint-1].accept(attempt) })
+	sim.schedule(action.Deadline-sim.now, func() { s.endAttempt(action.Request, attemptNumber, balance.Timeout, nil) })
 }
 
-// endAttempt takes the end of an attempt, unless it has ended before.
-func (s *sidecar) endAttempt(id balance.RequestID, n int, res balance.Result, load *balance.Load) {
-	c := s.pending[id]
-	if c == nil || c.inFlight[n] == nil {
+// endAttempt ends an attempt and reports it to the balancer. An attempt that has
+// ended already is ignored. The load report may be nil.
+func (s *sidecar) endAttempt(id balance.RequestID, attemptNumber int, result balance.Result, load *balance.Load) {
+	try := s.pending[id]
+	if try == nil || try.inFlight[attemptNumber] == nil {
 		return
 	}
-	j := c.inFlight[n]
-	delete(c.inFlight, n)
-	if res == balance.OK && !c.responded {
-		c.responded = true
-		s.sim.endTry(c.request, true, 0)
+	attempt := try.inFlight[attemptNumber]
+	delete(try.inFlight, attemptNumber)
+	if result == balance.OK && !try.responded {
+		try.responded = true
+		s.sim.endTry(try.request, true, 0)
 	}
-	o := balance.Outcome{
-		Request: id, Attempt: n, Endpoint: j.endpoint, Result: res, RequestFinished: c.responded, Elapsed: s.sim.now - j.sentAt,
+	outcome := balance.Outcome{
+		Request: id, Attempt: attemptNumber, Endpoint: attempt.endpoint, Result: result, RequestFinished: try.responded, Elapsed: s.sim.now - attempt.sentAt,
 	}
 	if s.sim.cfg.Balancer.Reporting == balance.ReportsInResponse {
-		o.Load = load
+		outcome.Load = load
 	}
-	s.dispatch(func(acts []balance.Action) []balance.Action { return s.balancer.AttemptEnded(s.sim.now, o, acts) })
+	s.dispatch(func(actions []balance.Action) []balance.Action {
+		return s.balancer.AttemptEnded(s.sim.now, outcome, actions)
+	})
 	s.removeIfDone(id)
 }
 
+// removeIfDone removes a try that has its final response and no attempt in flight.
 func (s *sidecar) removeIfDone(id balance.RequestID) {
-	if c := s.pending[id]; c != nil && c.responded && len(c.inFlight) == 0 {
+	if try := s.pending[id]; try != nil && try.responded && len(try.inFlight) == 0 {
 		delete(s.pending, id)
 	}
 }
