--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -30,7 +30,7 @@
 // run reads batches from input and writes their replies to output until the input
 // ends between two batches. It returns an error for malformed input, an event of an
 // unknown instance and a failed write. Invalid settings and a panic of a balancer
-// are no errors: the reply reports them in a PANIC line, and later events of that
+// are not errors of run: the reply reports them in a PANIC line, and later events of that
 // instance are ignored until it is created again.
 func run(input io.Reader, output io.Writer) error {
 	instances := make(map[uint32]*instance)
@@ -91,8 +91,8 @@
 	}
 }
 
-// newInstance returns the instance that an InstanceCreated event describes. Beside
-// an error it returns an instance without a balancer.
+// newInstance returns the instance that an InstanceCreated event describes. With an
+// error it returns an instance without a balancer, which ignores its events.
 func newInstance(e *wire.Event) (*instance, error) {
 	cfg, fields, err := wire.ParseConfig(e.ConfigJSON)
 	if err != nil {
@@ -106,8 +106,8 @@
 var errPanic = errors.New("panic")
 
 // handleEvent passes an event to the balancer of its instance and returns actions
-// with the balancer's actions appended. The error is errPanic if the balancer
-// panicked; any other error is a load report that does not fit the settings.
+// with those of the balancer appended. The error wraps errPanic if the balancer
+// panicked; any other error means that a load report does not fit the settings.
 func handleEvent(inst *instance, batch *wire.Batch, e *wire.Event, actions []balance.Action) (_ []balance.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -18,18 +18,18 @@
 // EventKind is the kind of an [Event].
 type EventKind uint8
 
-// The kinds of events.
+// The kinds of events, with the names of their messages.
 const (
-	InstanceCreated EventKind = iota
-	InstanceStopped
-	EndpointsUpdated
-	RequestArrived
-	ResponseStarted
-	AttemptEnded
-	RequestAbandoned
-	TimerFired
-	ProbeEnded
-	PeerMessage
+	InstanceCreated  EventKind = iota // NEW_INSTANCE
+	InstanceStopped                   // POWER_OFF
+	EndpointsUpdated                  // ENDPOINTS
+	RequestArrived                    // QUERY
+	ResponseStarted                   // HEAD_RECEIVED
+	AttemptEnded                      // REPLY
+	RequestAbandoned                  // ABORTED
+	TimerFired                        // RING
+	ProbeEnded                        // PROBE_RESULT
+	PeerMessage                       // INBOX
 )
 
 // Event is one event of a batch. Only the fields that its kind uses are set.
@@ -43,7 +43,7 @@
 	ListKind   balance.ListKind   // of EndpointsUpdated
 	Endpoints  []balance.Endpoint // of EndpointsUpdated; shared between events, valid until the next batch is read
 	Request    balance.Request    // of RequestArrived; other events about a request set its ID only
-	Outcome    balance.Outcome    // of AttemptEnded, in part of ResponseStarted and ProbeEnded; its Load is not set, see [Event.Load]
+	Outcome    balance.Outcome    // of AttemptEnded and, in part, ResponseStarted and ProbeEnded; for its Load see [Event.Load]
 	Timer      balance.Timer      // of TimerFired; zero for a cookie that AppendAction did not write
 
 	reportValues [MaxLoadFields]float64
@@ -82,13 +82,13 @@
 
 // The fields of a load report. They correspond to the fields of [balance.Load].
 const (
-	FieldUnknown LoadField = iota // an unknown name in the settings; the value is ignored
-	FieldInFlight
-	FieldQueued
-	FieldUtilization
-	FieldLatency
-	FieldServed
-	FieldFailed
+	FieldUnknown     LoadField = iota // an unknown name in the settings; the value is ignored
+	FieldInFlight                     // requests in flight
+	FieldQueued                       // requests that wait
+	FieldUtilization                  // share of the cores in use
+	FieldLatency                      // recent service time in milliseconds
+	FieldServed                       // requests per second
+	FieldFailed                       // errors per second
 )
 
 // NewReader returns a Reader that reads from input.
