--- a/internal/fleetsim/node.go
+++ b/internal/fleetsim/node.go
@@ -6,99 +6,109 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// node serves calls: each computes with its part of the cores, then waits for the tiers behind.
+// node is the running state of a Node. Each job first computes with an equal share of
+// the cores and then waits for the tiers behind the node.
 type node struct {
 	*Node
-	at      int
-	w       *world
-	running []*job
-	waiting int
-	since   time.Duration // what is left of the running jobs is as of then
-	turn    uint64        // of the event that ends the first of them
+	index        int // in Config.Nodes
+	sim          *simulation
+	running      []*job        // jobs that compute
+	waiting      int           // number of jobs that wait for the tiers behind
+	advancedAt   time.Duration // simulated time of the last advance
+	completionID uint64        // number of the latest scheduled completion; earlier ones are ignored
 }
 
-// job is a call at a node.
+// job is an attempt at a node.
 type job struct {
-	to         balance.EndpointID
-	began      time.Duration
-	work, wait float64 // in seconds: what is left to compute at speed 1, and to wait
-	done       func(balance.Result, *balance.Load)
+	endpoint balance.EndpointID
+	sentAt   time.Duration // simulated time at which the sidecar sent it
+
+	// remainingWorkSeconds is the remaining computing time on a core of speed 1.
+	// downstreamSeconds is the wait for the tiers behind, after the computation.
+	remainingWorkSeconds, downstreamSeconds float64
+
+	onEnd func(balance.Result, *balance.Load) // called once, when the node responds
 }
 
-// load is the report of a node's load.
-func (n *node) load() *balance.Load {
+// loadReport returns the node's load report, which contains only the number of
+// requests in flight.
+func (n *node) loadReport() *balance.Load {
 	return &balance.Load{
 		InFlight: float64(len(n.running) + n.waiting), Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1,
 	}
 }
 
-// take takes a call, or turns it away if the node holds as many as it can.
-func (n *node) take(j *job) {
-	held := len(n.running) + n.waiting
-	if held >= n.MaxInFlight {
-		j.done(balance.Rejected, n.load())
+// accept starts a job, or rejects it if MaxInFlight jobs are in flight already.
+func (n *node) accept(j *job) {
+	inFlight := len(n.running) + n.waiting
+	if inFlight >= n.MaxInFlight {
+		j.onEnd(balance.Rejected, n.loadReport())
 		return
 	}
-	n.w.res.PeakInFlight[n.at] = max(n.w.res.PeakInFlight[n.at], held+1)
+	n.sim.result.PeakInFlight[n.index] = max(n.sim.result.PeakInFlight[n.index], inFlight+1)
 	n.advance()
 	n.running = append(n.running, j)
-	n.next()
+	n.scheduleCompletion()
 }
 
-// rate is what each running job computes in a second.
-func (n *node) rate() float64 {
+// workRate returns the work that each running job does in a second: seconds of
+// computing time on a core of speed 1. No job uses more than one core.
+func (n *node) workRate() float64 {
 	return n.CoreSpeed * min(1, float64(n.Cores)/float64(max(len(n.running), 1)))
 }
 
-// advance takes what has been computed since it was last called off the running jobs.
+// advance subtracts the work done since the last call from the running jobs. It must
+// be called before a change of running, because that changes the work rate.
 func (n *node) advance() {
-	did := n.rate() * (n.w.now - n.since).Seconds()
+	workDone := n.workRate() * (n.sim.now - n.advancedAt).Seconds()
 	for _, j := range n.running {
-		j.work -= did
+		j.remainingWorkSeconds -= workDone
 	}
-	n.since = n.w.now
+	n.advancedAt = n.sim.now
 }
 
-// next sets the event that ends the running job with the least left.
-func (n *node) next() {
-	n.turn++
+// scheduleCompletion schedules the completion of the running job with the least
+// remaining work, and invalidates the completion event that was scheduled before.
+func (n *node) scheduleCompletion() {
+	n.completionID++
 	if len(n.running) == 0 {
 		return
 	}
-	first := n.running[0]
+	shortest := n.running[0]
 	for _, j := range n.running {
-		if j.work < first.work {
-			first = j
+		if j.remainingWorkSeconds < shortest.remainingWorkSeconds {
+			shortest = j
 		}
 	}
-	turn := n.turn
-	n.w.after(time.Duration(first.work/n.rate()*float64(time.Second))+1, func() {
-		if turn == n.turn {
-			n.finish()
+	completionID := n.completionID
+	n.sim.schedule(time.Duration(shortest.remainingWorkSeconds/n.workRate()*float64(time.Second))+1, func() {
+		if completionID == n.completionID {
+			n.completeJobs()
 		}
 	})
 }
 
-// finish has those go on to wait that have computed all they need.
-func (n *node) finish() {
+// completeJobs moves the running jobs without remaining work on to their wait for the
+// tiers behind. At the end of its wait a job ends, with an error at the node's ErrorRate.
+func (n *node) completeJobs() {
 	n.advance()
-	left := n.running[:0]
+	stillRunning := n.running[:0]
 	for _, j := range n.running {
-		if j.work > 1e-9 {
-			left = append(left, j)
+		if j.remainingWorkSeconds > 1e-9 {
+			stillRunning = append(stillRunning, j)
 			continue
 		}
 		n.waiting++
-		n.w.after(time.Duration(j.wait*float64(time.Second)), func() {
+		n.sim.schedule(time.Duration(j.downstreamSeconds*float64(time.Second)), func() {
 			n.waiting--
-			res := balance.OK
-			if n.w.errs.Float64() < n.ErrorRate {
-				res = balance.Error
+			result := balance.OK
+			if n.sim.errorRNG.Float64() < n.ErrorRate {
+				result = balance.Error
 			}
-			j.done(res, n.load())
+			j.onEnd(result, n.loadReport())
 		})
 	}
-	clear(n.running[len(left):])
-	n.running = left
-	n.next()
+	clear(n.running[len(stillRunning):])
+	n.running = stillRunning
+	n.scheduleCompletion()
 }
--- a/internal/wire/parse.go
+++ b/internal/wire/parse.go
@@ -10,28 +10,31 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// parser takes the values of a line one by one. The first mistake sticks and
-// end returns it.
+// parser parses the values of a line one by one. Values are separated by single
+// spaces. The parser keeps the first error, which expectEnd returns. Values
+// that are taken after an error are meaningless.
 type parser struct {
-	rest []byte
-	none bool // nothing is left, not even an empty value
-	err  error
+	rest      []byte // the part of the line that has not been parsed
+	exhausted bool   // no value remains; an empty rest before that is one empty value
+	err       error  // the first error
 }
 
+// fail records an error unless there is one already.
 func (p *parser) fail(format string, args ...any) {
 	if p.err == nil {
 		p.err = fmt.Errorf(format, args...)
 	}
 }
 
-func (p *parser) word() []byte {
-	if p.none {
+// token takes the next value.
+func (p *parser) token() []byte {
+	if p.exhausted {
 		p.fail("too few values")
 		return nil
 	}
 	i := bytes.IndexByte(p.rest, ' ')
 	if i < 0 {
-		p.none = true
+		p.exhausted = true
 		return p.rest
 	}
 	w := p.rest[:i]
@@ -39,23 +42,28 @@
 	return w
 }
 
-func (p *parser) text() []byte {
-	if p.none {
+// remainder takes the rest of the line as one value, which may contain spaces.
+func (p *parser) remainder() []byte {
+	if p.exhausted {
 		p.fail("too few values")
 		return nil
 	}
-	p.none = true
+	p.exhausted = true
 	return p.rest
 }
 
-func (p *parser) end() error {
-	if !p.none {
+// expectEnd returns the first error of the line. A line that has further values
+// is an error too.
+func (p *parser) expectEnd() error {
+	if !p.exhausted {
 		p.fail("too many values")
 	}
 	return p.err
 }
 
-func (p *parser) number(w []byte, bits int) uint64 {
+// parseUint parses a decimal number without a sign that fits into the given
+// number of bits.
+func (p *parser) parseUint(w []byte, bits int) uint64 {
 	var n uint64
 	if len(w) == 0 {
 		p.fail("bad number %q", w)
@@ -73,30 +81,36 @@
 	return n
 }
 
-func (p *parser) uint(bits int) uint64 { return p.number(p.word(), bits) }
+// uint takes an unsigned number.
+func (p *parser) uint(bits int) uint64 { return p.parseUint(p.token(), bits) }
 
-// optional takes a number that may be absent, which counts as 0.
-func (p *parser) optional(bits int) uint64 {
-	w := p.word()
+// optionalUint takes an unsigned number, or "-" for an absent one, which it
+// returns as 0.
+func (p *parser) optionalUint(bits int) uint64 {
+	w := p.token()
 	if string(w) == "-" {
 		return 0
 	}
-	return p.number(w, bits)
+	return p.parseUint(w, bits)
 }
 
+// int takes a signed number.
 func (p *parser) int() int64 {
-	w := p.word()
+	w := p.token()
 	if len(w) > 0 && w[0] == '-' {
-		return -int64(p.number(w[1:], 63))
+		return -int64(p.parseUint(w[1:], 63))
 	}
-	return int64(p.number(w, 63))
+	return int64(p.parseUint(w, 63))
 }
 
-// small takes a number to be used as an index.
-func (p *parser) small() int { return int(p.uint(31)) }
+// index takes an unsigned number of 31 bits, which fits into an int on every
+// platform.
+func (p *parser) index() int { return int(p.uint(31)) }
 
+// float takes a finite floating-point number. For "-", an absent one, it returns
+// the value of absent.
 func (p *parser) float(absent float64) float64 {
-	w := p.word()
+	w := p.token()
 	if string(w) == "-" {
 		return absent
 	}
@@ -107,8 +121,9 @@
 	return v
 }
 
+// bool takes 0 or 1.
 func (p *parser) bool() bool {
-	w := p.word()
+	w := p.token()
 	if len(w) != 1 || w[0] != '0' && w[0] != '1' {
 		p.fail("%.40q is neither 0 nor 1", w)
 		return false
@@ -116,30 +131,36 @@
 	return w[0] == '1'
 }
 
-func (p *parser) instance() uint32 {
-	w := p.word()
+// instanceID takes the name of an instance, such as sidecar_3, and returns its
+// number.
+func (p *parser) instanceID() uint32 {
+	w := p.token()
 	n, ok := bytes.CutPrefix(w, []byte("sidecar_"))
 	if !ok {
 		p.fail("bad instance %.40q", w)
 		return 0
 	}
-	return uint32(p.number(n, 32))
+	return uint32(p.parseUint(n, 32))
 }
 
-func (p *parser) endpoint() balance.EndpointID { return balance.EndpointID(p.uint(32)) }
+// endpointID takes the number of an endpoint.
+func (p *parser) endpointID() balance.EndpointID { return balance.EndpointID(p.uint(32)) }
 
-func (p *parser) request() balance.RequestID {
-	w := p.word()
-	n, ok := hex(w)
+// requestID takes a request's ID: 16 lower-case hexadecimal digits.
+func (p *parser) requestID() balance.RequestID {
+	w := p.token()
+	n, ok := parseHex(w)
 	if !ok || len(w) != 16 {
 		p.fail("bad request id %.40q", w)
 	}
 	return balance.RequestID(n)
 }
 
-// cookie takes a timer's token; one that no reply of ours has set is none of ours.
-func (p *parser) cookie() balance.Timer {
-	w := p.word()
+// timer takes the cookie of a timer, as [AppendAction] writes it: the timer's
+// kind, a dot and its reference. Any other cookie of 1 to 64 bytes is valid but
+// yields the zero Timer, which belongs to no balancer.
+func (p *parser) timer() balance.Timer {
+	w := p.token()
 	if len(w) == 0 || len(w) > 64 {
 		p.fail("bad cookie %.70q", w)
 	}
@@ -147,14 +168,15 @@
 	if !ok || len(kind) != 1 || kind[0] < '0' || kind[0] > '9' || len(ref) != 16 {
 		return balance.Timer{}
 	}
-	n, ok := hex(ref)
+	n, ok := parseHex(ref)
 	if !ok {
 		return balance.Timer{}
 	}
 	return balance.Timer{Kind: kind[0] - '0', Ref: n}
 }
 
-func hex(w []byte) (n uint64, ok bool) {
+// parseHex parses lower-case hexadecimal digits; ok is false if w has any other byte.
+func parseHex(w []byte) (n uint64, ok bool) {
 	for _, c := range w {
 		switch {
 		case c >= '0' && c <= '9':
@@ -168,8 +190,10 @@
 	return n, true
 }
 
-func (p *parser) base64() {
-	w := p.word()
+// skipBase64 takes a value in base64, or "-" for an absent one, and discards it
+// once it is checked.
+func (p *parser) skipBase64() {
+	w := p.token()
 	if string(w) == "-" {
 		return
 	}
@@ -179,8 +203,9 @@
 	}
 }
 
-func (p *parser) state() balance.EndpointState {
-	switch w := p.word(); string(w) {
+// endpointState takes the status of an endpoint.
+func (p *parser) endpointState() balance.EndpointState {
+	switch w := p.token(); string(w) {
 	case "in_service":
 		return balance.InService
 	case "terminating":
@@ -193,8 +218,9 @@
 	}
 }
 
+// result takes the reason for which an attempt or a probe ended.
 func (p *parser) result() balance.Result {
-	switch w := p.word(); string(w) {
+	switch w := p.token(); string(w) {
 	case "completed":
 		return balance.OK
 	case "errored":
