--- a/internal/config/other_test.go
+++ b/internal/config/burntsushi_test.go
@@ -7,15 +7,15 @@
 	"strings"
 	"testing"
 
-	other "github.com/BurntSushi/toml"
+	burntsushi "github.com/BurntSushi/toml"
 )
 
-// leaves lists the keys of a document that have a value, as our decoder writes them.
-func leaves(v map[string]any, prefix string, out map[string]any) map[string]any {
+// flattenKeys lists the keys of a document that have a value, as our decoder writes them.
+func flattenKeys(v map[string]any, prefix string, out map[string]any) map[string]any {
 	for name, x := range v {
 		path := prefix + quoteKey(name)
 		if table, ok := x.(map[string]any); ok {
-			leaves(table, path+".", out)
+			flattenKeys(table, path+".", out)
 			continue
 		}
 		out[path] = x
@@ -23,19 +23,19 @@
 	return out
 }
 
-// agree checks that another reader of TOML, by other hands, finds the same keys with values in
+// checkSameKeysAsBurntSushi checks that another reader of TOML, by other hands, finds the same keys with values in
 // a text that we accept.
-func agree(t *testing.T, name string, text []byte, s *Settings) {
+func checkSameKeysAsBurntSushi(t *testing.T, name string, text []byte, s *Settings) {
 	t.Helper()
 	var doc map[string]any
-	if err := other.Unmarshal(bytes.TrimPrefix(text, []byte("\ufeff")), &doc); err != nil {
+	if err := burntsushi.Unmarshal(bytes.TrimPrefix(text, []byte("\ufeff")), &doc); err != nil {
 		t.Errorf("%s: we accept what another reader does not: %v", name, err)
 		return
 	}
-	theirs := leaves(doc, "", make(map[string]any))
+	theirs := flattenKeys(doc, "", make(map[string]any))
 	ours := make(map[string]any)
-	for path := range s.given {
-		if _, part := theirs[path]; part || !isPart(path) {
+	for path := range s.keyPositions {
+		if _, part := theirs[path]; part || !isTable(path) {
 			ours[path] = nil
 		}
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// isPart tells whether a key is a part of the file: [callers], or [class.NAME].
-func isPart(path string) bool {
+// isTable tells whether a key is a part of the file: [callers], or [class.NAME].
+func isTable(path string) bool {
 	if path == "class" || strings.HasPrefix(path, "class.") && !slices.ContainsFunc(Keys(), func(k Key) bool {
 		return strings.HasPrefix(k.Path, "class.NAME.") && strings.HasSuffix(path, strings.TrimPrefix(k.Path, "class.NAME"))
 	}) {
@@ -54,10 +54,10 @@
 	return slices.ContainsFunc(Keys(), func(k Key) bool { return k.IsTable && k.Path == path })
 }
 
-func TestOtherReaderAgrees(t *testing.T) {
-	s, _ := ParseSettings("good", []byte(good))
+func TestParseSettingsFindsSameKeysAsBurntSushi(t *testing.T) {
+	s, _ := ParseSettings("good", []byte(validSettings))
 	for name, text := range map[string][]byte{
-		"good": []byte(good), "CRLF": []byte(strings.ReplaceAll(good, "\n", "\r\n")), "written": FormatSettings(s), "template": FormatSettings(DefaultSettings()),
+		"good": []byte(validSettings), "CRLF": []byte(strings.ReplaceAll(validSettings, "\n", "\r\n")), "written": FormatSettings(s), "template": FormatSettings(DefaultSettings()),
 		"inline": []byte("schema = 1\napplication = { name = \"a\" }\nclass.x = { wanted = \"1s\" }\nclass.y.wanted = \"2s\"\n"),
 		"quoted": []byte("schema = 1\n[\"application\"]\n'name' = \"a\"\n[class.\"a.b\"]\n\"wanted\" = '''1s'''\n"),
 	} {
@@ -69,6 +69,6 @@
 			t.Errorf("%s: %v", name, bad)
 			continue
 		}
-		agree(t, name, text, s)
+		checkSameKeysAsBurntSushi(t, name, text, s)
 	}
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -26,43 +26,43 @@
 // The library's decoder stops at the first wrong value and knows no bounds, so the schema is
 // walked beside its parser; what a valid document is stays the library's word.
 func ParseSettings(file string, text []byte) (*Settings, []Finding) {
-	d := &decoder{file: file, out: DefaultSettings(), seen: make(map[string]Position)}
-	d.out.given = d.seen
+	d := &decoder{file: file, settings: DefaultSettings(), positions: make(map[string]Position)}
+	d.settings.keyPositions = d.positions
 	if len(text) > MaxSettingsBytes {
-		d.add(Finding{Rule: RuleUnreadable, Found: fmt.Sprintf("%d bytes", len(text)), Allowed: Size(MaxSettingsBytes).String() + " at most"})
-		return d.out, d.findings
+		d.addFinding(Finding{Rule: RuleUnreadable, Found: fmt.Sprintf("%d bytes", len(text)), Allowed: Size(MaxSettingsBytes).String() + " at most"})
+		return d.settings, d.findings
 	}
 	// Editors of some systems put a byte order mark first, which is no part of the document.
 	text = bytes.TrimPrefix(text, []byte("\ufeff"))
 	d.text = slices.Clip(text)
 	for at, c := range d.text {
 		if c == '\n' {
-			d.lines = append(d.lines, at+1)
+			d.lineStarts = append(d.lineStarts, at+1)
 		}
 	}
-	if at := invalid(d.text); at >= 0 {
-		d.addAt(d.position(at), Finding{Rule: RuleSyntax, Found: fmt.Sprintf("byte 0x%02x", d.text[at]), Allowed: "UTF-8 text"})
-		return d.out, d.findings
+	if at := firstInvalidUTF8(d.text); at >= 0 {
+		d.addFindingAt(d.position(at), Finding{Rule: RuleSyntax, Found: fmt.Sprintf("byte 0x%02x", d.text[at]), Allowed: "UTF-8 text"})
+		return d.settings, d.findings
 	}
-	d.document()
-	if at, ok := d.seen["schema"]; ok && d.out.SchemaVersion > SchemaVersion {
-		d.newer(at)
-		return d.out, d.findings
+	d.decodeDocument()
+	if at, ok := d.positions["schema"]; ok && d.settings.SchemaVersion > SchemaVersion {
+		d.reportNewerSchema(at)
+		return d.settings, d.findings
 	}
 	if len(d.findings) == 0 { // tables mixed in ways that the walk does not follow
 		var any map[string]any
 		var bad *toml.DecodeError
 		if err := toml.Unmarshal(d.text, &any); errors.As(err, &bad) {
 			line, column := bad.Position()
-			d.addAt(Position{line, column}, Finding{Rule: RuleSyntax, Found: strings.TrimPrefix(bad.Error(), "toml: "), Allowed: "TOML 1.0"})
+			d.addFindingAt(Position{line, column}, Finding{Rule: RuleSyntax, Found: strings.TrimPrefix(bad.Error(), "toml: "), Allowed: "TOML 1.0"})
 		} else if err != nil {
-			d.add(Finding{Rule: RuleSyntax, Found: err.Error(), Allowed: "TOML 1.0"})
+			d.addFinding(Finding{Rule: RuleSyntax, Found: err.Error(), Allowed: "TOML 1.0"})
 		}
 	}
 	if len(d.findings) == 0 {
-		d.missing(reflect.ValueOf(d.out).Elem(), "")
+		d.reportMissingKeys(reflect.ValueOf(d.settings).Elem(), "")
 	}
-	return d.out, d.findings
+	return d.settings, d.findings
 }
 
 // LoadSettings reads an operators' file.
@@ -78,7 +78,7 @@
 	return ParseSettings(path, text)
 }
 
-func invalid(text []byte) int {
+func firstInvalidUTF8(text []byte) int {
 	for at := 0; at < len(text); {
 		r, n := utf8.DecodeRune(text[at:])
 		if r == utf8.RuneError && n <= 1 {
@@ -90,53 +90,53 @@
 }
 
 type decoder struct {
-	file     string
-	text     []byte
-	lines    []int // where lines begin, but for the first
-	parser   unstable.Parser
-	base     int // where the parser's text begins in the whole
-	out      *Settings
-	seen     map[string]Position
-	findings []Finding
+	file         string
+	text         []byte
+	lineStarts   []int // where lines begin, but for the first
+	parser       unstable.Parser
+	parserOffset int // where the parser's text begins in the whole
+	settings     *Settings
+	positions    map[string]Position
+	findings     []Finding
 }
 
-func (d *decoder) add(f Finding) {
+func (d *decoder) addFinding(f Finding) {
 	f.File, f.Level = d.file, LevelRefused
 	if len(d.findings) < maxFindings {
 		d.findings = append(d.findings, f)
 	}
 }
 
-func (d *decoder) addAt(at Position, f Finding) {
+func (d *decoder) addFindingAt(at Position, f Finding) {
 	f.Position = at
-	d.add(f)
+	d.addFinding(f)
 }
 
 // position is the place of an offset in the text.
 func (d *decoder) position(offset int) Position {
-	line := sort.SearchInts(d.lines, offset+1)
+	line := sort.SearchInts(d.lineStarts, offset+1)
 	begin := 0
 	if line > 0 {
-		begin = d.lines[line-1]
+		begin = d.lineStarts[line-1]
 	}
 	return Position{line + 1, offset - begin + 1}
 }
 
-// document walks the text. After an error of syntax it goes on at the next header of a table.
-func (d *decoder) document() {
-	for d.base <= len(d.text) {
-		d.parser.Reset(d.text[d.base:])
-		var table []part
-		known := d.base == 0 // of what comes before the first header after an error, nothing
+// decodeDocument walks the text. After an error of syntax it goes on at the next header of a table.
+func (d *decoder) decodeDocument() {
+	for d.parserOffset <= len(d.text) {
+		d.parser.Reset(d.text[d.parserOffset:])
+		var table []keyPart
+		known := d.parserOffset == 0 // of what comes before the first header after an error, nothing
 		for d.parser.NextExpression() {
 			e := d.parser.Expression()
 			switch e.Kind {
 			case unstable.Table, unstable.ArrayTable:
-				table = d.parts(e.Key())
-				known = d.header(table, e.Kind == unstable.ArrayTable)
+				table = d.keyParts(e.Key())
+				known = d.decodeTableHeader(table, e.Kind == unstable.ArrayTable)
 			case unstable.KeyValue:
 				if known {
-					d.keyValue(table, e)
+					d.decodeKeyValue(table, e)
 				}
 			}
 			if len(d.findings) >= maxFindings {
@@ -149,18 +149,18 @@
 		}
 		offset := len(d.text)
 		if len(bad.Highlight) > 0 {
-			offset = d.base + int(d.parser.Range(bad.Highlight).Offset)
+			offset = d.parserOffset + int(d.parser.Range(bad.Highlight).Offset)
 		}
 		found := "the end of the file"
 		if offset < len(d.text) {
 			found = fmt.Sprintf("%.40q", firstLine(d.text[offset:]))
 		}
-		d.addAt(d.position(offset), Finding{Rule: RuleSyntax, Found: found, Allowed: "TOML 1.0", Reason: bad.Message})
+		d.addFindingAt(d.position(offset), Finding{Rule: RuleSyntax, Found: found, Allowed: "TOML 1.0", Reason: bad.Message})
 		next := bytes.Index(d.text[min(offset, len(d.text)):], []byte("\n["))
 		if next < 0 {
 			return
 		}
-		d.base = offset + next + 1
+		d.parserOffset = offset + next + 1
 	}
 }
 
@@ -169,17 +169,17 @@
 	return bytes.TrimSuffix(line, []byte("\r"))
 }
 
-// part is a part of a dotted key.
-type part struct {
-	name string
-	at   Position
+// keyPart is a part of a dotted key.
+type keyPart struct {
+	name     string
+	position Position
 }
 
-func (d *decoder) parts(it unstable.Iterator) []part {
-	var out []part
+func (d *decoder) keyParts(it unstable.Iterator) []keyPart {
+	var out []keyPart
 	for it.Next() {
 		n := it.Node()
-		out = append(out, part{string(n.Data), d.position(d.base + int(n.Raw.Offset))})
+		out = append(out, keyPart{string(n.Data), d.position(d.parserOffset + int(n.Raw.Offset))})
 	}
 	return out
 }
@@ -195,7 +195,7 @@
 	return strconv.Quote(name)
 }
 
-func join(parts []part) string {
+func joinKey(parts []keyPart) string {
 	names := make([]string, len(parts))
 	for i, p := range parts {
 		names[i] = quoteKey(p.name)
@@ -203,38 +203,38 @@
 	return strings.Join(names, ".")
 }
 
-// header takes a table's header, and tells whether what follows belongs to the settings.
-func (d *decoder) header(key []part, array bool) bool {
-	path, last := join(key), key[len(key)-1]
-	to, ok := d.walk(key)
+// decodeTableHeader takes a table's header, and tells whether what follows belongs to the settings.
+func (d *decoder) decodeTableHeader(key []keyPart, array bool) bool {
+	path, last := joinKey(key), key[len(key)-1]
+	to, ok := d.resolve(key)
 	if !ok {
 		return false
 	}
 	if array || to.Kind() != reflect.Struct && to.Kind() != reflect.Map {
-		d.addAt(last.at, Finding{Rule: RuleWrongType, Key: path, Found: "a table", Allowed: d.allowed(key)})
+		d.addFindingAt(last.position, Finding{Rule: RuleWrongType, Key: path, Found: "a table", Allowed: d.allowedValues(key)})
 		return false
 	}
-	if first, ok := d.seen[path]; ok {
-		d.duplicate(last.at, path, first)
+	if first, ok := d.positions[path]; ok {
+		d.reportDuplicate(last.position, path, first)
 		return false
 	}
-	d.seen[path] = last.at
+	d.positions[path] = last.position
 	return true
 }
 
-func (d *decoder) duplicate(at Position, path string, first Position) {
-	d.addAt(at, Finding{
+func (d *decoder) reportDuplicate(at Position, path string, first Position) {
+	d.addFindingAt(at, Finding{
 		Rule: RuleDuplicate, Key: path, Found: fmt.Sprintf("given again, first in line %d", first.Line), Allowed: "once",
 	})
 }
 
-// allowed is what the value of a key may be, in words.
-func (d *decoder) allowed(key []part) string {
-	path := join(key)
+// allowedValues is what the value of a key may be, in words.
+func (d *decoder) allowedValues(key []keyPart) string {
+	path := joinKey(key)
 	if len(key) > 1 && key[0].name == "class" {
 		path = "class.NAME"
 		if len(key) > 2 {
-			path += "." + join(key[2:])
+			path += "." + joinKey(key[2:])
 		}
 	}
 	for _, k := range Keys() {
@@ -245,15 +245,15 @@
 	return "a part of the file, [" + path + "]"
 }
 
-// walk goes down a key from the top of the settings. A class that is new to it is added.
-func (d *decoder) walk(key []part) (reflect.Value, bool) {
-	at := reflect.ValueOf(d.out).Elem()
+// resolve goes down a key from the top of the settings. A class that is new to it is added.
+func (d *decoder) resolve(key []keyPart) (reflect.Value, bool) {
+	at := reflect.ValueOf(d.settings).Elem()
 	for i, p := range key {
-		path := join(key[:i+1])
+		path := joinKey(key[:i+1])
 		switch at.Kind() {
 		case reflect.Map:
 			if err := checkText("name", p.name); err != nil {
-				d.addAt(p.at, Finding{Rule: RuleOutOfRange, Key: path, Found: strconv.Quote(p.name), Allowed: "a name"})
+				d.addFindingAt(p.position, Finding{Rule: RuleOutOfRange, Key: path, Found: strconv.Quote(p.name), Allowed: "a name"})
 				return at, false
 			}
 			if at.IsNil() {
@@ -262,72 +262,72 @@
 			name := reflect.ValueOf(p.name)
 			if !at.MapIndex(name).IsValid() {
 				if at.Len() >= maxClasses {
-					d.addAt(p.at, Finding{Rule: RuleOutOfRange, Key: path, Found: "one more", Allowed: fmt.Sprintf("%d at most", maxClasses)})
+					d.addFindingAt(p.position, Finding{Rule: RuleOutOfRange, Key: path, Found: "one more", Allowed: fmt.Sprintf("%d at most", maxClasses)})
 					return at, false
 				}
 				at.SetMapIndex(name, reflect.New(at.Type().Elem().Elem()))
 				if i+1 < len(key) {
-					d.seen[path] = p.at
+					d.positions[path] = p.position
 				}
 			}
 			at = at.MapIndex(name).Elem()
 		case reflect.Struct:
-			f, ok := find(at.Type(), p.name)
+			f, ok := fieldByKey(at.Type(), p.name)
 			if !ok {
-				d.unknown(at.Type(), p, path)
+				d.reportUnknownKey(at.Type(), p, path)
 				return at, false
 			}
 			at = at.FieldByIndex(f.Index)
 		default:
-			d.addAt(p.at, Finding{Rule: RuleWrongType, Key: join(key[:i]), Found: "a table", Allowed: d.allowed(key[:i])})
+			d.addFindingAt(p.position, Finding{Rule: RuleWrongType, Key: joinKey(key[:i]), Found: "a table", Allowed: d.allowedValues(key[:i])})
 			return at, false
 		}
 	}
 	return at, true
 }
 
-func (d *decoder) unknown(in reflect.Type, p part, path string) {
-	f := Finding{Rule: RuleUnknownKey, Key: path, Found: quoteKey(p.name), Allowed: strings.Join(names(in), ", ")}
-	if near := nearest(p.name, names(in)); near != "" {
+func (d *decoder) reportUnknownKey(in reflect.Type, p keyPart, path string) {
+	f := Finding{Rule: RuleUnknownKey, Key: path, Found: quoteKey(p.name), Allowed: strings.Join(keyNames(in), ", ")}
+	if near := closestMatch(p.name, keyNames(in)); near != "" {
 		f.Fix = "did you mean " + near + "?"
 	}
-	d.addAt(p.at, f)
+	d.addFindingAt(p.position, f)
 }
 
-// keyValue takes a key and its value below a table.
-func (d *decoder) keyValue(table []part, e *unstable.Node) {
-	key := d.parts(e.Key())
+// decodeKeyValue takes a key and its value below a table.
+func (d *decoder) decodeKeyValue(table []keyPart, e *unstable.Node) {
+	key := d.keyParts(e.Key())
 	full := append(slices.Clone(table), key...)
-	to, ok := d.walk(full)
+	to, ok := d.resolve(full)
 	if !ok {
 		return
 	}
-	path, last := join(full), full[len(full)-1]
+	path, last := joinKey(full), full[len(full)-1]
 	if to.Kind() == reflect.Struct || to.Kind() == reflect.Map {
 		if e.Value().Kind != unstable.InlineTable {
-			d.addAt(last.at, Finding{Rule: RuleWrongType, Key: path, Found: d.found(e.Value()), Allowed: d.allowed(full)})
+			d.addFindingAt(last.position, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(e.Value()), Allowed: d.allowedValues(full)})
 			return
 		}
-		if first, ok := d.seen[path]; ok {
-			d.duplicate(last.at, path, first)
+		if first, ok := d.positions[path]; ok {
+			d.reportDuplicate(last.position, path, first)
 			return
 		}
-		d.seen[path] = last.at
+		d.positions[path] = last.position
 		for it := e.Value().Children(); it.Next(); {
-			d.keyValue(full, it.Node())
+			d.decodeKeyValue(full, it.Node())
 		}
 		return
 	}
-	if first, ok := d.seen[path]; ok {
-		d.duplicate(last.at, path, first)
+	if first, ok := d.positions[path]; ok {
+		d.reportDuplicate(last.position, path, first)
 		return
 	}
-	d.seen[path] = last.at
-	d.value(to, full, e.Value())
+	d.positions[path] = last.position
+	d.decodeValue(to, full, e.Value())
 }
 
-// found is a value as the file has it, shortened.
-func (d *decoder) found(n *unstable.Node) string {
+// excerpt is a value as the file has it, shortened.
+func (d *decoder) excerpt(n *unstable.Node) string {
 	switch n.Kind {
 	case unstable.Array:
 		return "a list"
@@ -344,19 +344,19 @@
 	return raw
 }
 
-// value reads a value into its field.
-func (d *decoder) value(to reflect.Value, key []part, n *unstable.Node) {
-	f, ok := d.field(key)
+// decodeValue reads a value into its field.
+func (d *decoder) decodeValue(to reflect.Value, key []keyPart, n *unstable.Node) {
+	f, ok := d.schemaField(key)
 	if !ok {
 		return
 	}
-	k := keyOf(f)
-	path, at := join(key), key[len(key)-1].at
+	k := keyFromField(f)
+	path, at := joinKey(key), key[len(key)-1].position
 	if n.Kind != unstable.Array && n.Kind != unstable.InlineTable {
-		at = d.position(d.base + int(n.Raw.Offset))
+		at = d.position(d.parserOffset + int(n.Raw.Offset))
 	}
 	wrong := func(rule, allowed string) {
-		d.addAt(at, Finding{Rule: rule, Key: path, Found: d.found(n), Allowed: allowed})
+		d.addFindingAt(at, Finding{Rule: rule, Key: path, Found: d.excerpt(n), Allowed: allowed})
 	}
 	if to.Kind() == reflect.Pointer {
 		to.Set(reflect.New(to.Type().Elem()))
@@ -364,10 +364,10 @@
 	}
 	isText := n.Kind == unstable.String
 	switch {
-	case to.Type() == timeType, to.Type() == sizeType:
+	case to.Type() == durationType, to.Type() == sizeType:
 		if !isText {
 			wrong(RuleWrongType, k.Allowed()+", in quotes and with a unit")
-		} else if err := scalar(to, string(n.Data)); err != nil {
+		} else if err := setScalar(to, string(n.Data)); err != nil {
 			wrong(RuleOutOfRange, k.Allowed())
 		} else if !inRange(to, k) {
 			wrong(RuleOutOfRange, k.Allowed())
@@ -396,22 +396,22 @@
 		if !isText {
 			wrong(RuleWrongType, k.Allowed()+", in quotes")
 		} else if len(k.Choices) > 0 && !slices.Contains(k.Choices, text) {
-			f := Finding{Rule: RuleOutOfRange, Key: path, Found: d.found(n), Allowed: k.Allowed()}
-			if near := nearest(text, k.Choices); near != "" {
+			f := Finding{Rule: RuleOutOfRange, Key: path, Found: d.excerpt(n), Allowed: k.Allowed()}
+			if near := closestMatch(text, k.Choices); near != "" {
 				f.Fix = "did you mean " + strconv.Quote(near) + "?"
 			}
-			d.addAt(at, f)
+			d.addFindingAt(at, f)
 		} else if checkText(f.Tag.Get("kind"), text) != nil {
 			wrong(RuleOutOfRange, k.Allowed())
 		}
 		to.SetString(text)
 	case to.Kind() == reflect.Slice:
-		d.list(to, f, key, n)
+		d.decodeList(to, f, key, n)
 	}
 }
 
-// field is the schema's field of a key.
-func (d *decoder) field(key []part) (reflect.StructField, bool) {
+// schemaField is the schema's field of a key.
+func (d *decoder) schemaField(key []keyPart) (reflect.StructField, bool) {
 	t := reflect.TypeFor[Settings]()
 	var f reflect.StructField
 	for i, p := range key {
@@ -420,7 +420,7 @@
 			continue
 		}
 		var ok bool
-		if f, ok = find(t, p.name); !ok {
+		if f, ok = fieldByKey(t, p.name); !ok {
 			return f, false
 		}
 		if t = f.Type; i == len(key)-1 {
@@ -430,14 +430,14 @@
 	return f, false
 }
 
-// maxList is the most elements of a list, maxClasses the most classes.
-const maxList, maxClasses = 64, 256
+// maxListElements is the most elements of a list, maxClasses the most classes.
+const maxListElements, maxClasses = 64, 256
 
-// list reads a list of strings.
-func (d *decoder) list(to reflect.Value, f reflect.StructField, key []part, n *unstable.Node) {
-	path, at, allowed := join(key), key[len(key)-1].at, typeName(f)
+// decodeList reads a list of strings.
+func (d *decoder) decodeList(to reflect.Value, f reflect.StructField, key []keyPart, n *unstable.Node) {
+	path, at, allowed := joinKey(key), key[len(key)-1].position, typeName(f)
 	if n.Kind != unstable.Array {
-		d.addAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.found(n), Allowed: allowed})
+		d.addFindingAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(n), Allowed: allowed})
 		return
 	}
 	var out []string
@@ -446,39 +446,39 @@
 		text := string(e.Data)
 		switch {
 		case e.Kind != unstable.String:
-			d.addAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.found(e), Allowed: allowed})
+			d.addFindingAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(e), Allowed: allowed})
 		case checkText(f.Tag.Get("kind"), text) != nil:
-			d.addAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: d.found(e), Allowed: allowed})
+			d.addFindingAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: d.excerpt(e), Allowed: allowed})
 		case slices.Contains(out, text):
-			d.addAt(at, Finding{Rule: RuleDuplicate, Key: path, Found: d.found(e) + " twice", Allowed: "once"})
+			d.addFindingAt(at, Finding{Rule: RuleDuplicate, Key: path, Found: d.excerpt(e) + " twice", Allowed: "once"})
 		}
-		if out = append(out, text); len(out) > maxList {
-			d.addAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: "a longer list", Allowed: fmt.Sprintf("%d elements at most", maxList)})
+		if out = append(out, text); len(out) > maxListElements {
+			d.addFindingAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: "a longer list", Allowed: fmt.Sprintf("%d elements at most", maxListElements)})
 			break
 		}
 	}
 	to.Set(reflect.ValueOf(out))
 }
 
-// newer reports the file's version alone: all else may be right for that.
-func (d *decoder) newer(at Position) {
+// reportNewerSchema reports the file's version alone: all else may be right for that.
+func (d *decoder) reportNewerSchema(at Position) {
 	d.findings = nil
-	d.addAt(at, Finding{
-		Rule: RuleSchemaVersion, Key: "schema", Found: strconv.Itoa(d.out.SchemaVersion), Allowed: strconv.Itoa(SchemaVersion),
+	d.addFindingAt(at, Finding{
+		Rule: RuleSchemaVersion, Key: "schema", Found: strconv.Itoa(d.settings.SchemaVersion), Allowed: strconv.Itoa(SchemaVersion),
 		Reason: "the file is written for a newer program, and its keys may mean something else there",
 		Fix:    "run the program that the file is for, or write the file anew with drumctl config write",
 	})
 }
 
-// missing reports the keys that are needed and not given.
-func (d *decoder) missing(part reflect.Value, prefix string) {
+// reportMissingKeys reports the keys that are needed and not given.
+func (d *decoder) reportMissingKeys(part reflect.Value, prefix string) {
 	for i := range part.NumField() {
 		f := part.Type().Field(i)
 		key := f.Tag.Get("key")
 		if part.Field(i).Kind() == reflect.Struct {
-			d.missing(part.Field(i), key+".")
-		} else if _, ok := d.seen[prefix+key]; !ok && f.Tag.Get("required") != "" {
-			d.add(Finding{Rule: RuleMissingKey, Key: prefix + key, Found: "nothing", Allowed: keyOf(f).Allowed()})
+			d.reportMissingKeys(part.Field(i), key+".")
+		} else if _, ok := d.positions[prefix+key]; !ok && f.Tag.Get("required") != "" {
+			d.addFinding(Finding{Rule: RuleMissingKey, Key: prefix + key, Found: "nothing", Allowed: keyFromField(f).Allowed()})
 		}
 	}
 }
@@ -492,21 +492,21 @@
 	return out
 }
 
-// nearest is the word that a typing error may have stood for, or none.
-func nearest(text string, words []string) string {
+// closestMatch is the word that a typing error may have stood for, or none.
+func closestMatch(text string, words []string) string {
 	best, least := "", len(text)/3+2
 	for _, w := range words {
-		if n := distance(text, w); n < least {
+		if n := editDistance(text, w); n < least {
 			best, least = w, n
 		}
 	}
 	return best
 }
 
-// distance is the Levenshtein distance of two short texts.
-func distance(x, y string) int {
-	if len(x) > maxName || len(y) > maxName {
-		return maxName
+// editDistance is the Levenshtein distance of two short texts.
+func editDistance(x, y string) int {
+	if len(x) > maxNameBytes || len(y) > maxNameBytes {
+		return maxNameBytes
 	}
 	row := make([]int, len(y)+1)
 	for j := range row {
--- a/internal/config/kinds.go
+++ b/internal/config/kinds.go
@@ -80,8 +80,8 @@
 	return fmt.Sprintf("%dns", d)
 }
 
-// maxName is the most bytes of a name: callers send class names in a header.
-const maxName = 64
+// maxNameBytes is the most bytes of a name: callers send class names in a header.
+const maxNameBytes = 64
 
 // checkText checks a string of a kind, see Settings.
 func checkText(kind, text string) error {
@@ -89,18 +89,18 @@
 	case "address":
 		return discovery.CheckAddress(text)
 	case "path":
-		if !strings.HasPrefix(text, "/") || len(text) > 1024 || !visible(text) {
+		if !strings.HasPrefix(text, "/") || len(text) > 1024 || !isVisibleASCII(text) {
 			return fmt.Errorf("%.60q is not a path such as \"/load\"", text)
 		}
 	case "name":
-		if text == "" || len(text) > maxName || !visible(text) {
-			return fmt.Errorf("%.70q is not a name of 1 to %d visible ASCII characters", text, maxName)
+		if text == "" || len(text) > maxNameBytes || !isVisibleASCII(text) {
+			return fmt.Errorf("%.70q is not a name of 1 to %d visible ASCII characters", text, maxNameBytes)
 		}
 	}
 	return nil
 }
 
-// visible tells whether a text has visible ASCII characters only: others don't fit in a header.
-func visible(text string) bool {
+// isVisibleASCII tells whether a text has visible ASCII characters only: others don't fit in a header.
+func isVisibleASCII(text string) bool {
 	return strings.IndexFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -24,8 +24,8 @@
 
 // What holds where neither the platform nor the file says anything.
 const (
-	defaultConnectTime = 250 * time.Millisecond
-	defaultKeepAlive   = 10 * time.Second
+	defaultConnectTimeout   = 250 * time.Millisecond
+	defaultKeepAliveTimeout = 10 * time.Second
 )
 
 // MaxCallerConnections is how many connections callers may have open: a third of the descriptors
@@ -51,12 +51,12 @@
 
 // ConnectTimeout is how long a connection to an endpoint may take to come up.
 func (c *Config) ConnectTimeout() time.Duration {
-	return cmp.Or(c.BalancerConfig.Limits.ConnectTimeout, defaultConnectTime)
+	return cmp.Or(c.BalancerConfig.Limits.ConnectTimeout, defaultConnectTimeout)
 }
 
 // KeepAliveTimeout is how long an endpoint keeps an idle connection at the least.
 func (c *Config) KeepAliveTimeout() time.Duration {
-	return cmp.Or(c.BalancerConfig.Limits.KeepAlive, defaultKeepAlive)
+	return cmp.Or(c.BalancerConfig.Limits.KeepAlive, defaultKeepAliveTimeout)
 }
 
 // ProbePath is what a probe asks an endpoint for by these settings.
@@ -70,19 +70,19 @@
 	return "/load"
 }
 
-var semantics = map[string]balance.Semantics{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
+var semanticsValues = map[string]balance.Semantics{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 
-var scopes = map[string]balance.Scope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
+var scopeValues = map[string]balance.Scope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
 
-var reports = map[string]balance.Reporting{
+var reportingValues = map[string]balance.Reporting{
 	"probe": balance.ReportsInProbe, "answers": balance.ReportsInResponse, "none": balance.ReportsNone,
 }
 
 // SemanticsName and ScopeName are what the file calls the module's values.
-func SemanticsName(s balance.Semantics) string { return nameOf(semantics, s) }
+func SemanticsName(s balance.Semantics) string { return nameOf(semanticsValues, s) }
 
 // ScopeName is what the file calls a scope.
-func ScopeName(s balance.Scope) string { return nameOf(scopes, s) }
+func ScopeName(s balance.Scope) string { return nameOf(scopeValues, s) }
 
 func nameOf[V comparable](names map[string]V, v V) string {
 	for name, x := range names {
@@ -99,7 +99,7 @@
 func Merge(p *Platform, s *Settings) *Config {
 	alone := p == nil
 	if alone {
-		p = standalone(s)
+		p = standalonePlatform(s)
 	} else {
 		narrowed := *p
 		narrowed.BalancerConfig.Classes = slices.Clone(p.BalancerConfig.Classes)
@@ -109,15 +109,15 @@
 	c.narrowLimits()
 	for name, k := range s.Classes {
 		if i, ok := p.ClassIndex[name]; ok {
-			p.BalancerConfig.Classes[i] = narrow(p.BalancerConfig.Classes[i], k)
+			p.BalancerConfig.Classes[i] = narrowClass(p.BalancerConfig.Classes[i], k)
 		}
 	}
 	return c
 }
 
-// mostKillDeadline is the longest that a platform counts a deadline for as it sets when SIGKILL follows
+// maxKillDeadline is the longest that a platform counts a deadline for as it sets when SIGKILL follows
 // SIGTERM.
-const mostKillDeadline = 3 * time.Second
+const maxKillDeadline = 3 * time.Second
 
 // ShutdownRequestTimeout is how long a request that was taken before the end of the linger time may take at most
 // once SIGTERM has come.
@@ -125,11 +125,11 @@
 	if c.Standalone {
 		return c.LongestDeadline()
 	}
-	return min(c.LongestDeadline(), mostKillDeadline)
+	return min(c.LongestDeadline(), maxKillDeadline)
 }
 
-// less is the smaller of two values of which zero means that nothing is said.
-func less[V cmp.Ordered](x, y V) V {
+// minSet is the smaller of two values of which zero means that nothing is said.
+func minSet[V cmp.Ordered](x, y V) V {
 	var none V
 	if x == none || y == none {
 		return max(x, y)
@@ -139,45 +139,45 @@
 
 func (c *Config) narrowLimits() {
 	s, p, m := c.Settings, c.Platform, &c.Platform.BalancerConfig
-	p.Limits.Cores = less(p.Limits.Cores, s.Limits.Cores)
-	p.Limits.MemoryMB = less(p.Limits.MemoryMB, int64(s.Limits.Memory)>>20)
-	p.Limits.Sockets = less(p.Limits.Sockets, s.Limits.Sockets)
-	m.Limits.ConnectTimeout = less(m.Limits.ConnectTimeout, s.Endpoints.ConnectTimeout)
-	m.Limits.KeepAlive = less(m.Limits.KeepAlive, s.Endpoints.KeepAliveTimeout)
-	m.Limits.MaxAttempts = less(m.Limits.MaxAttempts, s.Fleet.MaxAttempts)
+	p.Limits.Cores = minSet(p.Limits.Cores, s.Limits.Cores)
+	p.Limits.MemoryMB = minSet(p.Limits.MemoryMB, int64(s.Limits.Memory)>>20)
+	p.Limits.Sockets = minSet(p.Limits.Sockets, s.Limits.Sockets)
+	m.Limits.ConnectTimeout = minSet(m.Limits.ConnectTimeout, s.Endpoints.ConnectTimeout)
+	m.Limits.KeepAlive = minSet(m.Limits.KeepAlive, s.Endpoints.KeepAliveTimeout)
+	m.Limits.MaxAttempts = minSet(m.Limits.MaxAttempts, s.Fleet.MaxAttempts)
 	m.Limits.MaxRetryAfter = min(m.Limits.MaxRetryAfter, cmp.Or(s.Fleet.MaxRetryAfter, m.Limits.MaxRetryAfter))
 	if s.Fleet.Hedging != nil {
 		m.Limits.Hedging = m.Limits.Hedging && *s.Fleet.Hedging
 	}
-	m.DrainGrace = less(m.DrainGrace, s.Fleet.DrainGrace)
-	m.ColdCapacityShare = less(m.ColdCapacityShare, s.Fleet.ColdCapacityShare)
+	m.DrainGrace = minSet(m.DrainGrace, s.Fleet.DrainGrace)
+	m.ColdCapacityShare = minSet(m.ColdCapacityShare, s.Fleet.ColdCapacityShare)
 	m.WarmupTime = max(m.WarmupTime, s.Fleet.WarmupTime)
-	m.ColdOverloadMultiple = less(m.ColdOverloadMultiple, s.Fleet.OverloadMultiple)
-	m.ColdOverloadTime = less(m.ColdOverloadTime, s.Fleet.OverloadTime)
+	m.ColdOverloadMultiple = minSet(m.ColdOverloadMultiple, s.Fleet.OverloadMultiple)
+	m.ColdOverloadTime = minSet(m.ColdOverloadTime, s.Fleet.OverloadTime)
 	m.SidecarCount = max(m.SidecarCount, s.Fleet.SidecarCount)
 }
 
-// narrow narrows a class by what the file says of it.
-func narrow(k balance.Class, s *Class) balance.Class {
-	k.TargetLatency, k.Deadline = less(k.TargetLatency, s.TargetLatency), less(k.Deadline, s.Deadline)
+// narrowClass narrows a class by what the file says of it.
+func narrowClass(k balance.Class, s *Class) balance.Class {
+	k.TargetLatency, k.Deadline = minSet(k.TargetLatency, s.TargetLatency), minSet(k.Deadline, s.Deadline)
 	k.TargetLatency = min(k.TargetLatency, k.Deadline)
 	was := k.Semantics
-	k.Semantics = max(k.Semantics, semantics[s.Semantics])
-	k.Scope = max(k.Scope, scopes[s.Scope])
+	k.Semantics = max(k.Semantics, semanticsValues[s.Semantics])
+	k.Scope = max(k.Scope, scopeValues[s.Scope])
 	if was == balance.Safe { // a platform has no window to say for it
 		k.RepeatWindow = s.RepeatWindow
 	} else {
-		k.RepeatWindow = less(k.RepeatWindow, s.RepeatWindow)
+		k.RepeatWindow = minSet(k.RepeatWindow, s.RepeatWindow)
 	}
 	k.Value = cmp.Or(s.Value, k.Value)
 	if s.LateValueShare != nil {
 		k.LateValueShare = min(k.LateValueShare, *s.LateValueShare)
 	}
-	return limit(k, s)
+	return withReloadableLimits(k, s)
 }
 
-// limit sets the bounds of a class that may change while a sidecar runs.
-func limit(k balance.Class, s *Class) balance.Class {
+// withReloadableLimits sets the bounds of a class that may change while a sidecar runs.
+func withReloadableLimits(k balance.Class, s *Class) balance.Class {
 	k.MaxAttempts, k.MaxRetries, k.NoHedging, k.RetryStartWindow = 0, 0, false, 0
 	if s == nil {
 		return k
@@ -195,14 +195,14 @@
 func (c *Config) ReloadedClasses(s *Settings) []balance.Class {
 	out := slices.Clone(c.BalancerConfig.Classes)
 	for i := range out {
-		out[i] = limit(out[i], s.Classes[out[i].Name])
+		out[i] = withReloadableLimits(out[i], s.Classes[out[i].Name])
 	}
 	return out
 }
 
-// standalone is what a platform would say, by the file alone. The figures are those of the
+// standalonePlatform is what a platform would say, by the file alone. The figures are those of the
 // operators' main site (BRIEF, "Figures of the rules") where the file leaves them out.
-func standalone(s *Settings) *Platform {
+func standalonePlatform(s *Settings) *Platform {
 	f := s.Fleet
 	zones := f.Zones
 	if len(zones) == 0 {
@@ -222,7 +222,7 @@
 			DrainGrace: 500 * time.Millisecond, ClockResolution: time.Millisecond,
 			Limits: balance.Limits{
 				MaxAttempts: 6, Hedging: true, Cancel: true, Probes: true, MaxStreams: 1,
-				MaxRetryAfter: 2 * time.Second, ConnectTimeout: defaultConnectTime, KeepAlive: defaultKeepAlive,
+				MaxRetryAfter: 2 * time.Second, ConnectTimeout: defaultConnectTimeout, KeepAlive: defaultKeepAliveTimeout,
 			},
 		},
 	}
@@ -235,7 +235,7 @@
 	}
 	p.Limits.Sockets = cmp.Or(s.Limits.Sockets, p.Limits.Sockets)
 	if f.LoadReporting != "" {
-		m.Reporting = reports[f.LoadReporting]
+		m.Reporting = reportingValues[f.LoadReporting]
 	}
 	m.DrainGrace = cmp.Or(f.DrainGrace, m.DrainGrace)
 	m.ColdCapacityShare, m.WarmupTime = cmp.Or(f.ColdCapacityShare, m.ColdCapacityShare), cmp.Or(f.WarmupTime, m.WarmupTime)
@@ -250,7 +250,7 @@
 		p.ClassIndex[name] = len(m.Classes)
 		class := balance.Class{
 			Name: name, TargetLatency: k.TargetLatency, Deadline: k.Deadline, Value: cmp.Or(k.Value, 1),
-			Semantics: semantics[k.Semantics], Scope: scopes[k.Scope], RepeatWindow: k.RepeatWindow,
+			Semantics: semanticsValues[k.Semantics], Scope: scopeValues[k.Scope], RepeatWindow: k.RepeatWindow,
 		}
 		if k.LateValueShare != nil {
 			class.LateValueShare = *k.LateValueShare
@@ -265,10 +265,10 @@
 
 // SemanticsByName and Scope are the module's values for the file's words, ReportsName the file's
 // word for the module's.
-func SemanticsByName(word string) balance.Semantics { return semantics[word] }
+func SemanticsByName(word string) balance.Semantics { return semanticsValues[word] }
 
 // ScopeByName is the module's value for the file's word.
-func ScopeByName(word string) balance.Scope { return scopes[word] }
+func ScopeByName(word string) balance.Scope { return scopeValues[word] }
 
 // ReportingName is the file's word for a way of reporting.
-func ReportingName(r balance.Reporting) string { return nameOf(reports, r) }
+func ReportingName(r balance.Reporting) string { return nameOf(reportingValues, r) }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -148,11 +148,11 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	p.Zones, p.Tiers = names.Zones, names.Layers
-	return p, p.index()
+	return p, p.buildIndexes()
 }
 
-// index makes Classes and Tenants.
-func (p *Platform) index() error {
+// buildIndexes makes Classes and Tenants.
+func (p *Platform) buildIndexes() error {
 	p.ClassIndex, p.TenantIndex = make(map[string]int), make(map[string]int)
 	for i, k := range p.BalancerConfig.Classes {
 		if _, ok := p.ClassIndex[k.Name]; ok || k.Name == "" {
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -9,7 +9,7 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-func TestPlatformNamesTheSettingAtFault(t *testing.T) {
+func TestParsePlatformErrorNamesSetting(t *testing.T) {
 	good := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"instances": []}, "settings": ` + fake.PlatformSettingsJSON + "}"
 	c, err := config.ParsePlatform([]byte(good))
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -18,8 +18,8 @@
 // A file that is written in place as it is read may be torn: it is read again, so often and
 // after so long.
 const (
-	readTries = 5
-	readPause = 20 * time.Millisecond
+	maxReadRetries = 5
+	readRetryDelay = 20 * time.Millisecond
 )
 
 // ErrFileTooLarge says that a file holds more than is taken.
@@ -35,10 +35,10 @@
 		if err != nil || whole {
 			return text, err
 		}
-		if try == readTries {
+		if try == maxReadRetries {
 			return nil, fmt.Errorf("%s: %w", path, ErrModifiedDuringRead)
 		}
-		time.Sleep(readPause)
+		time.Sleep(readRetryDelay)
 	}
 }
 
@@ -56,14 +56,14 @@
 		return nil, false, err
 	}
 	defer f.Close()
-	text, whole, err = readWhole(f, most)
+	text, whole, err = readAndCompare(f, most)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
 	return text, whole, err
 }
 
-func readWhole(f fs.File, most int64) (text []byte, whole bool, err error) {
+func readAndCompare(f fs.File, most int64) (text []byte, whole bool, err error) {
 	before, err := f.Stat()
 	if err != nil {
 		return nil, false, err
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -38,16 +38,16 @@
 // Keys returns the schema: every part and key in the order of the file. The name of a class
 // stands as NAME.
 func Keys() []Key {
-	return keysOf(reflect.TypeFor[Settings](), "", nil)
+	return appendKeys(reflect.TypeFor[Settings](), "", nil)
 }
 
-func keysOf(t reflect.Type, prefix string, out []Key) []Key {
+func appendKeys(t reflect.Type, prefix string, out []Key) []Key {
 	for i := range t.NumField() {
 		f := t.Field(i)
 		if f.Tag.Get("key") == "" {
 			continue
 		}
-		k := keyOf(f)
+		k := keyFromField(f)
 		k.Path = prefix + k.Path
 		part := f.Type
 		if part.Kind() == reflect.Map {
@@ -57,14 +57,14 @@
 		k.IsTable = part.Kind() == reflect.Struct
 		out = append(out, k)
 		if k.IsTable {
-			out = keysOf(part, k.Path+".", out)
+			out = appendKeys(part, k.Path+".", out)
 		}
 	}
 	return out
 }
 
-// keyOf reads a field's tags.
-func keyOf(f reflect.StructField) Key {
+// keyFromField reads a field's tags.
+func keyFromField(f reflect.StructField) Key {
 	k := Key{
 		Path: f.Tag.Get("key"), Doc: f.Tag.Get("doc"), Default: f.Tag.Get("default"), UnsetMeaning: f.Tag.Get("unset"),
 		Min: f.Tag.Get("min"), Max: f.Tag.Get("max"),
@@ -76,7 +76,7 @@
 	return k
 }
 
-var timeType, sizeType = reflect.TypeFor[time.Duration](), reflect.TypeFor[Size]()
+var durationType, sizeType = reflect.TypeFor[time.Duration](), reflect.TypeFor[Size]()
 
 // typeName says what a field's value is.
 func typeName(f reflect.StructField) string {
@@ -86,7 +86,7 @@
 	}
 	kind := f.Tag.Get("kind")
 	switch {
-	case t == timeType:
+	case t == durationType:
 		return "a time"
 	case t == sizeType:
 		return "a size"
@@ -106,8 +106,8 @@
 	return "a part of the file"
 }
 
-// find returns the field of a part with a key.
-func find(part reflect.Type, key string) (reflect.StructField, bool) {
+// fieldByKey returns the field of a part with a key.
+func fieldByKey(part reflect.Type, key string) (reflect.StructField, bool) {
 	for i := range part.NumField() {
 		if f := part.Field(i); f.Tag.Get("key") == key && key != "" {
 			return f, true
@@ -116,8 +116,8 @@
 	return reflect.StructField{}, false
 }
 
-// names returns the keys of a part.
-func names(part reflect.Type) []string {
+// keyNames returns the keys of a part.
+func keyNames(part reflect.Type) []string {
 	var out []string
 	for i := range part.NumField() {
 		if key := part.Field(i).Tag.Get("key"); key != "" {
@@ -127,10 +127,10 @@
 	return out
 }
 
-// scalar reads a value from its text, as a default or a bound is written, into a field.
-func scalar(to reflect.Value, text string) error {
+// setScalar reads a value from its text, as a default or a bound is written, into a field.
+func setScalar(to reflect.Value, text string) error {
 	switch {
-	case to.Type() == timeType:
+	case to.Type() == durationType:
 		d, err := parseDuration(text)
 		to.SetInt(int64(d))
 		return err
@@ -153,17 +153,17 @@
 	return fmt.Errorf("no text for a %s", to.Type())
 }
 
-// defaults sets what a part's fields are where a file leaves them out. The tags are the
+// setDefaults sets what a part's fields are where a file leaves them out. The tags are the
 // program's own: a bad one is found by the tests.
-func defaults(part reflect.Value) {
+func setDefaults(part reflect.Value) {
 	for i := range part.NumField() {
 		f, v := part.Type().Field(i), part.Field(i)
 		if text := f.Tag.Get("default"); text != "" {
-			if err := scalar(v, text); err != nil {
+			if err := setScalar(v, text); err != nil {
 				panic(fmt.Sprintf("config: default of %s: %v", f.Name, err))
 			}
 		} else if v.Kind() == reflect.Struct {
-			defaults(v)
+			setDefaults(v)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 // DefaultSettings returns the settings of a program that is given no file.
 func DefaultSettings() *Settings {
 	s := &Settings{SchemaVersion: SchemaVersion}
-	defaults(reflect.ValueOf(s).Elem())
+	setDefaults(reflect.ValueOf(s).Elem())
 	return s
 }
 
@@ -179,7 +179,7 @@
 func inRange(v reflect.Value, k Key) bool {
 	bound := func(text string) reflect.Value {
 		to := reflect.New(v.Type()).Elem()
-		if err := scalar(to, text); err != nil {
+		if err := setScalar(to, text); err != nil {
 			panic(fmt.Sprintf("config: bound of %s: %v", k.Path, err))
 		}
 		return to
@@ -204,7 +204,7 @@
 
 // KeyPosition returns where a file gives a key, such as "callers.head_time".
 func (s *Settings) KeyPosition(path string) (Position, bool) {
-	at, ok := s.given[path]
+	at, ok := s.keyPositions[path]
 	return at, ok
 }
 
@@ -217,31 +217,31 @@
 // Values lists the values in effect, defaults and all; what is neither given nor has a default
 // is left out. Two files with the same values have the same effect.
 func (s *Settings) Values() []Value {
-	return valuesOf(reflect.ValueOf(s).Elem(), "", nil)
+	return appendValues(reflect.ValueOf(s).Elem(), "", nil)
 }
 
-func valuesOf(part reflect.Value, prefix string, out []Value) []Value {
+func appendValues(part reflect.Value, prefix string, out []Value) []Value {
 	for i := range part.NumField() {
 		f, v := part.Type().Field(i), part.Field(i)
 		key := f.Tag.Get("key")
 		switch {
 		case key == "":
 		case v.Kind() == reflect.Struct:
-			out = valuesOf(v, prefix+key+".", out)
+			out = appendValues(v, prefix+key+".", out)
 		case v.Kind() == reflect.Map:
 			for _, name := range sortedKeys(v) {
-				out = valuesOf(v.MapIndex(reflect.ValueOf(name)).Elem(), prefix+key+"."+quoteKey(name)+".", out)
+				out = appendValues(v.MapIndex(reflect.ValueOf(name)).Elem(), prefix+key+"."+quoteKey(name)+".", out)
 			}
 		case v.Kind() == reflect.Pointer && v.IsNil(), f.Tag.Get("default") == "" && v.IsZero():
 		default:
-			out = append(out, Value{prefix + key, valueText(v), f.Tag.Get("reload") == "live"})
+			out = append(out, Value{prefix + key, formatValue(v), f.Tag.Get("reload") == "live"})
 		}
 	}
 	return out
 }
 
-// valueText writes a value as the file does.
-func valueText(v reflect.Value) string {
+// formatValue writes a value as the file does.
+func formatValue(v reflect.Value) string {
 	if v.Kind() == reflect.Pointer {
 		v = v.Elem()
 	}
@@ -292,7 +292,7 @@
 				walk(v.Index(i), fmt.Sprintf("%s[%s]", path, cmp.Or(v.Index(i).FieldByName("Name").String(), strconv.Itoa(i))))
 			}
 		case !v.IsZero():
-			out = append(out, Value{Path: strings.TrimPrefix(path, "."), Text: valueText(v)})
+			out = append(out, Value{Path: strings.TrimPrefix(path, "."), Text: formatValue(v)})
 		}
 	}
 	walk(reflect.ValueOf(struct {
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -7,26 +7,26 @@
 	"testing"
 )
 
-// fill sets every scalar in v to a value that is not zero, and gives every slice and map in v one element.
-func fill(t *testing.T, v reflect.Value) {
+// setNonzero sets every scalar in v to a value that is not zero, and gives every slice and map in v one element.
+func setNonzero(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch {
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			fill(t, v.Field(i))
+			setNonzero(t, v.Field(i))
 		}
 	case v.Kind() == reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(t, v.Index(0))
+		setNonzero(t, v.Index(0))
 	case v.Kind() == reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(t, key)
-		fill(t, value)
+		setNonzero(t, key)
+		setNonzero(t, value)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case v.Kind() == reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem())
+		setNonzero(t, v.Elem())
 	case v.Kind() == reflect.String:
 		v.SetString("name")
 	case v.Kind() == reflect.Bool:
@@ -46,7 +46,7 @@
 // without a name tag would change them.
 func TestPlatformValuesKeepPrintedPaths(t *testing.T) {
 	var p Platform
-	fill(t, reflect.ValueOf(&p).Elem())
+	setNonzero(t, reflect.ValueOf(&p).Elem())
 	var got []string
 	for _, v := range p.Values() {
 		got = append(got, v.Path)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -37,7 +37,7 @@
 	// Classes holds the classes of requests by name.
 	Classes map[string]*Class `key:"class" doc:"A class of requests, by the name that callers send. Beside a platform's configuration a class may only be narrowed: less time, fewer attempts, a smaller scope."`
 
-	given map[string]Position
+	keyPositions map[string]Position
 }
 
 // Application is the part [application].
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-const good = `schema = 1
+const validSettings = `schema = 1
 
 [application]
 name = "order-front"
@@ -39,7 +39,7 @@
 `
 
 // Without a file the program does what it did when these figures stood in its code.
-func TestDefaults(t *testing.T) {
+func TestDefaultSettings(t *testing.T) {
 	s := DefaultSettings()
 	for _, c := range []struct{ got, want any }{
 		{s.Callers.HeadTimeout, 2 * time.Second}, {s.Callers.BodyTimeout, 700 * time.Millisecond},
@@ -64,7 +64,7 @@
 }
 
 // Every key says all that the reference and the template need.
-func TestSchemaIsWhole(t *testing.T) {
+func TestSchemaTagsAreComplete(t *testing.T) {
 	seen := make(map[string]bool)
 	for _, k := range Keys() {
 		if seen[k.Path] || k.Doc == "" || !strings.HasSuffix(k.Doc, ".") {
@@ -90,7 +90,7 @@
 			f := v.Type().Field(i)
 			if f.Type.Kind() == reflect.Struct {
 				walk(v.Field(i))
-			} else if k := keyOf(f); k.Default != "" && !inRange(v.Field(i), k) {
+			} else if k := keyFromField(f); k.Default != "" && !inRange(v.Field(i), k) {
 				t.Errorf("%s: its default is not allowed", k.Path)
 			}
 			if r := f.Tag.Get("reload"); f.Tag.Get("key") != "" && r != "live" && r != "restart" &&
@@ -103,10 +103,10 @@
 	walk(reflect.ValueOf(new(Class)).Elem())
 }
 
-func TestReadsSettings(t *testing.T) {
+func TestParseSettingsAcceptsValidFiles(t *testing.T) {
 	for name, text := range map[string]string{
-		"plain": good, "CRLF": strings.ReplaceAll(good, "\n", "\r\n"), "byte order mark": "\ufeff" + good,
-		"long list": strings.Replace(good, "[callers]\nhead_time = \"1s\"\nalso_listen = [\"127.0.0.1:9001\", \"[::1]:9000\"]\n",
+		"plain": validSettings, "CRLF": strings.ReplaceAll(validSettings, "\n", "\r\n"), "byte order mark": "\ufeff" + validSettings,
+		"long list": strings.Replace(validSettings, "[callers]\nhead_time = \"1s\"\nalso_listen = [\"127.0.0.1:9001\", \"[::1]:9000\"]\n",
 			"", 1) + "[callers]\nhead_time = \"1s\"\nalso_listen = [\n \"127.0.0.1:9001\", # one\n \"[::1]:9000\",\n]\n",
 	} {
 		s, bad := ParseSettings("f", []byte(text))
@@ -131,7 +131,7 @@
 }
 
 // All that is wrong is said at once, each with its place, what was found and what is allowed.
-func TestFindsAllFaults(t *testing.T) {
+func TestParseSettingsReportsAllErrors(t *testing.T) {
 	text := `schema = 1
 [application]
 name = 5
@@ -195,25 +195,25 @@
 }
 
 // What a hostile or broken file may hold is refused, by the right rule, and does no harm.
-func TestHostileText(t *testing.T) {
+func TestParseSettingsRejectsHostileText(t *testing.T) {
 	for name, c := range map[string]struct{ text, rule string }{
 		"10 MB":           {strings.Repeat("# long\n", 10<<20/7), RuleUnreadable},
 		"deep":            {"schema = 1\nx = " + strings.Repeat("[", 200_000), RuleSyntax},
 		"deep tables":     {"schema = 1\nclass.a" + strings.Repeat(".a", 50_000) + " = 1", RuleUnknownKey},
-		"NUL":             {strings.Replace(good, "order-front", "order\x00front", 1), RuleSyntax},
-		"NUL, escaped":    {strings.Replace(good, "order-front", `order\u0000front`, 1), RuleOutOfRange},
-		"invalid UTF-8":   {strings.Replace(good, "order-front", "order\xff", 1), RuleSyntax},
+		"NUL":             {strings.Replace(validSettings, "order-front", "order\x00front", 1), RuleSyntax},
+		"NUL, escaped":    {strings.Replace(validSettings, "order-front", `order\u0000front`, 1), RuleOutOfRange},
+		"invalid UTF-8":   {strings.Replace(validSettings, "order-front", "order\xff", 1), RuleSyntax},
 		"UTF-16":          {"\xff\xfes\x00c\x00", RuleSyntax},
-		"lone CR":         {strings.ReplaceAll(good, "\n", "\r"), RuleSyntax},
+		"lone CR":         {strings.ReplaceAll(validSettings, "\n", "\r"), RuleSyntax},
 		"empty":           {"", RuleMissingKey},
-		"no schema":       {strings.Replace(good, "schema = 1", "", 1), RuleMissingKey},
-		"newer":           {strings.Replace(good, "schema = 1", "schema = 2\nfuture = true", 1), RuleSchemaVersion},
-		"schema of words": {strings.Replace(good, "schema = 1", `schema = "1"`, 1), RuleWrongType},
-		"two documents":   {good + good, RuleUnknownKey},
-		"mixed tables":    {good + "\n[class.place-order.x]\ny = 1\n", RuleUnknownKey},
-		"header, dotted":  {"callers.write_time = \"1s\"\n" + good, RuleSyntax},
-		"many classes":    {good + manyClasses(300), RuleOutOfRange},
-		"a class's name":  {good + "[class.\"two words\"]\n", RuleOutOfRange},
+		"no schema":       {strings.Replace(validSettings, "schema = 1", "", 1), RuleMissingKey},
+		"newer":           {strings.Replace(validSettings, "schema = 1", "schema = 2\nfuture = true", 1), RuleSchemaVersion},
+		"schema of words": {strings.Replace(validSettings, "schema = 1", `schema = "1"`, 1), RuleWrongType},
+		"two documents":   {validSettings + validSettings, RuleUnknownKey},
+		"mixed tables":    {validSettings + "\n[class.place-order.x]\ny = 1\n", RuleUnknownKey},
+		"header, dotted":  {"callers.write_time = \"1s\"\n" + validSettings, RuleSyntax},
+		"many classes":    {validSettings + manyClasses(300), RuleOutOfRange},
+		"a class's name":  {validSettings + "[class.\"two words\"]\n", RuleOutOfRange},
 		"JSON":            {`{"schema": 1}`, RuleSyntax},
 		"binary":          {"\x7fELF\x02\x01\x01", RuleSyntax},
 	} {
@@ -236,27 +236,27 @@
 }
 
 // After an error of syntax the rest is still looked at, from the next table on.
-func TestGoesOnAfterSyntax(t *testing.T) {
+func TestParseSettingsContinuesAfterSyntaxError(t *testing.T) {
 	_, bad := ParseSettings("f", []byte("schema = 1\n[callers]\nhead_time = = 1\nidle_time = 1\n[probe]\npath = \"load\"\n"))
 	if len(bad) != 2 || bad[0].Rule != RuleSyntax || bad[0].Line != 3 || bad[1].Key != "probe.path" || bad[1].Line != 6 {
 		t.Errorf("%v", bad)
 	}
 }
 
-// fake is a file that changes while it is read.
-type fake struct {
+// modifiedFile is a file that changes while it is read.
+type modifiedFile struct {
 	fs.File
 	infos []fs.FileInfo
 }
 
-func (f *fake) Stat() (fs.FileInfo, error) {
+func (f *modifiedFile) Stat() (fs.FileInfo, error) {
 	info := f.infos[0]
 	f.infos = f.infos[1:]
 	return info, nil
 }
 
 // A file that is written in place as it is read is not taken: it may be torn.
-func TestTornFileIsNotTaken(t *testing.T) {
+func TestReadDetectsModificationDuringRead(t *testing.T) {
 	now := time.Now()
 	files := fstest.MapFS{"f": {Data: []byte("half"), ModTime: now}, "longer": {Data: []byte("half and half"), ModTime: now},
 		"later": {Data: []byte("half"), ModTime: now.Add(time.Second)}}
@@ -275,7 +275,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, whole, err := readWhole(&fake{f, []fs.FileInfo{stat(c.before), stat(c.after)}}, 100)
+		text, whole, err := readAndCompare(&modifiedFile{f, []fs.FileInfo{stat(c.before), stat(c.after)}}, 100)
 		if err != nil || whole != c.whole || string(text) != "half" {
 			t.Errorf("%s then %s: %q, whole %v, %v", c.before, c.after, text, whole, err)
 		}
@@ -283,7 +283,7 @@
 }
 
 // A file that is replaced by renames is always read whole, as one or the other.
-func TestReplacedFile(t *testing.T) {
+func TestReadFileIsConsistentDuringRenames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	texts := [2][]byte{bytes.Repeat([]byte("a"), 50_000), bytes.Repeat([]byte("b"), 70_000)}
 	replace := func(text []byte) {
@@ -315,7 +315,7 @@
 	<-done
 }
 
-func TestUnreadable(t *testing.T) {
+func TestLoadSettingsReportsUnreadableFile(t *testing.T) {
 	dir := t.TempDir()
 	long := filepath.Join(dir, "long")
 	if err := os.WriteFile(long, make([]byte, 10<<20), 0o600); err != nil {
@@ -331,8 +331,8 @@
 }
 
 // A file as it is written says what the settings do.
-func TestWrite(t *testing.T) {
-	s, bad := ParseSettings("f", []byte(good))
+func TestFormatSettingsRoundTrip(t *testing.T) {
+	s, bad := ParseSettings("f", []byte(validSettings))
 	if len(bad) > 0 {
 		t.Fatal(bad)
 	}
@@ -352,7 +352,7 @@
 	}
 }
 
-func TestDiff(t *testing.T) {
+func TestDiffComparesEffectiveValues(t *testing.T) {
 	read := func(text string) []Value {
 		s, bad := ParseSettings("f", []byte(text))
 		if len(bad) > 0 {
@@ -360,15 +360,15 @@
 		}
 		return s.Values()
 	}
-	other := strings.NewReplacer(`"1540ms"`, `"1.54s"`, `"1s"`, `"1000ms"`, "retries = 0", "retries = 1").Replace(good)
+	other := strings.NewReplacer(`"1540ms"`, `"1.54s"`, `"1s"`, `"1000ms"`, "retries = 0", "retries = 1").Replace(validSettings)
 	other = strings.Replace(other, "second_copies = true\n", "", 1) + "[probe]\ntime = \"250ms\"\n"
-	got := fmt.Sprint(Diff(read(good), read(other)))
+	got := fmt.Sprint(Diff(read(validSettings), read(other)))
 	if want := "[class.place-order.retries: 0 -> 1 class.place-order.second_copies: true -> (not set)]"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
 
-func TestSizesAndTimes(t *testing.T) {
+func TestSizeAndDurationRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := Size(rapid.Int64Range(0, 1<<50).Draw(t, "size"))
 		if got, err := ParseSize(n.String()); err != nil || got != n {
@@ -388,7 +388,7 @@
 
 // Whatever the text, reading ends with settings or with findings that have a place in it.
 func FuzzParseSettings(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add(FormatSettings(DefaultSettings()))
 	f.Add([]byte("schema = 1\n[class.a]\nwanted = { x = [1, { y = 2 }] }\n[[callers]]\n"))
 	f.Add([]byte("class.\"\\u0000\".wanted = '''\n\n'''\n"))
@@ -403,7 +403,7 @@
 		if len(bad) > 0 {
 			return
 		}
-		agree(t, "f", text, s)
+		checkSameKeysAsBurntSushi(t, "f", text, s)
 		again, bad := ParseSettings("again", FormatSettings(s))
 		if len(bad) > 0 || len(Diff(s.Values(), again.Values())) > 0 {
 			t.Errorf("written and read again: %v %v\n%s", bad, Diff(s.Values(), again.Values()), FormatSettings(s))
--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -10,24 +10,24 @@
 // FormatSettings writes settings as an operators' file, with a comment on each key. What has its
 // default stands as a comment. Reading the file again gives the same settings.
 func FormatSettings(s *Settings) []byte {
-	var w writer
-	w.comment("", "The operators' file of barleydrum. docs/operators/settings.md lists every key and rule;\n"+
+	var w fileWriter
+	w.writeComment("", "The operators' file of barleydrum. docs/operators/settings.md lists every key and rule;\n"+
 		"`drumctl config check FILE` tells what is wrong with a file before a sidecar meets it.")
-	w.values = make(map[string]string)
+	w.valueTexts = make(map[string]string)
 	for _, v := range s.Values() {
-		w.values[v.Path] = v.Text
+		w.valueTexts[v.Path] = v.Text
 	}
-	w.part(reflect.ValueOf(s).Elem(), "")
+	w.writeTable(reflect.ValueOf(s).Elem(), "")
 	return []byte(w.String())
 }
 
-type writer struct {
+type fileWriter struct {
 	strings.Builder
-	values map[string]string
+	valueTexts map[string]string
 }
 
-// comment writes a text as comment lines of moderate length.
-func (w *writer) comment(indent, text string) {
+// writeComment writes a text as comment lines of moderate length.
+func (w *fileWriter) writeComment(indent, text string) {
 	for _, line := range strings.Split(text, "\n") {
 		for line != "" {
 			cut := len(line)
@@ -43,11 +43,11 @@
 	}
 }
 
-func (w *writer) part(part reflect.Value, prefix string) {
+func (w *fileWriter) writeTable(part reflect.Value, prefix string) {
 	t := part.Type()
 	for i := range t.NumField() { // a table's own keys come before its parts
 		if f := t.Field(i); f.Tag.Get("key") != "" && f.Type.Kind() != reflect.Struct && f.Type.Kind() != reflect.Map {
-			w.key(f, prefix)
+			w.writeKey(f, prefix)
 		}
 	}
 	for i := range t.NumField() {
@@ -56,29 +56,29 @@
 		switch {
 		case key == "":
 		case f.Type.Kind() == reflect.Struct:
-			w.header(f.Tag.Get("doc"), key)
-			w.part(part.Field(i), key+".")
+			w.writeTableHeader(f.Tag.Get("doc"), key)
+			w.writeTable(part.Field(i), key+".")
 		case f.Type.Kind() == reflect.Map:
 			for _, name := range sortedKeys(part.Field(i)) {
 				path := key + "." + quoteKey(name)
-				w.header(f.Tag.Get("doc"), path)
-				w.part(part.Field(i).MapIndex(reflect.ValueOf(name)).Elem(), path+".")
+				w.writeTableHeader(f.Tag.Get("doc"), path)
+				w.writeTable(part.Field(i).MapIndex(reflect.ValueOf(name)).Elem(), path+".")
 			}
 		}
 	}
 }
 
-func (w *writer) header(doc, path string) {
+func (w *fileWriter) writeTableHeader(doc, path string) {
 	w.WriteString("\n")
-	w.comment("", doc)
+	w.writeComment("", doc)
 	fmt.Fprintf(w, "[%s]\n", path)
 }
 
-// key writes a key, or where its value is the default or not set a comment in its place.
-func (w *writer) key(f reflect.StructField, prefix string) {
-	k := keyOf(f)
+// writeKey writes a key, or where its value is the default or not set a comment in its place.
+func (w *fileWriter) writeKey(f reflect.StructField, prefix string) {
+	k := keyFromField(f)
 	w.WriteString("\n")
-	w.comment("", k.Doc)
+	w.writeComment("", k.Doc)
 	about := "Allowed: " + k.Allowed() + "."
 	if text := cmp.Or(k.UnsetMeaning, k.Default); text != "" && !k.Required {
 		about += " Left out: " + text + "."
@@ -86,13 +86,13 @@
 	if k.Reloadable {
 		about += " SIGHUP changes it."
 	}
-	w.comment("", about)
-	text, set := w.values[prefix+k.Path]
+	w.writeComment("", about)
+	text, set := w.valueTexts[prefix+k.Path]
 	isDefault := false
 	if k.Default != "" {
 		d := reflect.New(f.Type).Elem()
-		if err := scalar(d, k.Default); err == nil {
-			isDefault = text == valueText(d)
+		if err := setScalar(d, k.Default); err == nil {
+			isDefault = text == formatValue(d)
 		}
 	}
 	switch {
