--- a/internal/config/write.go
+++ b/internal/config/write.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// FormatSettings writes settings as an operators' file, with a comment on each key. What has its
-// default stands as a comment. Reading the file again gives the same settings.
+// FormatSettings returns settings as the text of an operators' file, with a comment on each key. Keys
+// that are not set or have their default value are commented out. Parsing the text returns the same
+// settings.
 func FormatSettings(s *Settings) []byte {
 	var w fileWriter
 	w.writeComment("", "The operators' file of barleydrum. docs/operators/settings.md lists every key and rule;\n"+
-		"`drumctl config check FILE` tells what is wrong with a file before a sidecar meets it.")
+		"`drumctl config check FILE` reports the errors in a file before a sidecar reads it.")
 	w.valueTexts = make(map[string]string)
 	for _, v := range s.Values() {
 		w.valueTexts[v.Path] = v.Text
@@ -21,12 +22,13 @@
 	return []byte(w.String())
 }
 
+// fileWriter builds the text of an operators' file.
 type fileWriter struct {
 	strings.Builder
-	valueTexts map[string]string
+	valueTexts map[string]string // the values that are set or have a default, as TOML, by path
 }
 
-// writeComment writes a text as comment lines of moderate length.
+// writeComment writes text as comment lines, broken at spaces to at most 92 bytes of text.
 func (w *fileWriter) writeComment(indent, text string) {
 	for _, line := range strings.Split(text, "\n") {
 		for line != "" {
@@ -43,9 +45,11 @@
 	}
 }
 
-func (w *fileWriter) writeTable(part reflect.Value, prefix string) {
-	t := part.Type()
-	for i := range t.NumField() { // a table's own keys come before its parts
+// writeTable writes the keys of a table and then the tables in it. The prefix is the table's path with
+// a dot, or empty for the whole file.
+func (w *fileWriter) writeTable(table reflect.Value, prefix string) {
+	t := table.Type()
+	for i := range t.NumField() { // a table's own keys come before its subtables' headers, as TOML requires
 		if f := t.Field(i); f.Tag.Get("key") != "" && f.Type.Kind() != reflect.Struct && f.Type.Kind() != reflect.Map {
 			w.writeKey(f, prefix)
 		}
@@ -57,81 +61,83 @@
 		case key == "":
 		case f.Type.Kind() == reflect.Struct:
 			w.writeTableHeader(f.Tag.Get("doc"), key)
-			w.writeTable(part.Field(i), key+".")
+			w.writeTable(table.Field(i), key+".")
 		case f.Type.Kind() == reflect.Map:
-			for _, name := range sortedKeys(part.Field(i)) {
+			for _, name := range sortedKeys(table.Field(i)) {
 				path := key + "." + quoteKey(name)
 				w.writeTableHeader(f.Tag.Get("doc"), path)
-				w.writeTable(part.Field(i).MapIndex(reflect.ValueOf(name)).Elem(), path+".")
+				w.writeTable(table.Field(i).MapIndex(reflect.ValueOf(name)).Elem(), path+".")
 			}
 		}
 	}
 }
 
+// writeTableHeader writes a table's description and header.
 func (w *fileWriter) writeTableHeader(doc, path string) {
 	w.WriteString("\n")
 	w.writeComment("", doc)
 	fmt.Fprintf(w, "[%s]\n", path)
 }
 
-// writeKey writes a key, or where its value is the default or not set a comment in its place.
+// writeKey writes a key with its description. A key that is not set or has its default value is
+// commented out.
 func (w *fileWriter) writeKey(f reflect.StructField, prefix string) {
 	k := keyFromField(f)
 	w.WriteString("\n")
 	w.writeComment("", k.Doc)
-	about := "Allowed: " + k.Allowed() + "."
-	if text := cmp.Or(k.UnsetMeaning, k.Default); text != "" && !k.Required {
-		about += " Left out: " + text + "."
+	constraints := "Allowed: " + k.Allowed() + "."
+	if unset := cmp.Or(k.UnsetMeaning, k.Default); unset != "" && !k.Required {
+		constraints += " If not set: " + unset + "."
 	}
 	if k.Reloadable {
-		about += " SIGHUP changes it."
+		constraints += " SIGHUP changes it."
 	}
-	w.writeComment("", about)
-	text, set := w.valueTexts[prefix+k.Path]
+	w.writeComment("", constraints)
+	text, isSet := w.valueTexts[prefix+k.Path]
 	isDefault := false
 	if k.Default != "" {
-		d := reflect.New(f.Type).Elem()
-		if err := setScalar(d, k.Default); err == nil {
-			isDefault = text == formatValue(d)
+		defaultValue := reflect.New(f.Type).Elem()
+		if err := setScalar(defaultValue, k.Default); err == nil {
+			isDefault = text == formatValue(defaultValue)
 		}
 	}
 	switch {
-	case set && !isDefault:
+	case isSet && !isDefault:
 		fmt.Fprintf(w, "%s = %s\n", k.Path, text)
-	case set:
+	case isSet:
 		fmt.Fprintf(w, "#%s = %s\n", k.Path, text)
 	default:
 		fmt.Fprintf(w, "#%s =\n", k.Path)
 	}
 }
 
-// KeyReference is the list of parts and keys as a page in Markdown.
+// KeyReference returns the reference of all tables and keys in Markdown.
 func KeyReference() string {
 	var b strings.Builder
-	row := func(k Key) {
-		left := cmp.Or(k.Default, k.UnsetMeaning)
+	writeRow := func(k Key) {
+		unset := cmp.Or(k.Default, k.UnsetMeaning)
 		if k.Required {
-			left = "needed"
+			unset = "required"
 		}
-		when := "restart"
+		takesEffect := "restart"
 		if k.Reloadable {
-			when = "SIGHUP"
+			takesEffect = "SIGHUP"
 		}
 		name := k.Path[strings.LastIndex(k.Path, ".")+1:]
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", name, k.Allowed(), cmp.Or(left, "none"), when, k.Doc)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", name, k.Allowed(), cmp.Or(unset, "none"), takesEffect, k.Doc)
 	}
-	head := func() {
+	writeTableHead := func() {
 		b.WriteString("\n| key | allowed | left out | read | meaning |\n| --- | --- | --- | --- | --- |\n")
 	}
 	b.WriteString("### The top\n")
-	head()
+	writeTableHead()
 	for _, k := range Keys() {
 		if k.IsTable {
 			fmt.Fprintf(&b, "\n### `[%s]`\n\n%s\n", k.Path, k.Doc)
-			head()
+			writeTableHead()
 			continue
 		}
-		row(k)
+		writeRow(k)
 	}
 	return b.String()
 }
