--- a/internal/config/burntsushi_test.go
+++ b/internal/config/burntsushi_test.go
@@ -10,41 +10,42 @@
 	burntsushi "github.com/BurntSushi/toml"
 )
 
-// flattenKeys lists the keys of a document that have a value, as our decoder writes them.
-func flattenKeys(v map[string]any, prefix string, out map[string]any) map[string]any {
-	for name, x := range v {
+// flattenKeys adds the keys of a document that have a value to values, by their paths as
+// ParseSettings writes them, and returns values.
+func flattenKeys(document map[string]any, prefix string, values map[string]any) map[string]any {
+	for name, value := range document {
 		path := prefix + quoteKey(name)
-		if table, ok := x.(map[string]any); ok {
-			flattenKeys(table, path+".", out)
+		if table, ok := value.(map[string]any); ok {
+			flattenKeys(table, path+".", values)
 			continue
 		}
-		out[path] = x
+		values[path] = value
 	}
-	return out
+	return values
 }
 
-// checkSameKeysAsBurntSushi checks that another reader of TOML, by other hands, finds the same keys with values in
-// a text that we accept.
+// checkSameKeysAsBurntSushi checks that the BurntSushi TOML parser, an independent implementation, finds the
+// same keys with values in a text that ParseSettings accepts.
 func checkSameKeysAsBurntSushi(t *testing.T, name string, text []byte, s *Settings) {
 	t.Helper()
-	var doc map[string]any
-	if err := burntsushi.Unmarshal(bytes.TrimPrefix(text, []byte("\ufeff")), &doc); err != nil {
-		t.Errorf("%s: we accept what another reader does not: %v", name, err)
+	var document map[string]any
+	if err := burntsushi.Unmarshal(bytes.TrimPrefix(text, []byte("\ufeff")), &document); err != nil {
+		t.Errorf("%s: accepted, but BurntSushi returns: %v", name, err)
 		return
 	}
-	theirs := flattenKeys(doc, "", make(map[string]any))
-	ours := make(map[string]any)
+	burntsushiKeys := flattenKeys(document, "", make(map[string]any))
+	parsedKeys := make(map[string]any)
 	for path := range s.keyPositions {
-		if _, part := theirs[path]; part || !isTable(path) {
-			ours[path] = nil
+		if _, hasValue := burntsushiKeys[path]; hasValue || !isTable(path) {
+			parsedKeys[path] = nil
 		}
 	}
-	if x, y := slices.Sorted(maps.Keys(ours)), slices.Sorted(maps.Keys(theirs)); !slices.Equal(x, y) {
-		t.Errorf("%s: we read %q, another reader %q", name, x, y)
+	if got, want := slices.Sorted(maps.Keys(parsedKeys)), slices.Sorted(maps.Keys(burntsushiKeys)); !slices.Equal(got, want) {
+		t.Errorf("%s: keys %q, BurntSushi finds %q", name, got, want)
 	}
 }
 
-// isTable tells whether a key is a part of the file: [callers], or [class.NAME].
+// isTable reports whether a path is a table of the file, such as [callers] or [class.NAME].
 func isTable(path string) bool {
 	if path == "class" || strings.HasPrefix(path, "class.") && !slices.ContainsFunc(Keys(), func(k Key) bool {
 		return strings.HasPrefix(k.Path, "class.NAME.") && strings.HasSuffix(path, strings.TrimPrefix(k.Path, "class.NAME"))
@@ -54,6 +55,8 @@
 	return slices.ContainsFunc(Keys(), func(k Key) bool { return k.IsTable && k.Path == path })
 }
 
+// If the decoder and a TOML parser disagreed on a document's structure, a value could be read under
+// another key than its author meant. The texts cover the ways in which TOML writes keys and tables.
 func TestParseSettingsFindsSameKeysAsBurntSushi(t *testing.T) {
 	s, _ := ParseSettings("good", []byte(validSettings))
 	for name, text := range map[string][]byte{
@@ -61,12 +64,12 @@
 		"inline": []byte("schema = 1\napplication = { name = \"a\" }\nclass.x = { wanted = \"1s\" }\nclass.y.wanted = \"2s\"\n"),
 		"quoted": []byte("schema = 1\n[\"application\"]\n'name' = \"a\"\n[class.\"a.b\"]\n\"wanted\" = '''1s'''\n"),
 	} {
-		s, bad := ParseSettings(name, text)
-		if name == "template" { // it lacks a name, which is needed
-			bad = nil
+		s, findings := ParseSettings(name, text)
+		if name == "template" { // the default settings lack application.name, which is required
+			findings = nil
 		}
-		if len(bad) > 0 {
-			t.Errorf("%s: %v", name, bad)
+		if len(findings) > 0 {
+			t.Errorf("%s: %v", name, findings)
 			continue
 		}
 		checkSameKeysAsBurntSushi(t, name, text, s)
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -16,15 +16,17 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxFindings bounds what is said of one file.
+// maxFindings is the most findings that are reported for one file.
 const maxFindings = 100
 
-// ParseSettings reads the text of an operators' file, which findings call by its name. It
-// finds all that is wrong with the text and its values at once; what the values mean together
-// is for internal/check. With a finding, the settings are not to be used.
+// ParseSettings decodes the text of an operators' file. Findings name the file as the parameter
+// file does. All errors in the text and in single values are reported together, up to maxFindings;
+// whether the values are consistent with each other is checked by internal/check. If there is any
+// finding, the caller must not use the settings.
 //
-// The library's decoder stops at the first wrong value and knows no bounds, so the schema is
-// walked beside its parser; what a valid document is stays the library's word.
+// The TOML library's decoder stops at the first wrong value and does not check ranges, so this
+// package decodes the parser's expressions by its own schema. The library still decides whether
+// a document is valid.
 func ParseSettings(file string, text []byte) (*Settings, []Finding) {
 	d := &decoder{file: file, settings: DefaultSettings(), positions: make(map[string]Position)}
 	d.settings.keyPositions = d.positions
@@ -32,29 +34,29 @@
 		d.addFinding(Finding{Rule: RuleUnreadable, Found: fmt.Sprintf("%d bytes", len(text)), Allowed: Size(MaxSettingsBytes).String() + " at most"})
 		return d.settings, d.findings
 	}
-	// Editors of some systems put a byte order mark first, which is no part of the document.
+	// Some editors start a file with a byte order mark, which is not part of the document.
 	text = bytes.TrimPrefix(text, []byte("\ufeff"))
 	d.text = slices.Clip(text)
-	for at, c := range d.text {
+	for offset, c := range d.text {
 		if c == '\n' {
-			d.lineStarts = append(d.lineStarts, at+1)
+			d.lineStarts = append(d.lineStarts, offset+1)
 		}
 	}
-	if at := firstInvalidUTF8(d.text); at >= 0 {
-		d.addFindingAt(d.position(at), Finding{Rule: RuleSyntax, Found: fmt.Sprintf("byte 0x%02x", d.text[at]), Allowed: "UTF-8 text"})
+	if offset := firstInvalidUTF8(d.text); offset >= 0 {
+		d.addFindingAt(d.position(offset), Finding{Rule: RuleSyntax, Found: fmt.Sprintf("byte 0x%02x", d.text[offset]), Allowed: "UTF-8 text"})
 		return d.settings, d.findings
 	}
 	d.decodeDocument()
-	if at, ok := d.positions["schema"]; ok && d.settings.SchemaVersion > SchemaVersion {
-		d.reportNewerSchema(at)
+	if position, ok := d.positions["schema"]; ok && d.settings.SchemaVersion > SchemaVersion {
+		d.reportNewerSchema(position)
 		return d.settings, d.findings
 	}
-	if len(d.findings) == 0 { // tables mixed in ways that the walk does not follow
-		var any map[string]any
-		var bad *toml.DecodeError
-		if err := toml.Unmarshal(d.text, &any); errors.As(err, &bad) {
-			line, column := bad.Position()
-			d.addFindingAt(Position{line, column}, Finding{Rule: RuleSyntax, Found: strings.TrimPrefix(bad.Error(), "toml: "), Allowed: "TOML 1.0"})
+	if len(d.findings) == 0 { // e.g. conflicting tables and dotted keys, which decodeDocument does not detect
+		var document map[string]any
+		var decodeErr *toml.DecodeError
+		if err := toml.Unmarshal(d.text, &document); errors.As(err, &decodeErr) {
+			line, column := decodeErr.Position()
+			d.addFindingAt(Position{line, column}, Finding{Rule: RuleSyntax, Found: strings.TrimPrefix(decodeErr.Error(), "toml: "), Allowed: "TOML 1.0"})
 		} else if err != nil {
 			d.addFinding(Finding{Rule: RuleSyntax, Found: err.Error(), Allowed: "TOML 1.0"})
 		}
@@ -65,136 +67,144 @@
 	return d.settings, d.findings
 }
 
-// LoadSettings reads an operators' file.
+// LoadSettings reads and decodes the operators' file at path, see ParseSettings. A file that can't
+// be read or is longer than MaxSettingsBytes is reported as a finding, with the default settings.
 func LoadSettings(path string) (*Settings, []Finding) {
 	text, err := ReadFile(path, MaxSettingsBytes)
 	if err != nil {
-		f := Finding{Rule: RuleUnreadable, Level: LevelRefused, File: path, Found: err.Error()}
+		finding := Finding{Rule: RuleUnreadable, Level: LevelRefused, File: path, Found: err.Error()}
 		if errors.Is(err, ErrFileTooLarge) {
-			f.Allowed = Size(MaxSettingsBytes).String() + " at most"
+			finding.Allowed = Size(MaxSettingsBytes).String() + " at most"
 		}
-		return DefaultSettings(), []Finding{f}
+		return DefaultSettings(), []Finding{finding}
 	}
 	return ParseSettings(path, text)
 }
 
+// firstInvalidUTF8 returns the offset of the first byte that is not valid UTF-8, or -1.
 func firstInvalidUTF8(text []byte) int {
-	for at := 0; at < len(text); {
-		r, n := utf8.DecodeRune(text[at:])
-		if r == utf8.RuneError && n <= 1 {
-			return at
+	for offset := 0; offset < len(text); {
+		r, size := utf8.DecodeRune(text[offset:])
+		if r == utf8.RuneError && size <= 1 {
+			return offset
 		}
-		at += n
+		offset += size
 	}
 	return -1
 }
 
+// decoder decodes one operators' file.
 type decoder struct {
-	file         string
-	text         []byte
-	lineStarts   []int // where lines begin, but for the first
+	file         string // name of the file in findings
+	text         []byte // the whole file, without a byte order mark
+	lineStarts   []int  // offsets in text of the second and further lines
 	parser       unstable.Parser
-	parserOffset int // where the parser's text begins in the whole
+	parserOffset int // offset in text at which the parser's input starts
 	settings     *Settings
-	positions    map[string]Position
+	positions    map[string]Position // of the keys and tables that the file gives, by path
 	findings     []Finding
 }
 
-func (d *decoder) addFinding(f Finding) {
-	f.File, f.Level = d.file, LevelRefused
+// addFinding records a finding that refuses the file, unless there are maxFindings already.
+func (d *decoder) addFinding(finding Finding) {
+	finding.File, finding.Level = d.file, LevelRefused
 	if len(d.findings) < maxFindings {
-		d.findings = append(d.findings, f)
+		d.findings = append(d.findings, finding)
 	}
 }
 
-func (d *decoder) addFindingAt(at Position, f Finding) {
-	f.Position = at
-	d.addFinding(f)
+// addFindingAt records a finding at a position.
+func (d *decoder) addFindingAt(position Position, finding Finding) {
+	finding.Position = position
+	d.addFinding(finding)
 }
 
-// position is the place of an offset in the text.
+// position returns the line and column of a byte offset in the text.
 func (d *decoder) position(offset int) Position {
 	line := sort.SearchInts(d.lineStarts, offset+1)
-	begin := 0
+	lineStart := 0
 	if line > 0 {
-		begin = d.lineStarts[line-1]
+		lineStart = d.lineStarts[line-1]
 	}
-	return Position{line + 1, offset - begin + 1}
+	return Position{line + 1, offset - lineStart + 1}
 }
 
-// decodeDocument walks the text. After an error of syntax it goes on at the next header of a table.
+// decodeDocument decodes the whole text. After a syntax error it continues at the next table header.
 func (d *decoder) decodeDocument() {
 	for d.parserOffset <= len(d.text) {
 		d.parser.Reset(d.text[d.parserOffset:])
 		var table []keyPart
-		known := d.parserOffset == 0 // of what comes before the first header after an error, nothing
+		tableKnown := d.parserOffset == 0 // after a syntax error, keys before the next header are skipped
 		for d.parser.NextExpression() {
-			e := d.parser.Expression()
-			switch e.Kind {
+			expression := d.parser.Expression()
+			switch expression.Kind {
 			case unstable.Table, unstable.ArrayTable:
-				table = d.keyParts(e.Key())
-				known = d.decodeTableHeader(table, e.Kind == unstable.ArrayTable)
+				table = d.keyParts(expression.Key())
+				tableKnown = d.decodeTableHeader(table, expression.Kind == unstable.ArrayTable)
 			case unstable.KeyValue:
-				if known {
-					d.decodeKeyValue(table, e)
+				if tableKnown {
+					d.decodeKeyValue(table, expression)
 				}
 			}
 			if len(d.findings) >= maxFindings {
 				return
 			}
 		}
-		var bad *unstable.ParserError
-		if !errors.As(d.parser.Error(), &bad) {
+		var syntaxErr *unstable.ParserError
+		if !errors.As(d.parser.Error(), &syntaxErr) {
 			return
 		}
 		offset := len(d.text)
-		if len(bad.Highlight) > 0 {
-			offset = d.parserOffset + int(d.parser.Range(bad.Highlight).Offset)
+		if len(syntaxErr.Highlight) > 0 {
+			offset = d.parserOffset + int(d.parser.Range(syntaxErr.Highlight).Offset)
 		}
 		found := "the end of the file"
 		if offset < len(d.text) {
 			found = fmt.Sprintf("%.40q", firstLine(d.text[offset:]))
 		}
-		d.addFindingAt(d.position(offset), Finding{Rule: RuleSyntax, Found: found, Allowed: "TOML 1.0", Reason: bad.Message})
-		next := bytes.Index(d.text[min(offset, len(d.text)):], []byte("\n["))
-		if next < 0 {
+		d.addFindingAt(d.position(offset), Finding{Rule: RuleSyntax, Found: found, Allowed: "TOML 1.0", Reason: syntaxErr.Message})
+		nextHeader := bytes.Index(d.text[min(offset, len(d.text)):], []byte("\n["))
+		if nextHeader < 0 {
 			return
 		}
-		d.parserOffset = offset + next + 1
+		d.parserOffset = offset + nextHeader + 1
 	}
 }
 
+// firstLine returns text up to its first line break.
 func firstLine(text []byte) []byte {
 	line, _, _ := bytes.Cut(text, []byte("\n"))
 	return bytes.TrimSuffix(line, []byte("\r"))
 }
 
-// keyPart is a part of a dotted key.
+// keyPart is one part of a dotted key.
 type keyPart struct {
 	name     string
 	position Position
 }
 
-func (d *decoder) keyParts(it unstable.Iterator) []keyPart {
-	var out []keyPart
-	for it.Next() {
-		n := it.Node()
-		out = append(out, keyPart{string(n.Data), d.position(d.parserOffset + int(n.Raw.Offset))})
+// keyParts returns the parts of the key that an iterator goes through, with their positions.
+func (d *decoder) keyParts(iterator unstable.Iterator) []keyPart {
+	var parts []keyPart
+	for iterator.Next() {
+		node := iterator.Node()
+		parts = append(parts, keyPart{string(node.Data), d.position(d.parserOffset + int(node.Raw.Offset))})
 	}
-	return out
+	return parts
 }
 
-// quoteKey writes a part of a key as TOML does.
+// quoteKey returns a part of a key as TOML writes it: bare where it may be, else quoted.
 func quoteKey(name string) string {
-	bare := func(r rune) bool {
+	isBare := func(r rune) bool {
 		return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_'
 	}
-	if name != "" && strings.IndexFunc(name, func(r rune) bool { return !bare(r) }) < 0 {
+	if name != "" && strings.IndexFunc(name, func(r rune) bool { return !isBare(r) }) < 0 {
 		return name
 	}
 	return strconv.Quote(name)
 }
 
+// joinKey returns the path of a dotted key, such as "callers.head_time".
 func joinKey(parts []keyPart) string {
 	names := make([]string, len(parts))
 	for i, p := range parts {
@@ -203,32 +213,34 @@
 	return strings.Join(names, ".")
 }
 
-// decodeTableHeader takes a table's header, and tells whether what follows belongs to the settings.
+// decodeTableHeader checks a table header and adds the class that it names. It reports whether the
+// keys that follow belong to a table of the schema; if not, they are skipped.
 func (d *decoder) decodeTableHeader(key []keyPart, array bool) bool {
 	path, last := joinKey(key), key[len(key)-1]
-	to, ok := d.resolve(key)
+	target, ok := d.resolve(key)
 	if !ok {
 		return false
 	}
-	if array || to.Kind() != reflect.Struct && to.Kind() != reflect.Map {
+	if array || target.Kind() != reflect.Struct && target.Kind() != reflect.Map {
 		d.addFindingAt(last.position, Finding{Rule: RuleWrongType, Key: path, Found: "a table", Allowed: d.allowedValues(key)})
 		return false
 	}
-	if first, ok := d.positions[path]; ok {
-		d.reportDuplicate(last.position, path, first)
+	if previous, ok := d.positions[path]; ok {
+		d.reportDuplicate(last.position, path, previous)
 		return false
 	}
 	d.positions[path] = last.position
 	return true
 }
 
-func (d *decoder) reportDuplicate(at Position, path string, first Position) {
-	d.addFindingAt(at, Finding{
-		Rule: RuleDuplicate, Key: path, Found: fmt.Sprintf("given again, first in line %d", first.Line), Allowed: "once",
+// reportDuplicate reports a key or table at position that was given before, at previous.
+func (d *decoder) reportDuplicate(position Position, path string, previous Position) {
+	d.addFindingAt(position, Finding{
+		Rule: RuleDuplicate, Key: path, Found: fmt.Sprintf("given again, first in line %d", previous.Line), Allowed: "once",
 	})
 }
 
-// allowedValues is what the value of a key may be, in words.
+// allowedValues describes the values that a key of the file may have, as [Key.Allowed] does.
 func (d *decoder) allowedValues(key []keyPart) string {
 	path := joinKey(key)
 	if len(key) > 1 && key[0].name == "class" {
@@ -245,96 +257,98 @@
 	return "a part of the file, [" + path + "]"
 }
 
-// resolve goes down a key from the top of the settings. A class that is new to it is added.
+// resolve returns the field of the settings that a key stands for, and whether there is one; if
+// not, it reports why. A class that the settings don't have yet is added.
 func (d *decoder) resolve(key []keyPart) (reflect.Value, bool) {
-	at := reflect.ValueOf(d.settings).Elem()
-	for i, p := range key {
+	value := reflect.ValueOf(d.settings).Elem()
+	for i, part := range key {
 		path := joinKey(key[:i+1])
-		switch at.Kind() {
+		switch value.Kind() {
 		case reflect.Map:
-			if err := checkText("name", p.name); err != nil {
-				d.addFindingAt(p.position, Finding{Rule: RuleOutOfRange, Key: path, Found: strconv.Quote(p.name), Allowed: "a name"})
-				return at, false
+			if err := checkText("name", part.name); err != nil {
+				d.addFindingAt(part.position, Finding{Rule: RuleOutOfRange, Key: path, Found: strconv.Quote(part.name), Allowed: "a name"})
+				return value, false
 			}
-			if at.IsNil() {
-				at.Set(reflect.MakeMap(at.Type()))
+			if value.IsNil() {
+				value.Set(reflect.MakeMap(value.Type()))
 			}
-			name := reflect.ValueOf(p.name)
-			if !at.MapIndex(name).IsValid() {
-				if at.Len() >= maxClasses {
-					d.addFindingAt(p.position, Finding{Rule: RuleOutOfRange, Key: path, Found: "one more", Allowed: fmt.Sprintf("%d at most", maxClasses)})
-					return at, false
+			name := reflect.ValueOf(part.name)
+			if !value.MapIndex(name).IsValid() {
+				if value.Len() >= maxClasses {
+					d.addFindingAt(part.position, Finding{Rule: RuleOutOfRange, Key: path, Found: "a further class", Allowed: fmt.Sprintf("%d classes at most", maxClasses)})
+					return value, false
 				}
-				at.SetMapIndex(name, reflect.New(at.Type().Elem().Elem()))
+				value.SetMapIndex(name, reflect.New(value.Type().Elem().Elem()))
 				if i+1 < len(key) {
-					d.positions[path] = p.position
+					d.positions[path] = part.position
 				}
 			}
-			at = at.MapIndex(name).Elem()
+			value = value.MapIndex(name).Elem()
 		case reflect.Struct:
-			f, ok := fieldByKey(at.Type(), p.name)
+			field, ok := fieldByKey(value.Type(), part.name)
 			if !ok {
-				d.reportUnknownKey(at.Type(), p, path)
-				return at, false
+				d.reportUnknownKey(value.Type(), part, path)
+				return value, false
 			}
-			at = at.FieldByIndex(f.Index)
+			value = value.FieldByIndex(field.Index)
 		default:
-			d.addFindingAt(p.position, Finding{Rule: RuleWrongType, Key: joinKey(key[:i]), Found: "a table", Allowed: d.allowedValues(key[:i])})
-			return at, false
+			d.addFindingAt(part.position, Finding{Rule: RuleWrongType, Key: joinKey(key[:i]), Found: "a table", Allowed: d.allowedValues(key[:i])})
+			return value, false
 		}
 	}
-	return at, true
+	return value, true
 }
 
-func (d *decoder) reportUnknownKey(in reflect.Type, p keyPart, path string) {
-	f := Finding{Rule: RuleUnknownKey, Key: path, Found: quoteKey(p.name), Allowed: strings.Join(keyNames(in), ", ")}
-	if near := closestMatch(p.name, keyNames(in)); near != "" {
-		f.Fix = "did you mean " + near + "?"
+// reportUnknownKey reports a part of a key that the table's type has no field for.
+func (d *decoder) reportUnknownKey(table reflect.Type, part keyPart, path string) {
+	finding := Finding{Rule: RuleUnknownKey, Key: path, Found: quoteKey(part.name), Allowed: strings.Join(keyNames(table), ", ")}
+	if match := closestMatch(part.name, keyNames(table)); match != "" {
+		finding.Fix = "did you mean " + match + "?"
 	}
-	d.addFindingAt(p.position, f)
+	d.addFindingAt(part.position, finding)
 }
 
-// decodeKeyValue takes a key and its value below a table.
-func (d *decoder) decodeKeyValue(table []keyPart, e *unstable.Node) {
-	key := d.keyParts(e.Key())
-	full := append(slices.Clone(table), key...)
-	to, ok := d.resolve(full)
+// decodeKeyValue decodes a key of a table and its value. An inline table is decoded key by key.
+func (d *decoder) decodeKeyValue(table []keyPart, expression *unstable.Node) {
+	key := d.keyParts(expression.Key())
+	fullKey := append(slices.Clone(table), key...)
+	target, ok := d.resolve(fullKey)
 	if !ok {
 		return
 	}
-	path, last := joinKey(full), full[len(full)-1]
-	if to.Kind() == reflect.Struct || to.Kind() == reflect.Map {
-		if e.Value().Kind != unstable.InlineTable {
-			d.addFindingAt(last.position, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(e.Value()), Allowed: d.allowedValues(full)})
+	path, last := joinKey(fullKey), fullKey[len(fullKey)-1]
+	if target.Kind() == reflect.Struct || target.Kind() == reflect.Map {
+		if expression.Value().Kind != unstable.InlineTable {
+			d.addFindingAt(last.position, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(expression.Value()), Allowed: d.allowedValues(fullKey)})
 			return
 		}
-		if first, ok := d.positions[path]; ok {
-			d.reportDuplicate(last.position, path, first)
+		if previous, ok := d.positions[path]; ok {
+			d.reportDuplicate(last.position, path, previous)
 			return
 		}
 		d.positions[path] = last.position
-		for it := e.Value().Children(); it.Next(); {
-			d.decodeKeyValue(full, it.Node())
+		for iterator := expression.Value().Children(); iterator.Next(); {
+			d.decodeKeyValue(fullKey, iterator.Node())
 		}
 		return
 	}
-	if first, ok := d.positions[path]; ok {
-		d.reportDuplicate(last.position, path, first)
+	if previous, ok := d.positions[path]; ok {
+		d.reportDuplicate(last.position, path, previous)
 		return
 	}
 	d.positions[path] = last.position
-	d.decodeValue(to, full, e.Value())
+	d.decodeValue(target, fullKey, expression.Value())
 }
 
-// excerpt is a value as the file has it, shortened.
-func (d *decoder) excerpt(n *unstable.Node) string {
-	switch n.Kind {
+// excerpt returns a value as the file has it, on one line and shortened to 60 bytes.
+func (d *decoder) excerpt(node *unstable.Node) string {
+	switch node.Kind {
 	case unstable.Array:
 		return "a list"
 	case unstable.InlineTable:
 		return "a table"
 	}
-	raw := string(d.parser.Raw(n.Raw))
+	raw := string(d.parser.Raw(node.Raw))
 	if len(raw) > 60 {
 		return strconv.Quote(raw[:60]) + "..."
 	}
@@ -344,166 +358,171 @@
 	return raw
 }
 
-// decodeValue reads a value into its field.
-func (d *decoder) decodeValue(to reflect.Value, key []keyPart, n *unstable.Node) {
-	f, ok := d.schemaField(key)
+// decodeValue decodes a value into its field and checks its type and range.
+func (d *decoder) decodeValue(target reflect.Value, key []keyPart, node *unstable.Node) {
+	field, ok := d.schemaField(key)
 	if !ok {
 		return
 	}
-	k := keyFromField(f)
-	path, at := joinKey(key), key[len(key)-1].position
-	if n.Kind != unstable.Array && n.Kind != unstable.InlineTable {
-		at = d.position(d.parserOffset + int(n.Raw.Offset))
+	schemaKey := keyFromField(field)
+	path, position := joinKey(key), key[len(key)-1].position
+	if node.Kind != unstable.Array && node.Kind != unstable.InlineTable {
+		position = d.position(d.parserOffset + int(node.Raw.Offset))
 	}
-	wrong := func(rule, allowed string) {
-		d.addFindingAt(at, Finding{Rule: rule, Key: path, Found: d.excerpt(n), Allowed: allowed})
+	report := func(rule, allowed string) {
+		d.addFindingAt(position, Finding{Rule: rule, Key: path, Found: d.excerpt(node), Allowed: allowed})
 	}
-	if to.Kind() == reflect.Pointer {
-		to.Set(reflect.New(to.Type().Elem()))
-		to = to.Elem()
+	if target.Kind() == reflect.Pointer {
+		target.Set(reflect.New(target.Type().Elem()))
+		target = target.Elem()
 	}
-	isText := n.Kind == unstable.String
+	isText := node.Kind == unstable.String
 	switch {
-	case to.Type() == durationType, to.Type() == sizeType:
+	case target.Type() == durationType, target.Type() == sizeType:
 		if !isText {
-			wrong(RuleWrongType, k.Allowed()+", in quotes and with a unit")
-		} else if err := setScalar(to, string(n.Data)); err != nil {
-			wrong(RuleOutOfRange, k.Allowed())
-		} else if !inRange(to, k) {
-			wrong(RuleOutOfRange, k.Allowed())
+			report(RuleWrongType, schemaKey.Allowed()+", in quotes and with a unit")
+		} else if err := setScalar(target, string(node.Data)); err != nil {
+			report(RuleOutOfRange, schemaKey.Allowed())
+		} else if !inRange(target, schemaKey) {
+			report(RuleOutOfRange, schemaKey.Allowed())
 		}
-	case to.Kind() == reflect.Int:
-		v, err := strconv.ParseInt(strings.ReplaceAll(string(n.Data), "_", ""), 0, 64)
-		if n.Kind != unstable.Integer {
-			wrong(RuleWrongType, k.Allowed())
-		} else if to.SetInt(v); err != nil || !inRange(to, k) {
-			wrong(RuleOutOfRange, k.Allowed())
+	case target.Kind() == reflect.Int:
+		v, err := strconv.ParseInt(strings.ReplaceAll(string(node.Data), "_", ""), 0, 64)
+		if node.Kind != unstable.Integer {
+			report(RuleWrongType, schemaKey.Allowed())
+		} else if target.SetInt(v); err != nil || !inRange(target, schemaKey) {
+			report(RuleOutOfRange, schemaKey.Allowed())
 		}
-	case to.Kind() == reflect.Float64:
-		v, err := strconv.ParseFloat(strings.ReplaceAll(string(n.Data), "_", ""), 64)
-		if n.Kind != unstable.Integer && n.Kind != unstable.Float {
-			wrong(RuleWrongType, k.Allowed())
-		} else if to.SetFloat(v); err != nil || !inRange(to, k) {
-			wrong(RuleOutOfRange, k.Allowed())
+	case target.Kind() == reflect.Float64:
+		v, err := strconv.ParseFloat(strings.ReplaceAll(string(node.Data), "_", ""), 64)
+		if node.Kind != unstable.Integer && node.Kind != unstable.Float {
+			report(RuleWrongType, schemaKey.Allowed())
+		} else if target.SetFloat(v); err != nil || !inRange(target, schemaKey) {
+			report(RuleOutOfRange, schemaKey.Allowed())
 		}
-	case to.Kind() == reflect.Bool:
-		if n.Kind != unstable.Bool {
-			wrong(RuleWrongType, k.Allowed())
+	case target.Kind() == reflect.Bool:
+		if node.Kind != unstable.Bool {
+			report(RuleWrongType, schemaKey.Allowed())
 		}
-		to.SetBool(string(n.Data) == "true")
-	case to.Kind() == reflect.String:
-		text := string(n.Data)
+		target.SetBool(string(node.Data) == "true")
+	case target.Kind() == reflect.String:
+		text := string(node.Data)
 		if !isText {
-			wrong(RuleWrongType, k.Allowed()+", in quotes")
-		} else if len(k.Choices) > 0 && !slices.Contains(k.Choices, text) {
-			f := Finding{Rule: RuleOutOfRange, Key: path, Found: d.excerpt(n), Allowed: k.Allowed()}
-			if near := closestMatch(text, k.Choices); near != "" {
-				f.Fix = "did you mean " + strconv.Quote(near) + "?"
+			report(RuleWrongType, schemaKey.Allowed()+", in quotes")
+		} else if len(schemaKey.Choices) > 0 && !slices.Contains(schemaKey.Choices, text) {
+			finding := Finding{Rule: RuleOutOfRange, Key: path, Found: d.excerpt(node), Allowed: schemaKey.Allowed()}
+			if match := closestMatch(text, schemaKey.Choices); match != "" {
+				finding.Fix = "did you mean " + strconv.Quote(match) + "?"
 			}
-			d.addFindingAt(at, f)
-		} else if checkText(f.Tag.Get("kind"), text) != nil {
-			wrong(RuleOutOfRange, k.Allowed())
+			d.addFindingAt(position, finding)
+		} else if checkText(field.Tag.Get("kind"), text) != nil {
+			report(RuleOutOfRange, schemaKey.Allowed())
 		}
-		to.SetString(text)
-	case to.Kind() == reflect.Slice:
-		d.decodeList(to, f, key, n)
+		target.SetString(text)
+	case target.Kind() == reflect.Slice:
+		d.decodeList(target, field, key, node)
 	}
 }
 
-// schemaField is the schema's field of a key.
+// schemaField returns the field of the settings' types that a key stands for.
 func (d *decoder) schemaField(key []keyPart) (reflect.StructField, bool) {
-	t := reflect.TypeFor[Settings]()
-	var f reflect.StructField
-	for i, p := range key {
-		if t.Kind() == reflect.Map {
-			t = t.Elem().Elem()
+	table := reflect.TypeFor[Settings]()
+	var field reflect.StructField
+	for i, part := range key {
+		if table.Kind() == reflect.Map {
+			table = table.Elem().Elem()
 			continue
 		}
 		var ok bool
-		if f, ok = fieldByKey(t, p.name); !ok {
-			return f, false
+		if field, ok = fieldByKey(table, part.name); !ok {
+			return field, false
 		}
-		if t = f.Type; i == len(key)-1 {
-			return f, true
+		if table = field.Type; i == len(key)-1 {
+			return field, true
 		}
 	}
-	return f, false
+	return field, false
 }
 
-// maxListElements is the most elements of a list, maxClasses the most classes.
+// maxListElements is the most elements that a list may have, maxClasses the most classes of a file.
 const maxListElements, maxClasses = 64, 256
 
-// decodeList reads a list of strings.
-func (d *decoder) decodeList(to reflect.Value, f reflect.StructField, key []keyPart, n *unstable.Node) {
-	path, at, allowed := joinKey(key), key[len(key)-1].position, typeName(f)
-	if n.Kind != unstable.Array {
-		d.addFindingAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(n), Allowed: allowed})
+// decodeList decodes a list of strings into its field. Findings have the position of the list's key.
+func (d *decoder) decodeList(target reflect.Value, field reflect.StructField, key []keyPart, node *unstable.Node) {
+	path, position, allowed := joinKey(key), key[len(key)-1].position, typeName(field)
+	if node.Kind != unstable.Array {
+		d.addFindingAt(position, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(node), Allowed: allowed})
 		return
 	}
-	var out []string
-	for it := n.Children(); it.Next(); {
-		e := it.Node()
-		text := string(e.Data)
+	var elements []string
+	for iterator := node.Children(); iterator.Next(); {
+		element := iterator.Node()
+		text := string(element.Data)
 		switch {
-		case e.Kind != unstable.String:
-			d.addFindingAt(at, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(e), Allowed: allowed})
-		case checkText(f.Tag.Get("kind"), text) != nil:
-			d.addFindingAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: d.excerpt(e), Allowed: allowed})
-		case slices.Contains(out, text):
-			d.addFindingAt(at, Finding{Rule: RuleDuplicate, Key: path, Found: d.excerpt(e) + " twice", Allowed: "once"})
+		case element.Kind != unstable.String:
+			d.addFindingAt(position, Finding{Rule: RuleWrongType, Key: path, Found: d.excerpt(element), Allowed: allowed})
+		case checkText(field.Tag.Get("kind"), text) != nil:
+			d.addFindingAt(position, Finding{Rule: RuleOutOfRange, Key: path, Found: d.excerpt(element), Allowed: allowed})
+		case slices.Contains(elements, text):
+			d.addFindingAt(position, Finding{Rule: RuleDuplicate, Key: path, Found: d.excerpt(element) + " twice", Allowed: "once"})
 		}
-		if out = append(out, text); len(out) > maxListElements {
-			d.addFindingAt(at, Finding{Rule: RuleOutOfRange, Key: path, Found: "a longer list", Allowed: fmt.Sprintf("%d elements at most", maxListElements)})
+		if elements = append(elements, text); len(elements) > maxListElements {
+			d.addFindingAt(position, Finding{Rule: RuleOutOfRange, Key: path, Found: "a longer list", Allowed: fmt.Sprintf("%d elements at most", maxListElements)})
 			break
 		}
 	}
-	to.Set(reflect.ValueOf(out))
+	target.Set(reflect.ValueOf(elements))
 }
 
-// reportNewerSchema reports the file's version alone: all else may be right for that.
-func (d *decoder) reportNewerSchema(at Position) {
+// reportNewerSchema replaces all findings by one on the file's version: the rest may be valid in
+// that version.
+func (d *decoder) reportNewerSchema(position Position) {
 	d.findings = nil
-	d.addFindingAt(at, Finding{
+	d.addFindingAt(position, Finding{
 		Rule: RuleSchemaVersion, Key: "schema", Found: strconv.Itoa(d.settings.SchemaVersion), Allowed: strconv.Itoa(SchemaVersion),
-		Reason: "the file is written for a newer program, and its keys may mean something else there",
-		Fix:    "run the program that the file is for, or write the file anew with drumctl config write",
+		Reason: "the file is written for a newer program, in which its keys may have another meaning",
+		Fix:    "run the version of the program that the file is written for, or create the file again with drumctl config write",
 	})
 }
 
-// reportMissingKeys reports the keys that are needed and not given.
-func (d *decoder) reportMissingKeys(part reflect.Value, prefix string) {
-	for i := range part.NumField() {
-		f := part.Type().Field(i)
-		key := f.Tag.Get("key")
-		if part.Field(i).Kind() == reflect.Struct {
-			d.reportMissingKeys(part.Field(i), key+".")
-		} else if _, ok := d.positions[prefix+key]; !ok && f.Tag.Get("required") != "" {
-			d.addFinding(Finding{Rule: RuleMissingKey, Key: prefix + key, Found: "nothing", Allowed: keyFromField(f).Allowed()})
+// reportMissingKeys reports the required keys of a table, and of the tables in it, that the file
+// does not give. Classes have no required keys.
+func (d *decoder) reportMissingKeys(table reflect.Value, prefix string) {
+	for i := range table.NumField() {
+		field := table.Type().Field(i)
+		key := field.Tag.Get("key")
+		if table.Field(i).Kind() == reflect.Struct {
+			d.reportMissingKeys(table.Field(i), key+".")
+		} else if _, ok := d.positions[prefix+key]; !ok && field.Tag.Get("required") != "" {
+			d.addFinding(Finding{Rule: RuleMissingKey, Key: prefix + key, Found: "nothing", Allowed: keyFromField(field).Allowed()})
 		}
 	}
 }
 
+// sortedKeys returns the keys of a map with string keys, in order.
 func sortedKeys(m reflect.Value) []string {
-	var out []string
+	var keys []string
 	for _, k := range m.MapKeys() {
-		out = append(out, k.String())
+		keys = append(keys, k.String())
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(keys)
+	return keys
 }
 
-// closestMatch is the word that a typing error may have stood for, or none.
-func closestMatch(text string, words []string) string {
-	best, least := "", len(text)/3+2
-	for _, w := range words {
-		if n := editDistance(text, w); n < least {
-			best, least = w, n
+// closestMatch returns the candidate that text is most likely a misspelling of, or "" if none is
+// within an edit distance of a third of its length and one more.
+func closestMatch(text string, candidates []string) string {
+	best, minDistance := "", len(text)/3+2
+	for _, candidate := range candidates {
+		if n := editDistance(text, candidate); n < minDistance {
+			best, minDistance = candidate, n
 		}
 	}
 	return best
 }
 
-// editDistance is the Levenshtein distance of two short texts.
+// editDistance returns the Levenshtein distance of two texts of at most maxNameBytes bytes; for
+// longer ones it returns maxNameBytes.
 func editDistance(x, y string) int {
 	if len(x) > maxNameBytes || len(y) > maxNameBytes {
 		return maxNameBytes
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -6,41 +6,43 @@
 	"strings"
 )
 
-// Change is a value that differs between two settings. An empty text is one that is not set.
+// Change is a value that differs between two configurations. From and To are the values as the
+// file writes them; an empty text is a value that is not set.
 type Change struct {
 	Path       string `json:"key"`
 	From, To   string
-	Reloadable bool `json:"live"` // SIGHUP has it take effect
+	Reloadable bool `json:"live"` // it takes effect at SIGHUP
 }
 
+// String returns the change in one line: "PATH: FROM -> TO".
 func (c Change) String() string {
-	say := func(text string) string {
+	orNotSet := func(text string) string {
 		if text == "" {
 			return "(not set)"
 		}
 		return text
 	}
-	return fmt.Sprintf("%s: %s -> %s", c.Path, say(c.From), say(c.To))
+	return fmt.Sprintf("%s: %s -> %s", c.Path, orNotSet(c.From), orNotSet(c.To))
 }
 
-// Diff lists what differs in effect between two settings, in the order of their keys.
+// Diff returns the values that differ between two configurations, ordered by path.
 func Diff(from, to []Value) []Change {
-	was := make(map[string]Value)
+	unmatched := make(map[string]Value)
 	for _, v := range from {
-		was[v.Path] = v
+		unmatched[v.Path] = v
 	}
-	var out []Change
+	var changes []Change
 	for _, v := range to {
-		if old, ok := was[v.Path]; !ok || old.Text != v.Text {
-			out = append(out, Change{v.Path, old.Text, v.Text, v.Reloadable})
+		if previous, ok := unmatched[v.Path]; !ok || previous.Text != v.Text {
+			changes = append(changes, Change{v.Path, previous.Text, v.Text, v.Reloadable})
 		}
-		delete(was, v.Path)
+		delete(unmatched, v.Path)
 	}
 	for _, v := range from {
-		if _, ok := was[v.Path]; ok {
-			out = append(out, Change{v.Path, v.Text, "", v.Reloadable})
+		if _, ok := unmatched[v.Path]; ok {
+			changes = append(changes, Change{v.Path, v.Text, "", v.Reloadable})
 		}
 	}
-	slices.SortFunc(out, func(x, y Change) int { return strings.Compare(x.Path, y.Path) })
-	return out
+	slices.SortFunc(changes, func(x, y Change) int { return strings.Compare(x.Path, y.Path) })
+	return changes
 }
--- a/internal/config/finding.go
+++ b/internal/config/finding.go
@@ -5,35 +5,37 @@
 	"strings"
 )
 
-// Level says what a finding means.
+// Level is the severity of a finding.
 type Level string
 
-// The levels. A file with a refusal is not run with; a warning is legal and unwise.
+// The levels. The program does not run with a file that is refused; a warning is for values that
+// are valid but unwise.
 const (
 	LevelRefused Level = "refused"
 	LevelWarning Level = "warning"
 )
 
-// Position is a place in a file, from 1; 0 is none. Columns count bytes.
+// Position is a line and a column in a file, both counted from 1; 0 means that there is none.
+// Columns count bytes.
 type Position struct {
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
 }
 
-// Finding is something wrong with a configuration.
+// Finding is an error or a warning about a configuration.
 type Finding struct {
-	Rule     string `json:"rule"` // its identifier, see the reference
+	Rule     string `json:"rule"` // identifier of the rule, see the reference page
 	Level    Level  `json:"level"`
 	File     string `json:"file,omitempty"`
-	Position        // where, in a file that has lines to name
+	Position        // of the key or value at fault, if it stands in the file
 	Key      string `json:"key,omitempty"`
 	Found    string `json:"found,omitempty"`
 	Allowed  string `json:"allowed,omitempty"`
-	Reason   string `json:"reason,omitempty"` // what would go wrong
-	Fix      string `json:"mend,omitempty"`   // what to do
+	Reason   string `json:"reason,omitempty"` // why the rule exists
+	Fix      string `json:"mend,omitempty"`   // how to correct the configuration
 }
 
-// String is the finding in a line, as a compiler would write it.
+// String returns the finding in one line, in the form of a compiler's message.
 func (f Finding) String() string {
 	var b strings.Builder
 	if f.File != "" {
@@ -54,7 +56,7 @@
 	return b.String()
 }
 
-// HasRefusal tells whether a file with these findings is refused.
+// HasRefusal reports whether any of the findings refuses the configuration.
 func HasRefusal(findings []Finding) bool {
 	for _, f := range findings {
 		if f.Level == LevelRefused {
@@ -64,15 +66,16 @@
 	return false
 }
 
-// The rules of reading a file. Those of what it says are internal/check's.
+// The rules for reading a file and its single values. internal/check has those on how values fit
+// together.
 const (
-	RuleUnreadable      = "unreadable"     // the file can't be opened, is too long, or changes as it is read
-	RuleSyntax          = "syntax"         // it is not TOML, or not JSON
-	RuleUnknownKey      = "unknown-key"    // it has a key that means nothing
-	RuleWrongType       = "wrong-type"     // a value is of another type than its key's
+	RuleUnreadable      = "unreadable"     // the file can't be opened, is too long, or changes while it is read
+	RuleSyntax          = "syntax"         // the text is not valid TOML, or not valid JSON
+	RuleUnknownKey      = "unknown-key"    // a key is not in the schema
+	RuleWrongType       = "wrong-type"     // a value has another type than its key requires
 	RuleDuplicate       = "duplicate"      // a key, a table or an element of a list is given twice
 	RuleOutOfRange      = "out-of-range"   // a value is not among those allowed
-	RuleMissingKey      = "missing-key"    // a key is left out that is needed
-	RuleSchemaVersion   = "schema-version" // the file is written for another version of the program
+	RuleMissingKey      = "missing-key"    // a required key is not given
+	RuleSchemaVersion   = "schema-version" // the file is written for a newer version of the program
 	RuleInvalidPlatform = "platform"       // a platform's configuration has a value that can't be used
 )
--- a/internal/config/kinds.go
+++ b/internal/config/kinds.go
@@ -13,6 +13,8 @@
 // Size is a number of bytes. In a file it is a string with a unit, such as "64KiB".
 type Size int64
 
+// sizeUnits are the units of sizes. ParseSize and String take the first that fits, so larger units
+// precede smaller ones, and "B", with which the names of all units end, is last.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
@@ -21,41 +23,43 @@
 	{"TB", 1e12}, {"GB", 1e9}, {"MB", 1e6}, {"kB", 1e3}, {"B", 1},
 }
 
-// ParseSize reads a size: a whole or decimal number and a unit. Zero needs no unit.
+// ParseSize parses a size: a whole or decimal number and a unit, which together must be a whole
+// number of bytes. Zero needs no unit.
 func ParseSize(text string) (Size, error) {
 	if text == "0" {
 		return 0, nil
 	}
-	for _, u := range sizeUnits {
-		number, ok := strings.CutSuffix(text, u.name)
+	for _, unit := range sizeUnits {
+		number, ok := strings.CutSuffix(text, unit.name)
 		if !ok {
 			continue
 		}
 		number = strings.TrimSpace(number)
-		v, err := strconv.ParseFloat(number, 64)
-		v *= float64(u.bytes)
-		if err != nil || strings.Trim(number, "0123456789.") != "" || v > math.MaxInt64/2 || v != math.Trunc(v) {
+		bytes, err := strconv.ParseFloat(number, 64)
+		bytes *= float64(unit.bytes)
+		if err != nil || strings.Trim(number, "0123456789.") != "" || bytes > math.MaxInt64/2 || bytes != math.Trunc(bytes) {
 			break
 		}
-		return Size(v), nil
+		return Size(bytes), nil
 	}
 	return 0, fmt.Errorf("%q is not a size such as \"64KiB\"", text)
 }
 
-// String writes a size with the largest unit that leaves it whole.
+// String returns the size with the largest binary unit (KiB to TiB) of which it is a whole
+// multiple, else in bytes. ParseSize accepts the result.
 func (s Size) String() string {
 	if s == 0 {
 		return "0"
 	}
-	for _, u := range sizeUnits {
-		if int64(s)%u.bytes == 0 && strings.Contains(u.name, "i") {
-			return fmt.Sprintf("%d%s", int64(s)/u.bytes, u.name)
+	for _, unit := range sizeUnits {
+		if int64(s)%unit.bytes == 0 && strings.Contains(unit.name, "i") {
+			return fmt.Sprintf("%d%s", int64(s)/unit.bytes, unit.name)
 		}
 	}
 	return fmt.Sprintf("%dB", int64(s))
 }
 
-// parseDuration reads a time, such as "1540ms" or "1m30s".
+// parseDuration parses a time, such as "1540ms" or "1m30s".
 func parseDuration(text string) (time.Duration, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
@@ -64,14 +68,15 @@
 	return d, nil
 }
 
-// FormatDuration writes a time as people write it: "1540ms" and "10s", not "1.54s" and "1m40s".
+// FormatDuration returns a time as a whole number of the largest unit that allows it: "1540ms" and
+// "100s", not "1.54s" and "1m40s".
 func FormatDuration(d time.Duration) string {
-	for _, u := range []struct {
-		name string
-		d    time.Duration
+	for _, unit := range []struct {
+		name     string
+		duration time.Duration
 	}{{"h", time.Hour}, {"m", time.Minute}, {"s", time.Second}, {"ms", time.Millisecond}, {"us", time.Microsecond}} {
-		if d != 0 && d%u.d == 0 {
-			return fmt.Sprintf("%d%s", d/u.d, u.name)
+		if d != 0 && d%unit.duration == 0 {
+			return fmt.Sprintf("%d%s", d/unit.duration, unit.name)
 		}
 	}
 	if d == 0 {
@@ -80,10 +85,11 @@
 	return fmt.Sprintf("%dns", d)
 }
 
-// maxNameBytes is the most bytes of a name: callers send class names in a header.
+// maxNameBytes is the longest name. It is bounded because callers send class names in a header field.
 const maxNameBytes = 64
 
-// checkText checks a string of a kind, see Settings.
+// checkText returns an error if text is not valid for a kind tag of Settings: "address", "path" or
+// "name". Text of any other kind is valid.
 func checkText(kind, text string) error {
 	switch kind {
 	case "address":
@@ -100,7 +106,8 @@
 	return nil
 }
 
-// isVisibleASCII tells whether a text has visible ASCII characters only: others don't fit in a header.
+// isVisibleASCII reports whether text has visible ASCII characters only. Others, and spaces, can't
+// be sent in a header field.
 func isVisibleASCII(text string) bool {
 	return strings.IndexFunc(text, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -11,31 +11,32 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// Config is what a sidecar runs with: the platform's word, narrowed by the operators'.
+// Config is the configuration that a sidecar runs with: the platform's, narrowed by the operators'
+// file.
 type Config struct {
 	*Platform
 	Settings   *Settings
-	Standalone bool // there is no platform, nor its SIGKILL
+	Standalone bool // there is no platform, so none sends SIGKILL after SIGTERM
 }
 
-// The reserve of descriptors for the listener, discovery, the runtime, the log and the
-// configuration, and the fewest that a sidecar can do with.
+// ReservedSockets is the number of file descriptors that are reserved for the listener, discovery,
+// the runtime, the log and the configuration. MinSockets is the fewest descriptors that a sidecar
+// can run with.
 const ReservedSockets, MinSockets = 24, 64
 
-// What holds where neither the platform nor the file says anything.
+// The defaults of settings that neither the platform nor the file gives.
 const (
 	defaultConnectTimeout   = 250 * time.Millisecond
 	defaultKeepAliveTimeout = 10 * time.Second
 )
 
-// MaxCallerConnections is how many connections callers may have open: a third of the descriptors
-// unless the file says otherwise, which is what they need at most for the requests that they
-// may hold.
+// MaxCallerConnections returns how many connections callers may have open. The default is a third
+// of the descriptors, which is the most that callers need for the requests they may have open.
 func (c *Config) MaxCallerConnections() int {
 	return cmp.Or(c.Settings.Callers.MaxConnections, c.Limits.Sockets/3)
 }
 
-// MaxBodyFiles is how many bodies may be kept in files: each takes a descriptor.
+// MaxBodyFiles returns how many request bodies may be stored in files. Each uses a descriptor.
 func (c *Config) MaxBodyFiles() int {
 	if s := &c.Settings.Streams; s.RequestsEnabled() && s.MaxFilePerBody > 0 {
 		return s.MaxOpenRequests
@@ -43,23 +44,25 @@
 	return 0
 }
 
-// MaxEndpointConnections is how many connections to endpoints may be open: the rest.
+// MaxEndpointConnections returns how many connections to endpoints may be open. The default is the
+// descriptors that callers, body files and the reserve leave.
 func (c *Config) MaxEndpointConnections() int {
 	rest := c.Limits.Sockets - c.MaxCallerConnections() - ReservedSockets - c.MaxBodyFiles()
 	return cmp.Or(c.Settings.Endpoints.MaxConnections, max(rest, 1))
 }
 
-// ConnectTimeout is how long a connection to an endpoint may take to come up.
+// ConnectTimeout returns how long it may take to connect to an endpoint.
 func (c *Config) ConnectTimeout() time.Duration {
 	return cmp.Or(c.BalancerConfig.Limits.ConnectTimeout, defaultConnectTimeout)
 }
 
-// KeepAliveTimeout is how long an endpoint keeps an idle connection at the least.
+// KeepAliveTimeout returns the shortest time for which endpoints keep an idle connection open.
 func (c *Config) KeepAliveTimeout() time.Duration {
 	return cmp.Or(c.BalancerConfig.Limits.KeepAlive, defaultKeepAliveTimeout)
 }
 
-// ProbePath is what a probe asks an endpoint for by these settings.
+// ProbePath returns the path that probes request under the settings s, which may be newer than those
+// of c.
 func (c *Config) ProbePath(s *Settings) string {
 	if s.Probe.Path != "" {
 		return s.Probe.Path
@@ -70,6 +73,7 @@
 	return "/load"
 }
 
+// The balancer's values for the words that the file uses.
 var semanticsValues = map[string]balance.Semantics{"safe": balance.Safe, "keyed": balance.Keyed, "unsafe": balance.Unsafe}
 
 var scopeValues = map[string]balance.Scope{"all": balance.ScopeAll, "zone": balance.ScopeZone, "cell": balance.ScopeCell}
@@ -78,49 +82,51 @@
 	"probe": balance.ReportsInProbe, "answers": balance.ReportsInResponse, "none": balance.ReportsNone,
 }
 
-// SemanticsName and ScopeName are what the file calls the module's values.
+// SemanticsName returns the file's word for a value of the balancer.
 func SemanticsName(s balance.Semantics) string { return nameOf(semanticsValues, s) }
 
-// ScopeName is what the file calls a scope.
+// ScopeName returns the file's word for a scope.
 func ScopeName(s balance.Scope) string { return nameOf(scopeValues, s) }
 
-func nameOf[V comparable](names map[string]V, v V) string {
-	for name, x := range names {
-		if x == v {
+// nameOf returns the name of a value, or the value as fmt prints it if it has none.
+func nameOf[V comparable](values map[string]V, value V) string {
+	for name, v := range values {
+		if v == value {
 			return name
 		}
 	}
-	return fmt.Sprint(v)
+	return fmt.Sprint(value)
 }
 
-// Merge narrows a platform's configuration by an operators' file. Where the file asks for
-// more than the platform allows, the platform's word stands; that the file does so is for
-// internal/check to refuse. Without a platform, the file alone says all.
+// Merge returns a platform's configuration narrowed by an operators' file. Where the file asks for
+// more than the platform allows, the platform's value applies; it is internal/check that refuses
+// such a file. If p is nil, there is no platform, and the file and the defaults give all values.
+// Merge does not change p; the result shares s.
 func Merge(p *Platform, s *Settings) *Config {
-	alone := p == nil
-	if alone {
+	isStandalone := p == nil
+	if isStandalone {
 		p = standalonePlatform(s)
 	} else {
 		narrowed := *p
 		narrowed.BalancerConfig.Classes = slices.Clone(p.BalancerConfig.Classes)
 		p = &narrowed
 	}
-	c := &Config{Platform: p, Settings: s, Standalone: alone}
+	c := &Config{Platform: p, Settings: s, Standalone: isStandalone}
 	c.narrowLimits()
-	for name, k := range s.Classes {
+	for name, class := range s.Classes {
 		if i, ok := p.ClassIndex[name]; ok {
-			p.BalancerConfig.Classes[i] = narrowClass(p.BalancerConfig.Classes[i], k)
+			p.BalancerConfig.Classes[i] = narrowClass(p.BalancerConfig.Classes[i], class)
 		}
 	}
 	return c
 }
 
-// maxKillDeadline is the longest that a platform counts a deadline for as it sets when SIGKILL follows
-// SIGTERM.
+// maxKillDeadline is the longest request deadline that a platform takes into account when it sets the
+// time from SIGTERM to SIGKILL.
 const maxKillDeadline = 3 * time.Second
 
-// ShutdownRequestTimeout is how long a request that was taken before the end of the linger time may take at most
-// once SIGTERM has come.
+// ShutdownRequestTimeout returns the longest time for which a request may still run after SIGTERM, if it
+// was accepted before the end of shutdown.linger.
 func (c *Config) ShutdownRequestTimeout() time.Duration {
 	if c.Standalone {
 		return c.LongestDeadline()
@@ -128,93 +134,97 @@
 	return min(c.LongestDeadline(), maxKillDeadline)
 }
 
-// minSet is the smaller of two values of which zero means that nothing is said.
+// minSet returns the smaller of two values, of which a zero one is not set. If only one is set, it
+// returns that.
 func minSet[V cmp.Ordered](x, y V) V {
-	var none V
-	if x == none || y == none {
+	var unset V
+	if x == unset || y == unset {
 		return max(x, y)
 	}
 	return min(x, y)
 }
 
+// narrowLimits narrows the values that are not specific to a class by those that the file gives.
 func (c *Config) narrowLimits() {
-	s, p, m := c.Settings, c.Platform, &c.Platform.BalancerConfig
+	s, p, balancer := c.Settings, c.Platform, &c.Platform.BalancerConfig
 	p.Limits.Cores = minSet(p.Limits.Cores, s.Limits.Cores)
 	p.Limits.MemoryMB = minSet(p.Limits.MemoryMB, int64(s.Limits.Memory)>>20)
 	p.Limits.Sockets = minSet(p.Limits.Sockets, s.Limits.Sockets)
-	m.Limits.ConnectTimeout = minSet(m.Limits.ConnectTimeout, s.Endpoints.ConnectTimeout)
-	m.Limits.KeepAlive = minSet(m.Limits.KeepAlive, s.Endpoints.KeepAliveTimeout)
-	m.Limits.MaxAttempts = minSet(m.Limits.MaxAttempts, s.Fleet.MaxAttempts)
-	m.Limits.MaxRetryAfter = min(m.Limits.MaxRetryAfter, cmp.Or(s.Fleet.MaxRetryAfter, m.Limits.MaxRetryAfter))
+	balancer.Limits.ConnectTimeout = minSet(balancer.Limits.ConnectTimeout, s.Endpoints.ConnectTimeout)
+	balancer.Limits.KeepAlive = minSet(balancer.Limits.KeepAlive, s.Endpoints.KeepAliveTimeout)
+	balancer.Limits.MaxAttempts = minSet(balancer.Limits.MaxAttempts, s.Fleet.MaxAttempts)
+	balancer.Limits.MaxRetryAfter = min(balancer.Limits.MaxRetryAfter, cmp.Or(s.Fleet.MaxRetryAfter, balancer.Limits.MaxRetryAfter))
 	if s.Fleet.Hedging != nil {
-		m.Limits.Hedging = m.Limits.Hedging && *s.Fleet.Hedging
+		balancer.Limits.Hedging = balancer.Limits.Hedging && *s.Fleet.Hedging
 	}
-	m.DrainGrace = minSet(m.DrainGrace, s.Fleet.DrainGrace)
-	m.ColdCapacityShare = minSet(m.ColdCapacityShare, s.Fleet.ColdCapacityShare)
-	m.WarmupTime = max(m.WarmupTime, s.Fleet.WarmupTime)
-	m.ColdOverloadMultiple = minSet(m.ColdOverloadMultiple, s.Fleet.OverloadMultiple)
-	m.ColdOverloadTime = minSet(m.ColdOverloadTime, s.Fleet.OverloadTime)
-	m.SidecarCount = max(m.SidecarCount, s.Fleet.SidecarCount)
+	balancer.DrainGrace = minSet(balancer.DrainGrace, s.Fleet.DrainGrace)
+	balancer.ColdCapacityShare = minSet(balancer.ColdCapacityShare, s.Fleet.ColdCapacityShare)
+	balancer.WarmupTime = max(balancer.WarmupTime, s.Fleet.WarmupTime)
+	balancer.ColdOverloadMultiple = minSet(balancer.ColdOverloadMultiple, s.Fleet.OverloadMultiple)
+	balancer.ColdOverloadTime = minSet(balancer.ColdOverloadTime, s.Fleet.OverloadTime)
+	balancer.SidecarCount = max(balancer.SidecarCount, s.Fleet.SidecarCount)
 }
 
-// narrowClass narrows a class by what the file says of it.
-func narrowClass(k balance.Class, s *Class) balance.Class {
-	k.TargetLatency, k.Deadline = minSet(k.TargetLatency, s.TargetLatency), minSet(k.Deadline, s.Deadline)
-	k.TargetLatency = min(k.TargetLatency, k.Deadline)
-	was := k.Semantics
-	k.Semantics = max(k.Semantics, semanticsValues[s.Semantics])
-	k.Scope = max(k.Scope, scopeValues[s.Scope])
-	if was == balance.Safe { // a platform has no window to say for it
-		k.RepeatWindow = s.RepeatWindow
+// narrowClass returns a class of the platform narrowed by the file's values for it.
+func narrowClass(class balance.Class, fileClass *Class) balance.Class {
+	class.TargetLatency, class.Deadline = minSet(class.TargetLatency, fileClass.TargetLatency), minSet(class.Deadline, fileClass.Deadline)
+	class.TargetLatency = min(class.TargetLatency, class.Deadline)
+	platformSemantics := class.Semantics
+	class.Semantics = max(class.Semantics, semanticsValues[fileClass.Semantics])
+	class.Scope = max(class.Scope, scopeValues[fileClass.Scope])
+	if platformSemantics == balance.Safe { // the platform gives no window for a safe class
+		class.RepeatWindow = fileClass.RepeatWindow
 	} else {
-		k.RepeatWindow = minSet(k.RepeatWindow, s.RepeatWindow)
+		class.RepeatWindow = minSet(class.RepeatWindow, fileClass.RepeatWindow)
 	}
-	k.Value = cmp.Or(s.Value, k.Value)
-	if s.LateValueShare != nil {
-		k.LateValueShare = min(k.LateValueShare, *s.LateValueShare)
+	class.Value = cmp.Or(fileClass.Value, class.Value)
+	if fileClass.LateValueShare != nil {
+		class.LateValueShare = min(class.LateValueShare, *fileClass.LateValueShare)
 	}
-	return withReloadableLimits(k, s)
+	return withReloadableLimits(class, fileClass)
 }
 
-// withReloadableLimits sets the bounds of a class that may change while a sidecar runs.
-func withReloadableLimits(k balance.Class, s *Class) balance.Class {
-	k.MaxAttempts, k.MaxRetries, k.NoHedging, k.RetryStartWindow = 0, 0, false, 0
-	if s == nil {
-		return k
+// withReloadableLimits returns a class with those limits that may change while a sidecar runs set
+// to the file's values, or to none if fileClass is nil.
+func withReloadableLimits(class balance.Class, fileClass *Class) balance.Class {
+	class.MaxAttempts, class.MaxRetries, class.NoHedging, class.RetryStartWindow = 0, 0, false, 0
+	if fileClass == nil {
+		return class
 	}
-	k.MaxAttempts, k.RetryStartWindow = s.MaxAttempts, s.RetryWithin
-	if s.MaxRetries != nil {
-		k.MaxRetries = cmp.Or(*s.MaxRetries, -1)
+	class.MaxAttempts, class.RetryStartWindow = fileClass.MaxAttempts, fileClass.RetryWithin
+	if fileClass.MaxRetries != nil {
+		class.MaxRetries = cmp.Or(*fileClass.MaxRetries, -1) // the balancer takes 0 for no limit, -1 for no retries
 	}
-	k.NoHedging = s.Hedging != nil && !*s.Hedging
-	return k
+	class.NoHedging = fileClass.Hedging != nil && !*fileClass.Hedging
+	return class
 }
 
-// ReloadedClasses returns the classes of a running sidecar with the bounds that may change set by
-// other settings.
+// ReloadedClasses returns the classes of a running sidecar with their reloadable limits set by the
+// new settings s. All other values stay those of c.
 func (c *Config) ReloadedClasses(s *Settings) []balance.Class {
-	out := slices.Clone(c.BalancerConfig.Classes)
-	for i := range out {
-		out[i] = withReloadableLimits(out[i], s.Classes[out[i].Name])
+	classes := slices.Clone(c.BalancerConfig.Classes)
+	for i := range classes {
+		classes[i] = withReloadableLimits(classes[i], s.Classes[classes[i].Name])
 	}
-	return out
+	return classes
 }
 
-// standalonePlatform is what a platform would say, by the file alone. The figures are those of the
-// operators' main site (BRIEF, "Figures of the rules") where the file leaves them out.
+// standalonePlatform returns the configuration that stands in for a platform's where there is none.
+// Values that the file does not give are those of the operators' main site (BRIEF, "Figures of the
+// rules").
 func standalonePlatform(s *Settings) *Platform {
-	f := s.Fleet
-	zones := f.Zones
+	fleet := s.Fleet
+	zones := fleet.Zones
 	if len(zones) == 0 {
-		zones = []string{cmp.Or(f.Zone, "local")}
+		zones = []string{cmp.Or(fleet.Zone, "local")}
 	}
 	p := &Platform{
 		Name: s.Application.Name, ListenAddress: s.Application.ListenAddress, DiscoveryAddress: s.Application.DiscoveryAddress, Zones: zones,
 		Limits: Limits{Cores: 1, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}, Seed: rand.Uint64(),
 		Tiers: []string{s.Application.Tier},
 		BalancerConfig: balance.Config{
-			SidecarIndex: f.SidecarIndex, SidecarCount: max(f.SidecarCount, 1), Zone: max(slices.Index(zones, f.Zone), 0),
-			MustSubscribe: f.DiscoveryMode == "ask", MaxSubscribeDelay: 10 * time.Second,
+			SidecarIndex: fleet.SidecarIndex, SidecarCount: max(fleet.SidecarCount, 1), Zone: max(slices.Index(zones, fleet.Zone), 0),
+			MustSubscribe: fleet.DiscoveryMode == "ask", MaxSubscribeDelay: 10 * time.Second,
 			Reporting: balance.ReportsInProbe, EndpointsPropagateDeadline: true,
 			Costs:             balance.Costs{CrossZone: 0.005, LateFail: 0.08, Probe: 0.002, Waste: 0.04},
 			Objective:         balance.ObjectiveWeights{Overall: 0.9, WorstWindow: 0.1},
@@ -226,7 +236,7 @@
 			},
 		},
 	}
-	m := &p.BalancerConfig
+	balancer := &p.BalancerConfig
 	if s.Limits.Cores > 0 {
 		p.Limits.Cores = s.Limits.Cores
 	}
@@ -234,41 +244,40 @@
 		p.Limits.MemoryMB = int64(s.Limits.Memory) >> 20
 	}
 	p.Limits.Sockets = cmp.Or(s.Limits.Sockets, p.Limits.Sockets)
-	if f.LoadReporting != "" {
-		m.Reporting = reportingValues[f.LoadReporting]
+	if fleet.LoadReporting != "" {
+		balancer.Reporting = reportingValues[fleet.LoadReporting]
 	}
-	m.DrainGrace = cmp.Or(f.DrainGrace, m.DrainGrace)
-	m.ColdCapacityShare, m.WarmupTime = cmp.Or(f.ColdCapacityShare, m.ColdCapacityShare), cmp.Or(f.WarmupTime, m.WarmupTime)
-	m.ColdOverloadMultiple, m.ColdOverloadTime = cmp.Or(f.OverloadMultiple, m.ColdOverloadMultiple), cmp.Or(f.OverloadTime, m.ColdOverloadTime)
-	m.Limits.MaxAttempts = cmp.Or(f.MaxAttempts, m.Limits.MaxAttempts)
-	m.Limits.MaxRetryAfter = cmp.Or(f.MaxRetryAfter, m.Limits.MaxRetryAfter)
-	m.Limits.ConnectTimeout = cmp.Or(s.Endpoints.ConnectTimeout, m.Limits.ConnectTimeout)
-	m.Limits.KeepAlive = cmp.Or(s.Endpoints.KeepAliveTimeout, m.Limits.KeepAlive)
+	balancer.DrainGrace = cmp.Or(fleet.DrainGrace, balancer.DrainGrace)
+	balancer.ColdCapacityShare, balancer.WarmupTime = cmp.Or(fleet.ColdCapacityShare, balancer.ColdCapacityShare), cmp.Or(fleet.WarmupTime, balancer.WarmupTime)
+	balancer.ColdOverloadMultiple, balancer.ColdOverloadTime = cmp.Or(fleet.OverloadMultiple, balancer.ColdOverloadMultiple), cmp.Or(fleet.OverloadTime, balancer.ColdOverloadTime)
+	balancer.Limits.MaxAttempts = cmp.Or(fleet.MaxAttempts, balancer.Limits.MaxAttempts)
+	balancer.Limits.MaxRetryAfter = cmp.Or(fleet.MaxRetryAfter, balancer.Limits.MaxRetryAfter)
+	balancer.Limits.ConnectTimeout = cmp.Or(s.Endpoints.ConnectTimeout, balancer.Limits.ConnectTimeout)
+	balancer.Limits.KeepAlive = cmp.Or(s.Endpoints.KeepAliveTimeout, balancer.Limits.KeepAlive)
 	p.ClassIndex, p.TenantIndex = make(map[string]int), make(map[string]int)
 	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
-		k := s.Classes[name]
-		p.ClassIndex[name] = len(m.Classes)
+		fileClass := s.Classes[name]
+		p.ClassIndex[name] = len(balancer.Classes)
 		class := balance.Class{
-			Name: name, TargetLatency: k.TargetLatency, Deadline: k.Deadline, Value: cmp.Or(k.Value, 1),
-			Semantics: semanticsValues[k.Semantics], Scope: scopeValues[k.Scope], RepeatWindow: k.RepeatWindow,
+			Name: name, TargetLatency: fileClass.TargetLatency, Deadline: fileClass.Deadline, Value: cmp.Or(fileClass.Value, 1),
+			Semantics: semanticsValues[fileClass.Semantics], Scope: scopeValues[fileClass.Scope], RepeatWindow: fileClass.RepeatWindow,
 		}
-		if k.LateValueShare != nil {
-			class.LateValueShare = *k.LateValueShare
+		if fileClass.LateValueShare != nil {
+			class.LateValueShare = *fileClass.LateValueShare
 		}
-		m.Classes = append(m.Classes, class)
+		balancer.Classes = append(balancer.Classes, class)
 	}
 	return p
 }
 
-// ClassKey is the key of a class's part in the file.
+// ClassKey returns the path of a class's table in the file, such as "class.NAME".
 func ClassKey(name string) string { return "class." + quoteKey(name) }
 
-// SemanticsByName and Scope are the module's values for the file's words, ReportsName the file's
-// word for the module's.
-func SemanticsByName(word string) balance.Semantics { return semanticsValues[word] }
+// SemanticsByName returns the balancer's value for the file's word, or balance.Safe if there is none.
+func SemanticsByName(name string) balance.Semantics { return semanticsValues[name] }
 
-// ScopeByName is the module's value for the file's word.
-func ScopeByName(word string) balance.Scope { return scopeValues[word] }
+// ScopeByName returns the balancer's value for the file's word, or balance.ScopeAll if there is none.
+func ScopeByName(name string) balance.Scope { return scopeValues[name] }
 
-// ReportingName is the file's word for a way of reporting.
+// ReportingName returns the file's word for a way of reporting load.
 func ReportingName(r balance.Reporting) string { return nameOf(reportingValues, r) }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,5 +1,5 @@
-// Package config holds what a sidecar is told: the platform's configuration (JSON, see DEPLOY)
-// and the operators' file (TOML). It does no I/O but reading the files that it is given.
+// Package config reads and merges the configuration of a sidecar: the platform's configuration
+// (JSON, see DEPLOY) and the operators' file (TOML). Its only I/O is reading these files.
 package config
 
 import (
@@ -14,45 +14,47 @@
 	"barleydrum.example/barleydrum/internal/wire"
 )
 
-// Limits are what one sidecar may use of its machine.
+// Limits are the resources of its machine that one sidecar may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	MemoryMB int64   `json:"memory_mb"` // in MiB
+	Sockets  int     `json:"sockets"`   // file descriptors
 }
 
-// The limits of a deployment that states none.
+// The limits of a platform that gives none, in MiB and file descriptors.
 const defaultMemoryMB, defaultSockets = 192, 1024
 
-// Platform is what the platform tells a sidecar, see DEPLOY, "What a sidecar is told".
+// Platform is the platform's configuration of a sidecar, see DEPLOY, "What a sidecar is told".
 type Platform struct {
 	Name             string
-	ListenAddress    string
-	DiscoveryAddress string
+	ListenAddress    string // HOST:PORT on which callers are served
+	DiscoveryAddress string // HOST:PORT of the discovery agent or service
 	Seed             uint64
 	Limits           Limits
 	BalancerConfig   balance.Config
-	KnownEndpoints   discovery.List
-	Zones            []string
-	Tiers            []string // the tiers; Module.Tier is the index of the one it sends to
+	KnownEndpoints   discovery.List // the last known list of endpoints
+	Zones            []string       // names of the zones; BalancerConfig.Zone is the index of the sidecar's own
+	Tiers            []string       // names of the tiers; BalancerConfig.Tier is the index of the one that the sidecar sends to
 
-	// ClassIndex and Tenants are the indexes of names in Module.
+	// ClassIndex and TenantIndex hold the indexes of classes and tenants in BalancerConfig by name.
 	ClassIndex, TenantIndex map[string]int
 }
 
-// LoadPlatform reads the configuration file that PROXY_CONFIG names. The other
-// variables, where set, go before what the file says. An error names the
-// setting at fault.
+// LoadPlatform reads the configuration file that the environment variable PROXY_CONFIG names. The
+// variables PROXY_NAME, PROXY_LISTEN and PROXY_DISCOVERY, where set, override the file's values. An
+// error names the setting at fault.
 func LoadPlatform(getenv func(string) string) (*Platform, error) {
 	return loadPlatform(getenv, getenv)
 }
 
-// ReloadPlatform reads the file again. What it says goes before the variables now: these are
-// as old as the process.
+// ReloadPlatform reads the configuration file again. The other variables no longer override the file's
+// values: they date from the start of the process, and the file may be newer.
 func ReloadPlatform(getenv func(string) string) (*Platform, error) {
 	return loadPlatform(getenv, func(string) string { return "" })
 }
 
+// loadPlatform reads the file that the variable PROXY_CONFIG of getenv names. Values that override
+// returns for the other variables replace those of the file, unless they are empty.
 func loadPlatform(getenv, override func(string) string) (*Platform, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -67,11 +69,11 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for _, v := range []struct {
-		name string
-		to   *string
+		name  string
+		field *string
 	}{{"PROXY_NAME", &p.Name}, {"PROXY_LISTEN", &p.ListenAddress}, {"PROXY_DISCOVERY", &p.DiscoveryAddress}} {
-		if s := override(v.name); s != "" {
-			*v.to = s
+		if value := override(v.name); value != "" {
+			*v.field = value
 		}
 	}
 	if err := p.checkAddresses(); err != nil {
@@ -80,7 +82,8 @@
 	return p, nil
 }
 
-// ParsePlatform reads the text of a platform's configuration file.
+// ParsePlatform decodes and checks the text of a platform's configuration file. An error names the
+// setting at fault.
 func ParsePlatform(text []byte) (*Platform, error) {
 	p, err := decodePlatform(text)
 	if err != nil {
@@ -89,6 +92,7 @@
 	return p, p.checkAddresses()
 }
 
+// checkAddresses checks the form of the listen and discovery addresses.
 func (p *Platform) checkAddresses() error {
 	for _, a := range []struct{ name, addr string }{{"listen", p.ListenAddress}, {"discovery", p.DiscoveryAddress}} {
 		if err := discovery.CheckAddress(a.addr); err != nil {
@@ -98,6 +102,8 @@
 	return nil
 }
 
+// decodePlatform decodes and checks all of a platform's configuration but its addresses, which
+// environment variables may override.
 func decodePlatform(text []byte) (*Platform, error) {
 	var file struct {
 		Name      string          `json:"name"`
@@ -151,12 +157,12 @@
 	return p, p.buildIndexes()
 }
 
-// buildIndexes makes Classes and Tenants.
+// buildIndexes sets ClassIndex and TenantIndex. Names of classes must be unique and not empty.
 func (p *Platform) buildIndexes() error {
 	p.ClassIndex, p.TenantIndex = make(map[string]int), make(map[string]int)
 	for i, k := range p.BalancerConfig.Classes {
 		if _, ok := p.ClassIndex[k.Name]; ok || k.Name == "" {
-			return fmt.Errorf("settings: classes[%d].name: %q is empty or taken", i, k.Name)
+			return fmt.Errorf("settings: classes[%d].name: %q is empty, or another class has it", i, k.Name)
 		}
 		p.ClassIndex[k.Name] = i
 	}
@@ -166,19 +172,19 @@
 	return nil
 }
 
-// Tier is the name of the tier that the sidecar sends to, or empty where it is told none.
+// Tier returns the name of the tier that the sidecar sends to, or "" if the platform gives none.
 func (p *Platform) Tier() string {
-	if t := p.BalancerConfig.Tier; t >= 0 && t < len(p.Tiers) {
-		return p.Tiers[t]
+	if i := p.BalancerConfig.Tier; i >= 0 && i < len(p.Tiers) {
+		return p.Tiers[i]
 	}
 	return ""
 }
 
-// LongestDeadline is how long the most patient client waits.
+// LongestDeadline returns the longest deadline of all classes.
 func (p *Platform) LongestDeadline() time.Duration {
-	var most time.Duration
+	var longest time.Duration
 	for _, k := range p.BalancerConfig.Classes {
-		most = max(most, k.Deadline)
+		longest = max(longest, k.Deadline)
 	}
-	return most
+	return longest
 }
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -1,4 +1,4 @@
-package config_test // internal/fake stands on config
+package config_test // not config, as internal/fake imports it
 
 import (
 	"strings"
@@ -9,15 +9,16 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
+// A platform's configuration with one wrong value is rejected by an error that names the setting.
 func TestParsePlatformErrorNamesSetting(t *testing.T) {
-	good := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
+	valid := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": {"instances": []}, "settings": ` + fake.PlatformSettingsJSON + "}"
-	c, err := config.ParsePlatform([]byte(good))
+	p, err := config.ParsePlatform([]byte(valid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.ClassIndex["pay"] != 2 || c.BalancerConfig.Classes[2].Semantics != balance.Unsafe || c.Seed != 0x1f {
-		t.Errorf("config %+v", c)
+	if p.ClassIndex["pay"] != 2 || p.BalancerConfig.Classes[2].Semantics != balance.Unsafe || p.Seed != 0x1f {
+		t.Errorf("platform %+v", p)
 	}
 	for _, s := range []struct{ old, new, want string }{
 		{`"seed": "1f"`, `"seed": "xyz"`, "seed"},
@@ -29,8 +30,8 @@
 		{`"settings"`, `"setting"`, "settings"},
 		{`{"name"`, `{name`, "invalid"},
 	} {
-		text := strings.Replace(good, s.old, s.new, 1)
-		if text == good {
+		text := strings.Replace(valid, s.old, s.new, 1)
+		if text == valid {
 			t.Fatalf("%s is not in the text", s.old)
 		}
 		if _, err := config.ParsePlatform([]byte(text)); err == nil || !strings.Contains(err.Error(), s.want) {
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -9,43 +9,44 @@
 	"time"
 )
 
-// The most bytes of a file: a platform's lists some ten thousand endpoints at most.
+// The longest files, in bytes. A platform's configuration lists some ten thousand endpoints at most.
 const (
 	MaxPlatformBytes = 16 << 20
 	MaxSettingsBytes = 256 << 10
 )
 
-// A file that is written in place as it is read may be torn: it is read again, so often and
-// after so long.
+// A file that is modified while it is read may be inconsistent, so it is read again.
 const (
 	maxReadRetries = 5
 	readRetryDelay = 20 * time.Millisecond
 )
 
-// ErrFileTooLarge says that a file holds more than is taken.
+// ErrFileTooLarge reports that a file is longer than allowed.
 var ErrFileTooLarge = errors.New("too long")
 
-// ErrModifiedDuringRead says that a file did not stay as it was for as long as it took to read it.
+// ErrModifiedDuringRead reports that a file was modified during every attempt to read it.
 var ErrModifiedDuringRead = errors.New("changed each time it was read: replace it by a rename")
 
-// ReadFile reads a regular file of at most so many bytes whole, as it was at one moment.
-func ReadFile(path string, most int64) ([]byte, error) {
-	for try := 0; ; try++ {
-		text, whole, err := readOnce(path, most)
-		if err != nil || whole {
+// ReadFile returns the contents of a regular file of at most maxBytes bytes. If the file is modified
+// while it is read, it is read again, up to maxReadRetries times; then the error is
+// ErrModifiedDuringRead. The error for a longer file is ErrFileTooLarge. Both are wrapped.
+func ReadFile(path string, maxBytes int64) ([]byte, error) {
+	for retries := 0; ; retries++ {
+		text, unmodified, err := readOnce(path, maxBytes)
+		if err != nil || unmodified {
 			return text, err
 		}
-		if try == maxReadRetries {
+		if retries == maxReadRetries {
 			return nil, fmt.Errorf("%s: %w", path, ErrModifiedDuringRead)
 		}
 		time.Sleep(readRetryDelay)
 	}
 }
 
-// readOnce reads a file and tells whether it stayed the same meanwhile. A file that was
-// replaced by a rename is read as it was.
-func readOnce(path string, most int64) (text []byte, whole bool, err error) {
-	// Opening a named pipe would wait for who writes to it.
+// readOnce reads a file and reports whether it was unmodified meanwhile. If the file is replaced by
+// a rename meanwhile, readOnce returns the old contents.
+func readOnce(path string, maxBytes int64) (text []byte, unmodified bool, err error) {
+	// Opening a named pipe would block until another process opens it for writing.
 	if info, err := os.Stat(path); err != nil {
 		return nil, false, err
 	} else if !info.Mode().IsRegular() {
@@ -56,29 +57,31 @@
 		return nil, false, err
 	}
 	defer f.Close()
-	text, whole, err = readAndCompare(f, most)
+	text, unmodified, err = readAndCompare(f, maxBytes)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", path, err)
 	}
-	return text, whole, err
+	return text, unmodified, err
 }
 
-func readAndCompare(f fs.File, most int64) (text []byte, whole bool, err error) {
+// readAndCompare reads an open file, and reports whether its size and modification time were the same
+// before and after, and its size that of the text.
+func readAndCompare(f fs.File, maxBytes int64) (text []byte, unmodified bool, err error) {
 	before, err := f.Stat()
 	if err != nil {
 		return nil, false, err
 	}
-	text, err = io.ReadAll(io.LimitReader(f, most+1))
+	text, err = io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err != nil {
 		return nil, false, err
 	}
-	if int64(len(text)) > most {
-		return nil, false, fmt.Errorf("%w: over %d bytes", ErrFileTooLarge, most)
+	if int64(len(text)) > maxBytes {
+		return nil, false, fmt.Errorf("%w: over %d bytes", ErrFileTooLarge, maxBytes)
 	}
 	after, err := f.Stat()
 	if err != nil {
 		return nil, false, err
 	}
-	whole = before.Size() == after.Size() && before.ModTime().Equal(after.ModTime()) && int64(len(text)) == after.Size()
-	return text, whole, nil
+	unmodified = before.Size() == after.Size() && before.ModTime().Equal(after.ModTime()) && int64(len(text)) == after.Size()
+	return text, unmodified, nil
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -11,18 +11,18 @@
 	"barleydrum.example/barleydrum/balance"
 )
 
-// Key describes a key of the operators' file.
+// Key describes a key or a table of the operators' file. Its texts are those of the tags of Settings.
 type Key struct {
 	Path                          string // such as "callers.head_time" or "class.NAME.wanted"
-	Type                          string // what its value is, in words
-	Default, UnsetMeaning         string // at most one of them is set
-	Min, Max                      string
+	Type                          string // description of the value's type, such as "a size"
+	Default, UnsetMeaning         string // both are set only if Default is "0" and stands for another value
+	Min, Max                      string // empty for no bound
 	Choices                       []string
 	Doc                           string
-	Reloadable, Required, IsTable bool // IsPart: it is a part of the file, such as [callers]
+	Reloadable, Required, IsTable bool // IsTable is for tables, such as [callers]
 }
 
-// Allowed is what a key's value may be, in words.
+// Allowed returns a description of the values that a key may have, such as "a time from 50ms to 1m".
 func (k Key) Allowed() string {
 	switch {
 	case len(k.Choices) > 0:
@@ -35,50 +35,54 @@
 	return k.Type
 }
 
-// Keys returns the schema: every part and key in the order of the file. The name of a class
-// stands as NAME.
+// Keys returns the schema: all tables and keys, in the order of the fields of Settings. Paths have NAME
+// in place of a class's name.
 func Keys() []Key {
 	return appendKeys(reflect.TypeFor[Settings](), "", nil)
 }
 
-func appendKeys(t reflect.Type, prefix string, out []Key) []Key {
-	for i := range t.NumField() {
-		f := t.Field(i)
-		if f.Tag.Get("key") == "" {
+// appendKeys appends the keys of a table's type, and of the tables in it, to keys.
+func appendKeys(table reflect.Type, prefix string, keys []Key) []Key {
+	for i := range table.NumField() {
+		field := table.Field(i)
+		if field.Tag.Get("key") == "" {
 			continue
 		}
-		k := keyFromField(f)
+		k := keyFromField(field)
 		k.Path = prefix + k.Path
-		part := f.Type
-		if part.Kind() == reflect.Map {
+		valueType := field.Type
+		if valueType.Kind() == reflect.Map {
 			k.Path += ".NAME"
-			part = part.Elem().Elem()
+			valueType = valueType.Elem().Elem()
 		}
-		k.IsTable = part.Kind() == reflect.Struct
-		out = append(out, k)
+		k.IsTable = valueType.Kind() == reflect.Struct
+		keys = append(keys, k)
 		if k.IsTable {
-			out = appendKeys(part, k.Path+".", out)
+			keys = appendKeys(valueType, k.Path+".", keys)
 		}
 	}
-	return out
+	return keys
 }
 
-// keyFromField reads a field's tags.
+// keyFromField returns the description of a field's key by its tags. Path is without the table's path,
+// and IsTable is not set.
 func keyFromField(f reflect.StructField) Key {
 	k := Key{
 		Path: f.Tag.Get("key"), Doc: f.Tag.Get("doc"), Default: f.Tag.Get("default"), UnsetMeaning: f.Tag.Get("unset"),
 		Min: f.Tag.Get("min"), Max: f.Tag.Get("max"),
 		Reloadable: f.Tag.Get("reload") == "live", Required: f.Tag.Get("required") != "", Type: typeName(f),
 	}
-	if words := f.Tag.Get("choices"); words != "" {
-		k.Choices = strings.Split(words, ",")
+	if choices := f.Tag.Get("choices"); choices != "" {
+		k.Choices = strings.Split(choices, ",")
 	}
 	return k
 }
 
+// The types of settings whose values are strings with a unit.
 var durationType, sizeType = reflect.TypeFor[time.Duration](), reflect.TypeFor[Size]()
 
-// typeName says what a field's value is.
+// typeName returns the description of the type of a field's value, see [Key]. drumctl config write compares
+// these texts to decide how to write a value, so they must not change.
 func typeName(f reflect.StructField) string {
 	t := f.Type
 	if t.Kind() == reflect.Pointer {
@@ -106,88 +110,89 @@
 	return "a part of the file"
 }
 
-// fieldByKey returns the field of a part with a key.
-func fieldByKey(part reflect.Type, key string) (reflect.StructField, bool) {
-	for i := range part.NumField() {
-		if f := part.Field(i); f.Tag.Get("key") == key && key != "" {
+// fieldByKey returns the field of a table's type that has a key.
+func fieldByKey(table reflect.Type, key string) (reflect.StructField, bool) {
+	for i := range table.NumField() {
+		if f := table.Field(i); f.Tag.Get("key") == key && key != "" {
 			return f, true
 		}
 	}
 	return reflect.StructField{}, false
 }
 
-// keyNames returns the keys of a part.
-func keyNames(part reflect.Type) []string {
-	var out []string
-	for i := range part.NumField() {
-		if key := part.Field(i).Tag.Get("key"); key != "" {
-			out = append(out, key)
+// keyNames returns the keys of a table's type.
+func keyNames(table reflect.Type) []string {
+	var keys []string
+	for i := range table.NumField() {
+		if key := table.Field(i).Tag.Get("key"); key != "" {
+			keys = append(keys, key)
 		}
 	}
-	return out
+	return keys
 }
 
-// setScalar reads a value from its text, as a default or a bound is written, into a field.
-func setScalar(to reflect.Value, text string) error {
+// setScalar parses text, which is written as in a default or min tag, and sets target to its value.
+func setScalar(target reflect.Value, text string) error {
 	switch {
-	case to.Type() == durationType:
+	case target.Type() == durationType:
 		d, err := parseDuration(text)
-		to.SetInt(int64(d))
+		target.SetInt(int64(d))
 		return err
-	case to.Type() == sizeType:
+	case target.Type() == sizeType:
 		s, err := ParseSize(text)
-		to.SetInt(int64(s))
+		target.SetInt(int64(s))
 		return err
-	case to.Kind() == reflect.Int:
+	case target.Kind() == reflect.Int:
 		n, err := strconv.Atoi(text)
-		to.SetInt(int64(n))
+		target.SetInt(int64(n))
 		return err
-	case to.Kind() == reflect.Float64:
+	case target.Kind() == reflect.Float64:
 		v, err := strconv.ParseFloat(text, 64)
-		to.SetFloat(v)
+		target.SetFloat(v)
 		return err
-	case to.Kind() == reflect.String:
-		to.SetString(text)
+	case target.Kind() == reflect.String:
+		target.SetString(text)
 		return nil
 	}
-	return fmt.Errorf("no text for a %s", to.Type())
+	return fmt.Errorf("%s can't be set from text", target.Type())
 }
 
-// setDefaults sets what a part's fields are where a file leaves them out. The tags are the
-// program's own: a bad one is found by the tests.
-func setDefaults(part reflect.Value) {
-	for i := range part.NumField() {
-		f, v := part.Type().Field(i), part.Field(i)
-		if text := f.Tag.Get("default"); text != "" {
-			if err := setScalar(v, text); err != nil {
-				panic(fmt.Sprintf("config: default of %s: %v", f.Name, err))
+// setDefaults sets the fields of a table, and of the tables in it, to their defaults. It panics if a
+// default tag is not valid, which the tests rule out.
+func setDefaults(table reflect.Value) {
+	for i := range table.NumField() {
+		field, value := table.Type().Field(i), table.Field(i)
+		if text := field.Tag.Get("default"); text != "" {
+			if err := setScalar(value, text); err != nil {
+				panic(fmt.Sprintf("config: default of %s: %v", field.Name, err))
 			}
-		} else if v.Kind() == reflect.Struct {
-			setDefaults(v)
+		} else if value.Kind() == reflect.Struct {
+			setDefaults(value)
 		}
 	}
 }
 
-// DefaultSettings returns the settings of a program that is given no file.
+// DefaultSettings returns the settings that apply if there is no operators' file.
 func DefaultSettings() *Settings {
 	s := &Settings{SchemaVersion: SchemaVersion}
 	setDefaults(reflect.ValueOf(s).Elem())
 	return s
 }
 
-// inRange tells whether a value is within its field's bounds.
+// inRange reports whether a value is within the bounds of its key, which are inclusive. It panics if a
+// bound is not valid, which the tests rule out.
 func inRange(v reflect.Value, k Key) bool {
 	bound := func(text string) reflect.Value {
-		to := reflect.New(v.Type()).Elem()
-		if err := setScalar(to, text); err != nil {
+		limit := reflect.New(v.Type()).Elem()
+		if err := setScalar(limit, text); err != nil {
 			panic(fmt.Sprintf("config: bound of %s: %v", k.Path, err))
 		}
-		return to
+		return limit
 	}
-	compare := func(x, y reflect.Value) int {
+	compare := func(x, y reflect.Value) int { // -1 if x < y, else 1
 		switch {
 		case v.Kind() == reflect.Float64:
-			if !(x.Float() >= y.Float()) { // NaN is under all bounds
+			if !(x.Float() >= y.Float()) { // NaN counts as below any bound
 				return -1
 			}
 			return 1
@@ -202,45 +207,47 @@
 	return k.Max == "" || compare(bound(k.Max), v) > 0
 }
 
-// KeyPosition returns where a file gives a key, such as "callers.head_time".
+// KeyPosition returns the position at which the file gives a key, such as "callers.head_time", and
+// whether it gives it.
 func (s *Settings) KeyPosition(path string) (Position, bool) {
-	at, ok := s.keyPositions[path]
-	return at, ok
+	position, ok := s.keyPositions[path]
+	return position, ok
 }
 
-// Value is a key's value in effect.
+// Value is the value of a key that is in effect. Text is the value as the file would write it.
 type Value struct {
 	Path, Text string
 	Reloadable bool
 }
 
-// Values lists the values in effect, defaults and all; what is neither given nor has a default
-// is left out. Two files with the same values have the same effect.
+// Values returns the values in effect, including defaults, but not keys that are neither given nor have
+// a default. Two files with the same values have the same effect.
 func (s *Settings) Values() []Value {
 	return appendValues(reflect.ValueOf(s).Elem(), "", nil)
 }
 
-func appendValues(part reflect.Value, prefix string, out []Value) []Value {
-	for i := range part.NumField() {
-		f, v := part.Type().Field(i), part.Field(i)
+// appendValues appends the values in effect of a table, and of the tables in it, to values.
+func appendValues(table reflect.Value, prefix string, values []Value) []Value {
+	for i := range table.NumField() {
+		f, v := table.Type().Field(i), table.Field(i)
 		key := f.Tag.Get("key")
 		switch {
 		case key == "":
 		case v.Kind() == reflect.Struct:
-			out = appendValues(v, prefix+key+".", out)
+			values = appendValues(v, prefix+key+".", values)
 		case v.Kind() == reflect.Map:
 			for _, name := range sortedKeys(v) {
-				out = appendValues(v.MapIndex(reflect.ValueOf(name)).Elem(), prefix+key+"."+quoteKey(name)+".", out)
+				values = appendValues(v.MapIndex(reflect.ValueOf(name)).Elem(), prefix+key+"."+quoteKey(name)+".", values)
 			}
 		case v.Kind() == reflect.Pointer && v.IsNil(), f.Tag.Get("default") == "" && v.IsZero():
 		default:
-			out = append(out, Value{prefix + key, formatValue(v), f.Tag.Get("reload") == "live"})
+			values = append(values, Value{prefix + key, formatValue(v), f.Tag.Get("reload") == "live"})
 		}
 	}
-	return out
+	return values
 }
 
-// formatValue writes a value as the file does.
+// formatValue returns a value as the file would write it, and a value of the balancer by the file's word.
 func formatValue(v reflect.Value) string {
 	if v.Kind() == reflect.Pointer {
 		v = v.Elem()
@@ -276,10 +283,10 @@
 	return cmp.Or(field.Tag.Get("name"), field.Name)
 }
 
-// Values lists what a platform's configuration says, by the printed names of its fields. Its list of
-// endpoints and its seed are left out: they differ with every start.
+// Values returns the values of a platform's configuration that are not zero, by the printed names of
+// their fields. The list of endpoints and the seed are not included: they differ at every start.
 func (p *Platform) Values() []Value {
-	var out []Value
+	var values []Value
 	var walk func(v reflect.Value, path string)
 	walk = func(v reflect.Value, path string) {
 		switch {
@@ -292,7 +299,7 @@
 				walk(v.Index(i), fmt.Sprintf("%s[%s]", path, cmp.Or(v.Index(i).FieldByName("Name").String(), strconv.Itoa(i))))
 			}
 		case !v.IsZero():
-			out = append(out, Value{Path: strings.TrimPrefix(path, "."), Text: formatValue(v)})
+			values = append(values, Value{Path: strings.TrimPrefix(path, "."), Text: formatValue(v)})
 		}
 	}
 	walk(reflect.ValueOf(struct {
@@ -301,5 +308,5 @@
 		Zones, Layers           []string
 		Settings                balance.Config
 	}{p.Name, p.ListenAddress, p.DiscoveryAddress, p.Limits, p.Zones, p.Tiers, p.BalancerConfig}), "")
-	return out
+	return values
 }
--- a/internal/config/schema_test.go
+++ b/internal/config/schema_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// setNonzero sets every scalar in v to a value that is not zero, and gives every slice and map in v one element.
+// setNonzero sets every scalar in v to a nonzero value, and every slice and map in v to one element.
 func setNonzero(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Operators and their tools read these paths in the output of drumctl config diff: a Go field that is renamed
-// without a name tag would change them.
+// Operators and their tools read these paths in the output of drumctl config diff. A Go field that is
+// renamed without a name tag would change them.
 func TestPlatformValuesKeepPrintedPaths(t *testing.T) {
 	var p Platform
 	setNonzero(t, reflect.ValueOf(&p).Elem())
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -38,7 +38,8 @@
 retries = 0
 `
 
-// Without a file the program does what it did when these figures stood in its code.
+// Guards the defaults: a changed one would change the behavior of every deployment that does not set
+// the key.
 func TestDefaultSettings(t *testing.T) {
 	s := DefaultSettings()
 	for _, c := range []struct{ got, want any }{
@@ -57,18 +58,19 @@
 			t.Errorf("%v, want %v", c.got, c.want)
 		}
 	}
-	c := Merge(&Platform{Limits: Limits{Sockets: 1024}}, s)
-	if c.MaxCallerConnections() != 341 || c.MaxEndpointConnections() != 659 || c.ConnectTimeout() != 250*time.Millisecond || c.KeepAliveTimeout() != 10*time.Second {
-		t.Errorf("%d and %d connections, %v, %v", c.MaxCallerConnections(), c.MaxEndpointConnections(), c.ConnectTimeout(), c.KeepAliveTimeout())
+	merged := Merge(&Platform{Limits: Limits{Sockets: 1024}}, s)
+	if merged.MaxCallerConnections() != 341 || merged.MaxEndpointConnections() != 659 || merged.ConnectTimeout() != 250*time.Millisecond || merged.KeepAliveTimeout() != 10*time.Second {
+		t.Errorf("%d and %d connections, %v, %v", merged.MaxCallerConnections(), merged.MaxEndpointConnections(), merged.ConnectTimeout(), merged.KeepAliveTimeout())
 	}
 }
 
-// Every key says all that the reference and the template need.
+// Every key has the tags that the reference page, the template and the decoder need, and a default
+// that is within its range.
 func TestSchemaTagsAreComplete(t *testing.T) {
 	seen := make(map[string]bool)
 	for _, k := range Keys() {
 		if seen[k.Path] || k.Doc == "" || !strings.HasSuffix(k.Doc, ".") {
-			t.Errorf("%s: twice, or without a sentence on it", k.Path)
+			t.Errorf("%s: the path occurs twice, or doc is not a sentence", k.Path)
 		}
 		seen[k.Path] = true
 		if k.IsTable {
@@ -78,10 +80,10 @@
 			t.Errorf("%s: no type", k.Path)
 		}
 		if k.Default != "" && k.UnsetMeaning != "" && k.Default != "0" {
-			t.Errorf("%s: a default, and a word on being left out", k.Path)
+			t.Errorf("%s: default and unset exclude each other, but for default 0", k.Path)
 		}
 		if k.Default == "" && k.UnsetMeaning == "" && !k.Required && !strings.HasPrefix(k.Type, "a list") {
-			t.Errorf("%s: nothing says what leaving it out means", k.Path)
+			t.Errorf("%s: neither default, unset nor required is set", k.Path)
 		}
 	}
 	var walk func(v reflect.Value)
@@ -91,7 +93,7 @@
 			if f.Type.Kind() == reflect.Struct {
 				walk(v.Field(i))
 			} else if k := keyFromField(f); k.Default != "" && !inRange(v.Field(i), k) {
-				t.Errorf("%s: its default is not allowed", k.Path)
+				t.Errorf("%s: the default is out of range", k.Path)
 			}
 			if r := f.Tag.Get("reload"); f.Tag.Get("key") != "" && r != "live" && r != "restart" &&
 				f.Type.Kind() != reflect.Struct && f.Type.Kind() != reflect.Map {
@@ -103,34 +105,37 @@
 	walk(reflect.ValueOf(new(Class)).Elem())
 }
 
+// The forms that editors and TOML allow (line endings, a byte order mark, lists over several lines,
+// inline tables, dotted keys) are read as the same values, at the right positions.
 func TestParseSettingsAcceptsValidFiles(t *testing.T) {
 	for name, text := range map[string]string{
 		"plain": validSettings, "CRLF": strings.ReplaceAll(validSettings, "\n", "\r\n"), "byte order mark": "\ufeff" + validSettings,
 		"long list": strings.Replace(validSettings, "[callers]\nhead_time = \"1s\"\nalso_listen = [\"127.0.0.1:9001\", \"[::1]:9000\"]\n",
 			"", 1) + "[callers]\nhead_time = \"1s\"\nalso_listen = [\n \"127.0.0.1:9001\", # one\n \"[::1]:9000\",\n]\n",
 	} {
-		s, bad := ParseSettings("f", []byte(text))
-		if len(bad) > 0 {
-			t.Errorf("%s: %v", name, bad)
+		s, findings := ParseSettings("f", []byte(text))
+		if len(findings) > 0 {
+			t.Errorf("%s: %v", name, findings)
 			continue
 		}
-		k := s.Classes["place-order"]
-		if s.Callers.HeadTimeout != time.Second || len(s.Callers.ExtraListenAddresses) != 2 || k == nil || k.TargetLatency != 1540*time.Millisecond ||
-			k.Semantics != "keyed" || k.MaxRetries == nil || *k.MaxRetries != 0 || k.Hedging == nil || !*k.Hedging {
+		class := s.Classes["place-order"]
+		if s.Callers.HeadTimeout != time.Second || len(s.Callers.ExtraListenAddresses) != 2 || class == nil || class.TargetLatency != 1540*time.Millisecond ||
+			class.Semantics != "keyed" || class.MaxRetries == nil || *class.MaxRetries != 0 || class.Hedging == nil || !*class.Hedging {
 			t.Errorf("%s: %+v", name, s)
 		}
-		if at, ok := s.KeyPosition("class.place-order.wanted"); name == "CRLF" && (!ok || at != (Position{14, 1})) {
-			t.Errorf("%s: wanted is at %v", name, at)
+		if position, ok := s.KeyPosition("class.place-order.wanted"); name == "CRLF" && (!ok || position != (Position{14, 1})) {
+			t.Errorf("%s: position of wanted: %v", name, position)
 		}
 	}
 	text := "schema = 1\napplication = { name = \"a\" }\nclass.x = { wanted = \"1s\" }\nclass.y.wanted = \"2s\"\nlimits.cores = 1\n"
-	s, bad := ParseSettings("f", []byte(text))
-	if len(bad) > 0 || s.Classes["x"].TargetLatency != time.Second || s.Classes["y"].TargetLatency != 2*time.Second || s.Limits.Cores != 1 {
-		t.Errorf("%v %+v", bad, s)
+	s, findings := ParseSettings("f", []byte(text))
+	if len(findings) > 0 || s.Classes["x"].TargetLatency != time.Second || s.Classes["y"].TargetLatency != 2*time.Second || s.Limits.Cores != 1 {
+		t.Errorf("%v %+v", findings, s)
 	}
 }
 
-// All that is wrong is said at once, each with its place, what was found and what is allowed.
+// All errors of a file are reported at once, each with its position, the value found and the values
+// allowed.
 func TestParseSettingsReportsAllErrors(t *testing.T) {
 	text := `schema = 1
 [application]
@@ -158,7 +163,7 @@
 [[fleet]]
 zone = "a"
 `
-	_, bad := ParseSettings("f.toml", []byte(text))
+	_, findings := ParseSettings("f.toml", []byte(text))
 	want := []string{
 		"f.toml:3:8: refused [wrong-type] application.name: found 5; allowed: a name, in quotes",
 		"f.toml:4:1: refused [unknown-key] application.nmae: found nmae; allowed: name, tier, calls, listen, discovery; mend: did you mean name?",
@@ -180,21 +185,22 @@
 		"f.toml:22:2: refused [duplicate] callers: found given again, first in line 5; allowed: once",
 		"f.toml:24:3: refused [wrong-type] fleet: found a table; allowed: a part of the file",
 	}
-	for i := range max(len(bad), len(want)) {
-		var g, w string
-		if i < len(bad) {
-			g = bad[i].String()
+	for i := range max(len(findings), len(want)) {
+		var got, wanted string
+		if i < len(findings) {
+			got = findings[i].String()
 		}
 		if i < len(want) {
-			w = want[i]
+			wanted = want[i]
 		}
-		if g != w {
-			t.Errorf("finding %d:\n got %s\nwant %s", i, g, w)
+		if got != wanted {
+			t.Errorf("finding %d:\n got %s\nwant %s", i, got, wanted)
 		}
 	}
 }
 
-// What a hostile or broken file may hold is refused, by the right rule, and does no harm.
+// A file that is too long, too deeply nested, wrongly encoded or otherwise malformed is refused by the
+// right rule, with a bounded number of findings, and neither crashes nor blocks the decoder.
 func TestParseSettingsRejectsHostileText(t *testing.T) {
 	for name, c := range map[string]struct{ text, rule string }{
 		"10 MB":           {strings.Repeat("# long\n", 10<<20/7), RuleUnreadable},
@@ -217,16 +223,17 @@
 		"JSON":            {`{"schema": 1}`, RuleSyntax},
 		"binary":          {"\x7fELF\x02\x01\x01", RuleSyntax},
 	} {
-		_, bad := ParseSettings("f", []byte(c.text))
-		if len(bad) == 0 || len(bad) > maxFindings || bad[0].Rule != c.rule {
-			t.Errorf("%s: %.200v, want %s", name, bad, c.rule)
+		_, findings := ParseSettings("f", []byte(c.text))
+		if len(findings) == 0 || len(findings) > maxFindings || findings[0].Rule != c.rule {
+			t.Errorf("%s: %.200v, want %s", name, findings, c.rule)
 		}
-		if c.rule == RuleSchemaVersion && (len(bad) != 1 || !strings.Contains(bad[0].String(), "newer program")) {
-			t.Errorf("%s: %v", name, bad)
+		if c.rule == RuleSchemaVersion && (len(findings) != 1 || !strings.Contains(findings[0].String(), "newer program")) {
+			t.Errorf("%s: %v", name, findings)
 		}
 	}
 }
 
+// manyClasses returns the headers of n classes.
 func manyClasses(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -235,15 +242,16 @@
 	return b.String()
 }
 
-// After an error of syntax the rest is still looked at, from the next table on.
+// After a syntax error, the file is still checked from the next table header on, so that one mistake
+// does not hide others.
 func TestParseSettingsContinuesAfterSyntaxError(t *testing.T) {
-	_, bad := ParseSettings("f", []byte("schema = 1\n[callers]\nhead_time = = 1\nidle_time = 1\n[probe]\npath = \"load\"\n"))
-	if len(bad) != 2 || bad[0].Rule != RuleSyntax || bad[0].Line != 3 || bad[1].Key != "probe.path" || bad[1].Line != 6 {
-		t.Errorf("%v", bad)
+	_, findings := ParseSettings("f", []byte("schema = 1\n[callers]\nhead_time = = 1\nidle_time = 1\n[probe]\npath = \"load\"\n"))
+	if len(findings) != 2 || findings[0].Rule != RuleSyntax || findings[0].Line != 3 || findings[1].Key != "probe.path" || findings[1].Line != 6 {
+		t.Errorf("%v", findings)
 	}
 }
 
-// modifiedFile is a file that changes while it is read.
+// modifiedFile is a file that changes while it is read: each call of Stat returns the next of infos.
 type modifiedFile struct {
 	fs.File
 	infos []fs.FileInfo
@@ -255,7 +263,8 @@
 	return info, nil
 }
 
-// A file that is written in place as it is read is not taken: it may be torn.
+// A file that another process writes in place while it is read can be half old and half new. It shows
+// in the file's size or modification time.
 func TestReadDetectsModificationDuringRead(t *testing.T) {
 	now := time.Now()
 	files := fstest.MapFS{"f": {Data: []byte("half"), ModTime: now}, "longer": {Data: []byte("half and half"), ModTime: now},
@@ -269,20 +278,21 @@
 	}
 	for _, c := range []struct {
 		before, after string
-		whole         bool
+		unmodified    bool
 	}{{"f", "f", true}, {"f", "longer", false}, {"longer", "f", false}, {"f", "later", false}, {"longer", "longer", false}} {
 		f, err := files.Open("f")
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, whole, err := readAndCompare(&modifiedFile{f, []fs.FileInfo{stat(c.before), stat(c.after)}}, 100)
-		if err != nil || whole != c.whole || string(text) != "half" {
-			t.Errorf("%s then %s: %q, whole %v, %v", c.before, c.after, text, whole, err)
+		text, unmodified, err := readAndCompare(&modifiedFile{f, []fs.FileInfo{stat(c.before), stat(c.after)}}, 100)
+		if err != nil || unmodified != c.unmodified || string(text) != "half" {
+			t.Errorf("%s then %s: %q, unmodified %v, %v", c.before, c.after, text, unmodified, err)
 		}
 	}
 }
 
-// A file that is replaced by renames is always read whole, as one or the other.
+// A file that is replaced by a rename while it is read must be returned as it was before or after, never
+// as a mix of both and never as an error.
 func TestReadFileIsConsistentDuringRenames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	texts := [2][]byte{bytes.Repeat([]byte("a"), 50_000), bytes.Repeat([]byte("b"), 70_000)}
@@ -315,34 +325,35 @@
 	<-done
 }
 
+// A missing file, a directory and a file that is too long are each reported as one finding with the reason.
 func TestLoadSettingsReportsUnreadableFile(t *testing.T) {
 	dir := t.TempDir()
-	long := filepath.Join(dir, "long")
-	if err := os.WriteFile(long, make([]byte, 10<<20), 0o600); err != nil {
+	longFile := filepath.Join(dir, "long")
+	if err := os.WriteFile(longFile, make([]byte, 10<<20), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for name, want := range map[string]string{
-		filepath.Join(dir, "none"): "no such file", dir: "not a regular file", long: "too long",
+	for path, want := range map[string]string{
+		filepath.Join(dir, "none"): "no such file", dir: "not a regular file", longFile: "too long",
 	} {
-		if _, bad := LoadSettings(name); len(bad) != 1 || bad[0].Rule != RuleUnreadable || !strings.Contains(bad[0].Found, want) {
-			t.Errorf("%s: %v", name, bad)
+		if _, findings := LoadSettings(path); len(findings) != 1 || findings[0].Rule != RuleUnreadable || !strings.Contains(findings[0].Found, want) {
+			t.Errorf("%s: %v", path, findings)
 		}
 	}
 }
 
-// A file as it is written says what the settings do.
+// A written file that is read again has the same values in effect, and it contains every key.
 func TestFormatSettingsRoundTrip(t *testing.T) {
-	s, bad := ParseSettings("f", []byte(validSettings))
-	if len(bad) > 0 {
-		t.Fatal(bad)
+	s, findings := ParseSettings("f", []byte(validSettings))
+	if len(findings) > 0 {
+		t.Fatal(findings)
 	}
 	text := FormatSettings(s)
-	again, bad := ParseSettings("again", text)
-	if len(bad) > 0 {
-		t.Fatalf("%v\n%s", bad, text)
+	reread, findings := ParseSettings("again", text)
+	if len(findings) > 0 {
+		t.Fatalf("%v\n%s", findings, text)
 	}
-	if d := Diff(s.Values(), again.Values()); len(d) > 0 {
-		t.Errorf("written and read again: %v", d)
+	if changes := Diff(s.Values(), reread.Values()); len(changes) > 0 {
+		t.Errorf("written and read again: %v", changes)
 	}
 	for _, k := range Keys() {
 		if name := k.Path[strings.LastIndex(k.Path, ".")+1:]; !k.IsTable && !bytes.Contains(text, []byte("\n"+name+" =")) &&
@@ -352,22 +363,25 @@
 	}
 }
 
+// Other units, and a default that is given, are no changes.
 func TestDiffComparesEffectiveValues(t *testing.T) {
-	read := func(text string) []Value {
-		s, bad := ParseSettings("f", []byte(text))
-		if len(bad) > 0 {
-			t.Fatal(bad)
+	parse := func(text string) []Value {
+		s, findings := ParseSettings("f", []byte(text))
+		if len(findings) > 0 {
+			t.Fatal(findings)
 		}
 		return s.Values()
 	}
-	other := strings.NewReplacer(`"1540ms"`, `"1.54s"`, `"1s"`, `"1000ms"`, "retries = 0", "retries = 1").Replace(validSettings)
-	other = strings.Replace(other, "second_copies = true\n", "", 1) + "[probe]\ntime = \"250ms\"\n"
-	got := fmt.Sprint(Diff(read(validSettings), read(other)))
+	changed := strings.NewReplacer(`"1540ms"`, `"1.54s"`, `"1s"`, `"1000ms"`, "retries = 0", "retries = 1").Replace(validSettings)
+	changed = strings.Replace(changed, "second_copies = true\n", "", 1) + "[probe]\ntime = \"250ms\"\n"
+	got := fmt.Sprint(Diff(parse(validSettings), parse(changed)))
 	if want := "[class.place-order.retries: 0 -> 1 class.place-order.second_copies: true -> (not set)]"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
 
+// Every size and time that is written is read as the same value, and texts that are not sizes are
+// rejected.
 func TestSizeAndDurationRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := Size(rapid.Int64Range(0, 1<<50).Draw(t, "size"))
@@ -386,27 +400,28 @@
 	}
 }
 
-// Whatever the text, reading ends with settings or with findings that have a place in it.
+// Any text is either read as settings, which survive being written and read again and agree with
+// another TOML parser, or refused by findings of one line each that lie within the text.
 func FuzzParseSettings(f *testing.F) {
 	f.Add([]byte(validSettings))
 	f.Add(FormatSettings(DefaultSettings()))
 	f.Add([]byte("schema = 1\n[class.a]\nwanted = { x = [1, { y = 2 }] }\n[[callers]]\n"))
 	f.Add([]byte("class.\"\\u0000\".wanted = '''\n\n'''\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		s, bad := ParseSettings("f", text)
+		s, findings := ParseSettings("f", text)
 		lines := bytes.Count(text, []byte("\n")) + 1
-		for _, b := range bad {
-			if b.Rule == "" || b.Level != LevelRefused || b.Line > lines || b.Found == "" || strings.ContainsAny(b.String(), "\n\x00") {
-				t.Errorf("%+v", b)
+		for _, finding := range findings {
+			if finding.Rule == "" || finding.Level != LevelRefused || finding.Line > lines || finding.Found == "" || strings.ContainsAny(finding.String(), "\n\x00") {
+				t.Errorf("%+v", finding)
 			}
 		}
-		if len(bad) > 0 {
+		if len(findings) > 0 {
 			return
 		}
 		checkSameKeysAsBurntSushi(t, "f", text, s)
-		again, bad := ParseSettings("again", FormatSettings(s))
-		if len(bad) > 0 || len(Diff(s.Values(), again.Values())) > 0 {
-			t.Errorf("written and read again: %v %v\n%s", bad, Diff(s.Values(), again.Values()), FormatSettings(s))
+		reread, findings := ParseSettings("again", FormatSettings(s))
+		if len(findings) > 0 || len(Diff(s.Values(), reread.Values())) > 0 {
+			t.Errorf("written and read again: %v %v\n%s", findings, Diff(s.Values(), reread.Values()), FormatSettings(s))
 		}
 	})
 }
