--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -14,54 +14,54 @@
 
 // Why a connection is ended from this side; any other reason is the error of a read or write.
 var (
-	errEvicted  = errors.New("closed to make room for another")
-	errAnswered = errors.New("closed after its last answer")
-	errBroken   = errors.New("closed within an answer that broke off")
-	errRefused  = errors.New("closed after a request that can't be used")
-	errDraining = errors.New("closed by the shutdown")
-	errHijacked = errors.New("handed over")
+	errEvicted            = errors.New("closed to make room for another")
+	errLastResponseSent   = errors.New("closed after its last answer")
+	errResponseIncomplete = errors.New("closed within an answer that broke off")
+	errRequestRejected    = errors.New("closed after a request that can't be used")
+	errShuttingDown       = errors.New("closed by the shutdown")
+	errHijacked           = errors.New("handed over")
 )
 
 // The end of a connection on which more may come: it is read for a while, so that the answer
 // is not lost to a reset. One that sends on and on is not read for ever, and ends once it has
 // the answer, which is looked for now and then.
 const (
-	lingerTime  = 500 * time.Millisecond
-	lingerBytes = 1 << 20
-	lingerLook  = 5 * time.Millisecond
+	lingerTimeout      = 500 * time.Millisecond
+	maxLingerBytes     = 1 << 20
+	lingerPollInterval = 5 * time.Millisecond
 )
 
-// serve serves a connection until it ends.
-func (d *Server) serve(c *conn) {
+// serveConn serves a connection until it ends.
+func (d *Server) serveConn(c *conn) {
 	defer func() {
 		if fault := recover(); fault != nil { // one request's, which the others outlive
 			slog.Error("door: panic", "fault", fault, "stack", string(debug.Stack()))
-			d.answerPanic(c)
+			d.respondToPanic(c)
 		}
 		if !c.hijacked {
 			c.Close()
-			d.forget(c)
+			d.releaseConn(c)
 		}
 	}()
 	var reason error
 	for reason == nil {
-		reason = d.next(c)
+		reason = d.serveRequest(c)
 	}
 	d.logClose(c, reason)
 	if c.buf != nil {
-		d.bufs.Put(c.buf)
+		d.readBuffers.Put(c.buf)
 	}
 }
 
-// answerPanic answers a request whose handler has panicked, unless part of an answer has gone out.
-func (d *Server) answerPanic(c *conn) {
-	x := &c.x
-	if !c.owed || c.hijacked || x.owned == nil || x.flow.begun {
+// respondToPanic answers a request whose handler has panicked, unless part of an answer has gone out.
+func (d *Server) respondToPanic(c *conn) {
+	x := &c.exchange
+	if !c.responsePending || c.hijacked || x.pooledBuffer == nil || x.stream.started {
 		return
 	}
 	x.Close = true
 	x.Respond(500, "text/plain; charset=utf-8", nil, []byte("failed\n"))
-	if d.write(c) == nil {
+	if d.writeResponse(c) == nil {
 		d.linger(c)
 	}
 }
@@ -70,9 +70,9 @@
 // warning unless its caller has gone.
 func (d *Server) logClose(c *conn, reason error) {
 	level, message := slog.LevelDebug, "connection closed"
-	gone := d.gone(c)
+	gone := d.callerDisconnected(c)
 	var id []byte
-	if c.owed {
+	if c.responsePending {
 		message = "connection closed with no whole answer"
 		id, _ = c.head.Get("X-Request-ID") // the head is held until its answer is out
 		if !gone {
@@ -80,125 +80,125 @@
 		}
 	}
 	if ctx := context.Background(); slog.Default().Enabled(ctx, level) {
-		slog.Log(ctx, level, message, "connection", c.number, "reason", reason, "answered", c.answered,
-			"request", string(id), "caller gone", gone, "open", time.Since(c.opened))
+		slog.Log(ctx, level, message, "connection", c.id, "reason", reason, "answered", c.responseCount,
+			"request", string(id), "caller gone", gone, "open", time.Since(c.openedAt))
 	}
 }
 
-// next serves one request. An error ends the connection.
-func (d *Server) next(c *conn) error {
+// serveRequest serves one request. An error ends the connection.
+func (d *Server) serveRequest(c *conn) error {
 	if c.buf == nil {
-		if err := d.rest(c); err != nil {
+		if err := d.waitForRequest(c); err != nil {
 			return err
 		}
-		c.arrived = c.came
+		c.receivedAt = c.earliestArrivalAt
 	}
-	c.first = c.arrived
-	n, err := d.head(c)
+	c.requestStartedAt = c.receivedAt
+	n, err := d.readHead(c)
 	if err != nil {
 		return err
 	}
-	c.x.HandlerState, c.x.Streaming = nil, false
-	if r := d.cfg.Handler.CheckHead(&c.x); r != nil {
-		return d.refuse(c, r)
+	c.exchange.HandlerState, c.exchange.Streaming = nil, false
+	if r := d.cfg.Handler.CheckHead(&c.exchange); r != nil {
+		return d.reject(c, r)
 	}
-	if c.x.Streaming {
-		return d.flows(c, n)
+	if c.exchange.Streaming {
+		return d.serveStreaming(c, n)
 	}
 	if c.head.Framing() == http1.Chunked {
-		return d.chunked(c, n)
+		return d.serveChunked(c, n)
 	}
 	whole := n + int(max(c.head.ContentLength(), 0))
 	if c.buf.Len() < whole {
-		if err := d.body(c, whole); err != nil {
+		if err := d.readBody(c, whole); err != nil {
 			return err
 		}
 	}
 	text := c.buf.Bytes()
 	c.head.Rebase(text)
-	d.reached(c, taken, c.read)
-	return d.answer(c, text[n:whole], whole)
+	d.setStage(c, stageServing, c.lastReadAt)
+	return d.serveBuffered(c, text[n:whole], whole)
 }
 
-// rest waits for the first bytes of a request: on a connection at rest for as long as one may be idle,
+// waitForRequest waits for the first bytes of a request: on a connection at rest for as long as one may be idle,
 // on a new one for as long as a head may take. What has come by the end of that time, or as the
 // connection is asked to end, is read: only a connection with nothing unread ends at rest.
-func (d *Server) rest(c *conn) error {
+func (d *Server) waitForRequest(c *conn) error {
 	times := d.cfg.Timeouts()
 	wait := times.Idle
-	if c.arrived.IsZero() {
+	if c.receivedAt.IsZero() {
 		wait = times.Head
 	}
-	d.allow(c, c.since.Add(wait))
+	d.setReadDeadline(c, c.idleSince.Add(wait))
 	err := d.fill(c)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	if c.ReadWouldBlock() {
-		return cmp.Or(d.asked(c), err)
+		return cmp.Or(d.closeReason(c), err)
 	}
 	c.SetReadDeadline(time.Time{}) // there is something to read, so that nothing is waited for
 	return d.fill(c)
 }
 
-// head reads a request's head and returns how long it is.
-func (d *Server) head(c *conn) (n int, err error) {
+// readHead reads a request's head and returns how long it is.
+func (d *Server) readHead(c *conn) (n int, err error) {
 	c.head.Reset()
 	n, err = c.head.Parse(c.buf.Bytes())
 	for began := false; n == 0 && err == nil; began = true {
 		if !began {
-			d.reached(c, partial, time.Now())
+			d.setStage(c, stageReading, time.Now())
 			times := d.cfg.Timeouts()
-			d.allow(c, later(c.began().Add(times.Head), c.read.Add(times.Body)))
+			d.setReadDeadline(c, later(c.timerStartedAt().Add(times.Head), c.lastReadAt.Add(times.Body)))
 		}
 		if err := d.fill(c); err != nil {
-			return 0, d.cutOff(c, err, nil)
+			return 0, d.abortRequest(c, err, nil)
 		}
-		c.arrived = c.came
+		c.receivedAt = c.earliestArrivalAt
 		n, err = c.head.Parse(c.buf.Bytes())
 	}
 	if err != nil {
-		return 0, d.refuse(c, errorResponse(err))
+		return 0, d.reject(c, errorResponse(err))
 	}
 	return n, nil
 }
 
-// body waits for the rest of a request.
-func (d *Server) body(c *conn, whole int) error {
-	if err := d.expectBody(c); err != nil {
+// readBody waits for the rest of a request.
+func (d *Server) readBody(c *conn, whole int) error {
+	if err := d.startBodyRead(c); err != nil {
 		return err
 	}
 	for c.buf.Len() < whole {
 		if err := d.fill(c); err != nil {
-			return d.cutOff(c, err, errBodyLate)
+			return d.abortRequest(c, err, bodyTimeoutResponse)
 		}
-		c.arrived = c.came
+		c.receivedAt = c.earliestArrivalAt
 	}
 	return nil
 }
 
-// errBodyLate answers a request whose body is not whole when its time is up.
-var errBodyLate = &ErrorResponse{Status: 400, Message: "body: it did not come whole in time"}
+// bodyTimeoutResponse answers a request whose body is not whole when its time is up.
+var bodyTimeoutResponse = &ErrorResponse{Status: 400, Message: "body: it did not come whole in time"}
 
-// expectBody has a body waited for, for which the caller may be waiting to be told.
-func (d *Server) expectBody(c *conn) error {
-	d.reached(c, partial, time.Now())
+// startBodyRead has a body waited for, for which the caller may be waiting to be told.
+func (d *Server) startBodyRead(c *conn) error {
+	d.setStage(c, stageReading, time.Now())
 	times := d.cfg.Timeouts()
 	if c.head.ExpectsContinue() {
 		if err := c.WriteWithDeadline([]byte(http1.ContinueResponse), time.Now().Add(times.Write)); err != nil {
 			return err
 		}
 	}
-	d.allow(c, later(c.began().Add(times.Head+times.Body), time.Now().Add(times.Body)))
+	d.setReadDeadline(c, later(c.timerStartedAt().Add(times.Head+times.Body), time.Now().Add(times.Body)))
 	return nil
 }
 
-// began is when the time of the request at hand began: on a new connection when that was opened.
-func (c *conn) began() time.Time {
-	if c.answered == 0 {
-		return c.opened
+// timerStartedAt is when the time of the request at hand began: on a new connection when that was opened.
+func (c *conn) timerStartedAt() time.Time {
+	if c.responseCount == 0 {
+		return c.openedAt
 	}
-	return c.first
+	return c.requestStartedAt
 }
 
 // later is the later of two times.
@@ -209,37 +209,37 @@
 	return b
 }
 
-// chunked has a request answered whose body comes in chunks and is held whole.
-func (d *Server) chunked(c *conn, headLen int) error {
+// serveChunked has a request answered whose body comes in chunks and is held whole.
+func (d *Server) serveChunked(c *conn, headLen int) error {
 	d.detachHead(c, headLen)
 	parts := http1.ChunkedDecoder{Limits: http1.DefaultLimits}
 	var body []byte
 	for waited := false; ; {
 		data, n, err := parts.Decode(c.buf.Bytes())
 		if err != nil {
-			return d.refuse(c, errorResponse(err))
+			return d.reject(c, errorResponse(err))
 		}
 		if len(body)+len(data) > d.cfg.MaxBodyBytes() {
-			return d.refuse(c, &ErrorResponse{Status: 413, Message: "body: it is too long"})
+			return d.reject(c, &ErrorResponse{Status: 413, Message: "body: it is too long"})
 		}
 		body = append(body, data...)
 		c.buf.Consume(n)
 		switch {
 		case parts.Done():
-			d.reached(c, taken, c.read)
-			return d.answer(c, body, 0)
+			d.setStage(c, stageServing, c.lastReadAt)
+			return d.serveBuffered(c, body, 0)
 		case n > 0:
 			continue
 		case !waited:
 			waited = true
-			if err := d.expectBody(c); err != nil {
+			if err := d.startBodyRead(c); err != nil {
 				return err
 			}
 		}
 		if err := d.fill(c); err != nil {
-			return d.cutOff(c, err, errBodyLate)
+			return d.abortRequest(c, err, bodyTimeoutResponse)
 		}
-		c.arrived = c.came
+		c.receivedAt = c.earliestArrivalAt
 	}
 }
 
@@ -249,16 +249,16 @@
 	c.buf.Consume(headLen)
 }
 
-// cutOff ends a connection on which part of a request has come. One that gives way to another ends at
+// abortRequest ends a connection on which part of a request has come. One that gives way to another ends at
 // once, and one that the shutdown cuts off is told to come back; else the answer is r, nil for none.
-func (d *Server) cutOff(c *conn, err error, r *ErrorResponse) error {
-	switch asked := d.asked(c); {
-	case asked == errDraining:
-		return d.refuse(c, &ErrorResponse{Status: 503, Message: "shutting down"})
+func (d *Server) abortRequest(c *conn, err error, r *ErrorResponse) error {
+	switch asked := d.closeReason(c); {
+	case asked == errShuttingDown:
+		return d.reject(c, &ErrorResponse{Status: 503, Message: "shutting down"})
 	case asked != nil:
 		return asked
 	case r != nil:
-		return d.refuse(c, r)
+		return d.reject(c, r)
 	}
 	return err
 }
@@ -270,10 +270,10 @@
 	if err != nil {
 		return err
 	}
-	c.came = c.read
-	c.read = time.Now()
-	if !c.ahead { // else it may have lain there since the read before
-		c.came = c.read
+	c.earliestArrivalAt = c.lastReadAt
+	c.lastReadAt = time.Now()
+	if !c.pipelined { // else it may have lain there since the read before
+		c.earliestArrivalAt = c.lastReadAt
 	}
 	return nil
 }
@@ -286,21 +286,21 @@
 	return &ErrorResponse{Status: 400, Message: err.Error()}
 }
 
-// refuse answers a request that can't be used, and ends the connection.
-func (d *Server) refuse(c *conn, r *ErrorResponse) error {
-	d.reached(c, partial, time.Now())
-	slog.Debug("request can't be used", "connection", c.number, "status", r.Status, "why", r.Message)
-	x := &c.x
-	x.begin(nil)
+// reject answers a request that can't be used, and ends the connection.
+func (d *Server) reject(c *conn, r *ErrorResponse) error {
+	d.setStage(c, stageReading, time.Now())
+	slog.Debug("request can't be used", "connection", c.id, "status", r.Status, "why", r.Message)
+	x := &c.exchange
+	x.reset(nil)
 	x.Close = true
-	x.Respond(r.Status, "text/plain; charset=utf-8", r.fields, []byte(r.Message+"\n"))
-	err := d.write(c)
-	x.end()
+	x.Respond(r.Status, "text/plain; charset=utf-8", r.appendFields, []byte(r.Message+"\n"))
+	err := d.writeResponse(c)
+	x.releaseBuffers()
 	if err != nil {
 		return err
 	}
 	d.linger(c)
-	return errRefused
+	return errRequestRejected
 }
 
 // linger reads on for a while after the last answer.
@@ -308,12 +308,12 @@
 	if c.CloseWrite() != nil {
 		return
 	}
-	end := time.Now().Add(lingerTime)
+	end := time.Now().Add(lingerTimeout)
 	c.SetReadDeadline(end)
 	if c.buf != nil {
 		c.buf.Reset()
 	}
-	for left := lingerBytes; left > 0; {
+	for left := maxLingerBytes; left > 0; {
 		if d.fill(c) != nil {
 			return
 		}
@@ -321,82 +321,82 @@
 		c.buf.Reset()
 	}
 	for c.HasUnackedData() && time.Now().Before(end) {
-		time.Sleep(lingerLook)
+		time.Sleep(lingerPollInterval)
 	}
 }
 
-// answer has a request answered and makes the connection ready for the next.
-func (d *Server) answer(c *conn, body []byte, whole int) error {
-	x := &c.x
-	x.begin(body)
+// serveBuffered has a request answered and makes the connection ready for the next.
+func (d *Server) serveBuffered(c *conn, body []byte, whole int) error {
+	x := &c.exchange
+	x.reset(body)
 	x.Close = c.head.ClosesConnection()
-	c.whole, c.owed = whole, true
+	c.requestBytes, c.responsePending = whole, true
 	d.cfg.Handler.ServeExchange(x)
 	if c.hijacked {
-		c.owed = false
-		x.end()
+		c.responsePending = false
+		x.releaseBuffers()
 		return errHijacked
 	}
-	return d.reply(c, whole)
+	return d.sendResponse(c, whole)
 }
 
-// reply sends the answer, unless it has flowed, and makes the connection ready for the next request,
+// sendResponse sends the answer, unless it has flowed, and makes the connection ready for the next request,
 // which begins behind so many bytes of what has been read.
-func (d *Server) reply(c *conn, whole int) error {
-	x := &c.x
-	if x.flow.begun {
-		return d.flowed(c, whole)
+func (d *Server) sendResponse(c *conn, whole int) error {
+	x := &c.exchange
+	if x.stream.started {
+		return d.finishStreamedResponse(c, whole)
 	}
-	if x.out == nil {
+	if x.responseData == nil {
 		x.Respond(502, "text/plain; charset=utf-8", nil, []byte("failed\n"))
 	}
 	// What has come by now was sent before its caller saw this answer, at what time is not
 	// known: the earliest is taken, so that its answer is not late.
-	c.since = x.at
-	ahead := !x.Streaming && c.since.Sub(c.read) > aheadTime && !c.ReadWouldBlock()
-	err := d.write(c)
+	c.idleSince = x.respondedAt
+	ahead := !x.Streaming && c.idleSince.Sub(c.lastReadAt) > pipelineWait && !c.ReadWouldBlock()
+	err := d.writeResponse(c)
 	closes := x.Close
-	x.end()
+	x.releaseBuffers()
 	if err != nil {
 		return err
 	}
-	c.owed = false
-	c.answered++
+	c.responsePending = false
+	c.responseCount++
 	if closes {
 		if x.Streaming || ahead || c.buf.Len() > whole {
 			d.linger(c)
 		}
-		return errAnswered
+		return errLastResponseSent
 	}
 	c.buf.Consume(whole)
-	return d.ready(c, ahead)
+	return d.prepareForNextRequest(c, ahead)
 }
 
-// ready makes a connection ready for the next request, part of which may have come ahead.
-func (d *Server) ready(c *conn, ahead bool) error {
-	c.ahead = ahead || c.buf.Len() > 0
+// prepareForNextRequest makes a connection ready for the next request, part of which may have come ahead.
+func (d *Server) prepareForNextRequest(c *conn, ahead bool) error {
+	c.pipelined = ahead || c.buf.Len() > 0
 	if c.buf.Len() > 0 { // the next request came with this one
-		c.arrived = c.came
+		c.receivedAt = c.earliestArrivalAt
 		return nil
 	}
-	d.bufs.Put(c.buf)
+	d.readBuffers.Put(c.buf)
 	c.buf = nil
 	if ahead {
 		c.SetReadDeadline(time.Now().Add(d.cfg.Timeouts().Head))
 		if err := d.fill(c); err != nil {
 			return err
 		}
-		c.arrived = c.came
+		c.receivedAt = c.earliestArrivalAt
 		return nil
 	}
-	d.reached(c, idle, c.since)
+	d.setStage(c, stageIdle, c.idleSince)
 	return nil
 }
 
-// aheadTime is a wait that a request which came ahead may be off by.
-const aheadTime = 5 * time.Millisecond
+// pipelineWait is a wait that a request which came ahead may be off by.
+const pipelineWait = 5 * time.Millisecond
 
-// write writes the answer.
-func (d *Server) write(c *conn) error {
-	return c.WriteWithDeadline(c.x.out, time.Now().Add(d.cfg.Timeouts().Write))
+// writeResponse writes the answer.
+func (d *Server) writeResponse(c *conn) error {
+	return c.WriteWithDeadline(c.exchange.responseData, time.Now().Add(d.cfg.Timeouts().Write))
 }
--- a/internal/httpserver/door.go
+++ b/internal/httpserver/server.go
@@ -41,7 +41,7 @@
 	RetryAfter time.Duration // when to come back, 0 for no advice
 }
 
-func (r *ErrorResponse) fields(b []byte) []byte {
+func (r *ErrorResponse) appendFields(b []byte) []byte {
 	if r.RetryAfter > 0 {
 		b = http1.AppendRetryAfter(b, r.RetryAfter)
 	}
@@ -72,52 +72,52 @@
 
 // Server is a server of callers.
 type Server struct {
-	cfg      Config
-	limits   http1.Limits
-	bufs     http1.BufferPool
-	pieces   http1.BufferPool // for bodies that flow in chunks
-	outs     sync.Pool        // of *[]byte, for answers
-	slots    chan struct{}    // one for each connection that is open
-	shut     chan struct{}
-	draining atomic.Bool
-	watch    *tcpconn.DisconnectWatcher
-	date     atomic.Pointer[date]
-
-	mu        sync.Mutex
-	places    places
-	conns     map[uint64]*conn // that are open, by number
-	last      uint64
-	looking   bool // a timer will make room
-	closing   bool // what has not come whole by now is cut off
-	listeners []net.Listener
-	empty     chan struct{} // closed once the last connection has gone, where Shutdown waits
+	cfg             Config
+	limits          http1.Limits
+	readBuffers     http1.BufferPool
+	chunkBuffers    http1.BufferPool // for bodies that flow in chunks
+	responseBuffers sync.Pool        // of *[]byte, for answers
+	slots           chan struct{}    // one for each connection that is open
+	acceptStopped   chan struct{}
+	draining        atomic.Bool
+	watcher         *tcpconn.DisconnectWatcher
+	dateField       atomic.Pointer[cachedDate]
+
+	mu                sync.Mutex
+	table             connTable
+	conns             map[uint64]*conn // that are open, by number
+	lastConnID        uint64
+	evictionScheduled bool // a timer will make room
+	abortIncomplete   bool // what has not come whole by now is cut off
+	listeners         []net.Listener
+	allClosed         chan struct{} // closed once the last connection has gone, where Shutdown waits
 }
 
 // conn is a caller's connection. Its goroutine owns it; what is under mu is the door's.
 type conn struct {
 	*tcpconn.Conn
-	guest    guest // under Door.mu
-	number   uint64
-	gone     bool     // the caller has gone; under Door.mu
-	canceler Canceler // of the request that is being answered; under Door.mu
-	asked    error    // to end, and why; under Door.mu
-
-	head    *http1.Request
-	buf     *http1.Buffer // nil while there is nothing in it
-	first   time.Time     // when the first byte of the request came
-	arrived time.Time     // the earliest at which its last byte may have come, or the first of one that flows
-	ahead   bool          // it began to come ahead of the answer to the one before
-	read    time.Time     // the last time that something was read
-	came    time.Time     // the earliest at which that may have come
-	since   time.Time     // of the last answer, or of its begin
-	whole   int           // bytes of the request that is being answered
-
-	opened   time.Time
-	owed     bool // a request has been handed on whose answer has not gone out whole
-	answered int  // requests
+	entry        tableEntry // under Door.mu
+	id           uint64
+	disconnected bool     // the caller has gone; under Door.mu
+	canceler     Canceler // of the request that is being answered; under Door.mu
+	closeReason  error    // to end, and why; under Door.mu
+
+	head              *http1.Request
+	buf               *http1.Buffer // nil while there is nothing in it
+	requestStartedAt  time.Time     // when the first byte of the request came
+	receivedAt        time.Time     // the earliest at which its last byte may have come, or the first of one that flows
+	pipelined         bool          // it began to come ahead of the answer to the one before
+	lastReadAt        time.Time     // the last time that something was read
+	earliestArrivalAt time.Time     // the earliest at which that may have come
+	idleSince         time.Time     // of the last answer, or of its begin
+	requestBytes      int           // bytes of the request that is being answered
+
+	openedAt        time.Time
+	responsePending bool // a request has been handed on whose answer has not gone out whole
+	responseCount   int  // requests
 
 	hijacked bool // the connection is another's
-	x        Exchange
+	exchange Exchange
 }
 
 // New returns a Door.
@@ -127,14 +127,14 @@
 		return nil, fmt.Errorf("door: %w", err)
 	}
 	d := &Server{
-		cfg: cfg, limits: http1.DefaultLimits, watch: w,
-		pieces: http1.BufferPool{InitialSize: body.BlockSize},
-		slots:  make(chan struct{}, cfg.MaxConnections), shut: make(chan struct{}),
-		places: places{most: cfg.MaxConnections}, conns: make(map[uint64]*conn),
+		cfg: cfg, limits: http1.DefaultLimits, watcher: w,
+		chunkBuffers: http1.BufferPool{InitialSize: body.BlockSize},
+		slots:        make(chan struct{}, cfg.MaxConnections), acceptStopped: make(chan struct{}),
+		table: connTable{maxOpen: cfg.MaxConnections}, conns: make(map[uint64]*conn),
 	}
 	d.limits.HeadBytes = cfg.MaxHeadBytes
 	go func() {
-		if err := w.Run(d.left); err != nil {
+		if err := w.Run(d.notifyDisconnect); err != nil {
 			slog.Error("door: callers that go away are noticed no more", "err", err)
 		}
 	}()
@@ -150,12 +150,12 @@
 	for {
 		select {
 		case d.slots <- struct{}{}:
-		case <-d.shut:
+		case <-d.acceptStopped:
 			return nil
 		}
 		c, err := l.Accept()
 		if err == nil {
-			if err := d.enter(c); err != nil {
+			if err := d.addConn(c); err != nil {
 				slog.Warn("door: a connection can't be served", "err", err)
 				<-d.slots
 			}
@@ -164,7 +164,7 @@
 		}
 		<-d.slots
 		select {
-		case <-d.shut:
+		case <-d.acceptStopped:
 			return nil
 		default:
 		}
@@ -175,151 +175,151 @@
 		}
 		if tcpconn.IsOutOfDescriptors(err) {
 			d.mu.Lock()
-			d.evict(nil)
+			d.evictOne(nil)
 			d.mu.Unlock()
 		}
 		pause = min(max(2*pause, time.Millisecond), 100*time.Millisecond)
 		select {
 		case <-time.After(pause):
-		case <-d.shut:
+		case <-d.acceptStopped:
 			return nil
 		}
 	}
 }
 
-// enter lets a connection in, whose place has been taken.
-func (d *Server) enter(nc net.Conn) error {
-	s, err := tcpconn.New(nc, &d.bufs)
+// addConn lets a connection in, whose place has been taken.
+func (d *Server) addConn(nc net.Conn) error {
+	s, err := tcpconn.New(nc, &d.readBuffers)
 	if err != nil {
 		return errors.Join(err, nc.Close())
 	}
-	c := &conn{Conn: s, head: http1.NewRequest(d.limits), since: time.Now()}
-	c.opened = c.since
-	c.guest.conn, c.x.c, c.x.d = c, c, d
+	c := &conn{Conn: s, head: http1.NewRequest(d.limits), idleSince: time.Now()}
+	c.openedAt = c.idleSince
+	c.entry.conn, c.exchange.conn, c.exchange.server = c, c, d
 	d.mu.Lock()
-	d.last++
-	c.number = d.last
-	d.conns[c.number] = c
-	d.places.enter(&c.guest, c.since)
-	d.makeRoom(&c.guest)
+	d.lastConnID++
+	c.id = d.lastConnID
+	d.conns[c.id] = c
+	d.table.add(&c.entry, c.idleSince)
+	d.evictUntilBelowLimit(&c.entry)
 	d.mu.Unlock()
-	if err := d.watch.Add(s, c.number); err != nil && !errors.Is(err, net.ErrClosed) {
-		d.leave(c)
+	if err := d.watcher.Add(s, c.id); err != nil && !errors.Is(err, net.ErrClosed) {
+		d.removeConn(c)
 		return errors.Join(err, nc.Close())
 	}
-	go d.serve(c)
+	go d.serveConn(c)
 	return nil
 }
 
-// forget forgets a connection and gives its place back.
-func (d *Server) forget(c *conn) {
-	d.leave(c)
+// releaseConn forgets a connection and gives its place back.
+func (d *Server) releaseConn(c *conn) {
+	d.removeConn(c)
 	<-d.slots
 }
 
-// leave forgets a connection.
-func (d *Server) leave(c *conn) {
+// removeConn forgets a connection.
+func (d *Server) removeConn(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.places.leave(&c.guest)
-	delete(d.conns, c.number)
-	if len(d.conns) == 0 && d.empty != nil {
-		close(d.empty)
-		d.empty = nil
+	d.table.remove(&c.entry)
+	delete(d.conns, c.id)
+	if len(d.conns) == 0 && d.allClosed != nil {
+		close(d.allClosed)
+		d.allClosed = nil
 	}
 }
 
-// reached notes the stage of a connection. One that was asked to end and has read something since
+// setStage notes the stage of a connection. One that was asked to end and has read something since
 // is in again: whatever has been read gets its answer.
-func (d *Server) reached(c *conn, at stage, now time.Time) {
+func (d *Server) setStage(c *conn, at connStage, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c.asked = nil
-	if !d.places.move(&c.guest, at, now) {
-		d.places.enter(&c.guest, now)
-		d.places.move(&c.guest, at, now)
-		d.makeRoom(&c.guest)
+	c.closeReason = nil
+	if !d.table.setStage(&c.entry, at, now) {
+		d.table.add(&c.entry, now)
+		d.table.setStage(&c.entry, at, now)
+		d.evictUntilBelowLimit(&c.entry)
 		return
 	}
-	if at != taken {
-		d.makeRoom(&c.guest)
+	if at != stageServing {
+		d.evictUntilBelowLimit(&c.entry)
 	}
 }
 
-// ask asks a connection to end that has no request which is being answered. Its own goroutine ends it,
+// requestClose asks a connection to end that has no request which is being answered. Its own goroutine ends it,
 // unless that has read something by then. The caller holds the lock.
-func (d *Server) ask(c *conn, reason error) {
-	c.asked = reason
-	c.SetReadDeadline(past)
+func (d *Server) requestClose(c *conn, reason error) {
+	c.closeReason = reason
+	c.SetReadDeadline(expiredDeadline)
 }
 
-// asked is why a connection has been asked to end, nil if it has not been.
-func (d *Server) asked(c *conn) error {
+// closeReason is why a connection has been asked to end, nil if it has not been.
+func (d *Server) closeReason(c *conn) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return c.asked
+	return c.closeReason
 }
 
-// allow sets the time by which something must be read, unless the connection is to end.
-func (d *Server) allow(c *conn, until time.Time) {
+// setReadDeadline sets the time by which something must be read, unless the connection is to end.
+func (d *Server) setReadDeadline(c *conn, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if c.asked == nil && (d.closing || c.guest.at == idle && d.draining.Load()) {
-		c.asked = errDraining
+	if c.closeReason == nil && (d.abortIncomplete || c.entry.stage == stageIdle && d.draining.Load()) {
+		c.closeReason = errShuttingDown
 	}
-	if c.asked != nil {
-		until = past
+	if c.closeReason != nil {
+		until = expiredDeadline
 	}
 	c.SetReadDeadline(until)
 }
 
-// makeRoom closes connections until a place is free. If none may be closed yet, it looks
+// evictUntilBelowLimit closes connections until a place is free. If none may be closed yet, it looks
 // again later.
-func (d *Server) makeRoom(newest *guest) {
-	for d.places.full() {
-		if d.evict(newest) {
+func (d *Server) evictUntilBelowLimit(newest *tableEntry) {
+	for d.table.full() {
+		if d.evictOne(newest) {
 			continue
 		}
-		if !d.looking {
-			d.looking = true
+		if !d.evictionScheduled {
+			d.evictionScheduled = true
 			time.AfterFunc(d.cfg.Timeouts().EvictionGrace, func() {
 				d.mu.Lock()
 				defer d.mu.Unlock()
-				d.looking = false
-				d.makeRoom(nil)
+				d.evictionScheduled = false
+				d.evictUntilBelowLimit(nil)
 			})
 		}
 		return
 	}
 }
 
-// evict closes the connection that is the least loss, and tells whether there was one.
-func (d *Server) evict(newest *guest) bool {
-	out := d.places.victim(newest, time.Now(), d.cfg.Timeouts().EvictionGrace, func(g *guest) bool { return g.conn.ReadWouldBlock() })
+// evictOne closes the connection that is the least loss, and tells whether there was one.
+func (d *Server) evictOne(newest *tableEntry) bool {
+	out := d.table.evictionCandidate(newest, time.Now(), d.cfg.Timeouts().EvictionGrace, func(g *tableEntry) bool { return g.conn.ReadWouldBlock() })
 	if out == nil {
 		return false
 	}
-	d.places.leave(out)
-	d.ask(out.conn, errEvicted)
+	d.table.remove(out)
+	d.requestClose(out.conn, errEvicted)
 	return true
 }
 
-// gone tells whether a connection's caller has gone.
-func (d *Server) gone(c *conn) bool {
+// callerDisconnected tells whether a connection's caller has gone.
+func (d *Server) callerDisconnected(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return c.gone
+	return c.disconnected
 }
 
-// left tells whoever answers a caller's request that the caller has gone.
-func (d *Server) left(number uint64) {
+// notifyDisconnect tells whoever answers a caller's request that the caller has gone.
+func (d *Server) notifyDisconnect(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.conns[number]
-	if c == nil || c.gone {
+	if c == nil || c.disconnected {
 		return
 	}
-	c.gone = true
+	c.disconnected = true
 	if c.canceler != nil {
 		c.canceler.Cancel()
 	}
@@ -330,18 +330,18 @@
 // have gone, or when ctx ends, with how many are left.
 func (d *Server) Shutdown(ctx context.Context, linger time.Duration) (left int) {
 	d.draining.Store(true)
-	d.askAll(idle)
+	d.requestCloseAll(stageIdle)
 	select {
 	case <-time.After(linger):
 	case <-ctx.Done():
 	}
 	d.closeListeners()
 	d.mu.Lock()
-	d.closing = true
+	d.abortIncomplete = true
 	d.mu.Unlock()
-	d.askAll(silent, idle, partial)
+	d.requestCloseAll(stageNew, stageIdle, stageReading)
 	select {
-	case <-d.emptied():
+	case <-d.allConnsClosed():
 	case <-ctx.Done():
 	}
 	d.mu.Lock()
@@ -351,26 +351,26 @@
 	return left
 }
 
-// askAll asks all connections at some stages to end, for the shutdown.
-func (d *Server) askAll(stages ...stage) {
+// requestCloseAll asks all connections at some stages to end, for the shutdown.
+func (d *Server) requestCloseAll(stages ...connStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, at := range stages {
-		for g := d.places.lists[at].front; g != nil; g = g.next {
-			d.ask(g.conn, errDraining)
+		for g := d.table.lists[at].front; g != nil; g = g.next {
+			d.requestClose(g.conn, errShuttingDown)
 		}
 	}
 }
 
-// emptied is closed once no connection is left.
-func (d *Server) emptied() <-chan struct{} {
+// allConnsClosed is closed once no connection is left.
+func (d *Server) allConnsClosed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	empty := make(chan struct{})
 	if len(d.conns) == 0 {
 		close(empty)
 	} else {
-		d.empty = empty
+		d.allClosed = empty
 	}
 	return empty
 }
@@ -379,9 +379,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.shut:
+	case <-d.acceptStopped:
 	default:
-		close(d.shut)
+		close(d.acceptStopped)
 	}
 	for _, l := range d.listeners {
 		l.Close()
@@ -397,7 +397,7 @@
 	for _, c := range d.conns {
 		c.Close()
 	}
-	d.watch.Close()
+	d.watcher.Close()
 }
 
 // Draining tells whether Shutdown has begun.
--- a/internal/httpserver/door_test.go
+++ b/internal/httpserver/server_test.go
@@ -19,30 +19,30 @@
 	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
-// patience is how long a test waits for what must happen: no verdict leans on it being short.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must happen: no verdict leans on it being short.
+const testTimeout = 20 * time.Second
 
-// hugeAnswer is the length of an answer that no socket takes at once.
-const hugeAnswer = 64 << 20
+// hugeResponseBytes is the length of an answer that no socket takes at once.
+const hugeResponseBytes = 64 << 20
 
-// flowTime is the time for an answer that flows.
-const flowTime = time.Second
+// streamTimeout is the time for an answer that flows.
+const streamTimeout = time.Second
 
-// echo answers with the method, the target and the body. /hold waits for free, or until the
+// echoHandler answers with the method, the target and the body. /hold waits for free, or until the
 // caller goes; /long answers with 4 MiB, /huge with 64; /flow flows;
 // /panic panics; /no is refused by its head.
-type echo struct {
-	held, left chan struct{}
-	free       chan struct{}
-	raw        chan *HijackedConn
-	served     atomic.Int32
+type echoHandler struct {
+	holding, canceled chan struct{}
+	release           chan struct{}
+	hijacked          chan *HijackedConn
+	requestCount      atomic.Int32
 }
 
-func newEcho() *echo {
-	return &echo{held: make(chan struct{}, 2000), left: make(chan struct{}, 2000), free: make(chan struct{}), raw: make(chan *HijackedConn, 1)}
+func newEcho() *echoHandler {
+	return &echoHandler{holding: make(chan struct{}, 2000), canceled: make(chan struct{}, 2000), release: make(chan struct{}), hijacked: make(chan *HijackedConn, 1)}
 }
 
-func (*echo) CheckHead(x *Exchange) *ErrorResponse {
+func (*echoHandler) CheckHead(x *Exchange) *ErrorResponse {
 	if string(x.RequestHead().Path()) == "/no" {
 		return &ErrorResponse{Status: http.StatusForbidden, Message: "no"}
 	}
@@ -55,19 +55,19 @@
 
 func (l cancelChan) Cancel() { l <- struct{}{} }
 
-func (e *echo) ServeExchange(x *Exchange) {
-	e.served.Add(1)
+func (e *echoHandler) ServeExchange(x *Exchange) {
+	e.requestCount.Add(1)
 	if x.HandlerState != "seen" {
 		panic("not seen by Head")
 	}
 	switch path := string(x.RequestHead().Path()); path {
 	case "/after": // the end begins once the answer has been worded
 		x.Respond(200, "", nil, nil)
-		e.held <- struct{}{}
-		<-e.free
+		e.holding <- struct{}{}
+		<-e.release
 		return
 	case "/raw":
-		e.raw <- x.Hijack()
+		e.hijacked <- x.Hijack()
 		return
 	case "/panic":
 		panic("a fault")
@@ -75,11 +75,11 @@
 		x.Respond(200, "", nil, make([]byte, 4<<20))
 		return
 	case "/huge":
-		x.Respond(200, "", nil, make([]byte, hugeAnswer))
+		x.Respond(200, "", nil, make([]byte, hugeResponseBytes))
 		return
 	case "/flow":
 		text := []byte("flows")
-		how := StreamLimits{RateMeter: transferrate.Meter{MinBytesPerSecond: 1, Window: flowTime}, Deadline: time.Now().Add(flowTime)}
+		how := StreamLimits{RateMeter: transferrate.Meter{MinBytesPerSecond: 1, Window: streamTimeout}, Deadline: time.Now().Add(streamTimeout)}
 		if err := x.StartResponse(200, nil, int64(len(text)), how); err == nil {
 			x.WriteBody(text)
 			x.FinishResponse(nil)
@@ -88,77 +88,77 @@
 	case "/hold":
 		left := make(cancelChan, 1)
 		here := x.NotifyDisconnect(left)
-		e.held <- struct{}{}
+		e.holding <- struct{}{}
 		if here {
 			select {
 			case <-left:
 				here = false
-			case <-e.free:
+			case <-e.release:
 			}
 		}
 		x.StopNotifyDisconnect()
 		if !here {
-			e.left <- struct{}{}
+			e.canceled <- struct{}{}
 		}
 	}
 	x.Respond(200, "text/plain", nil, fmt.Appendf(nil, "%s %s %s", x.RequestHead().Method(), x.RequestHead().Target(), x.Body))
 }
 
-type house struct {
-	t      testing.TB
-	door   *Server
-	echo   *echo
-	addr   string
-	served chan error
+type testServer struct {
+	t           testing.TB
+	server      *Server
+	handler     *echoHandler
+	addr        string
+	serveResult chan error
 }
 
-func usualTimes() Timeouts {
-	return Timeouts{Head: patience, Body: patience, Idle: patience, Write: patience, EvictionGrace: patience}
+func longTimeouts() Timeouts {
+	return Timeouts{Head: testTimeout, Body: testTimeout, Idle: testTimeout, Write: testTimeout, EvictionGrace: testTimeout}
 }
 
-func open(t testing.TB, places int, times Timeouts) *house {
+func startServer(t testing.TB, places int, times Timeouts) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return openAt(t, l, places, times)
+	return startServerOn(t, l, places, times)
 }
 
-func openAt(t testing.TB, l net.Listener, places int, times Timeouts) *house {
+func startServerOn(t testing.TB, l net.Listener, places int, times Timeouts) *testServer {
 	t.Helper()
 	e := newEcho()
 	d, err := New(Config{Handler: e, MaxConnections: places, MaxHeadBytes: 16 << 10, MaxBodyBytes: func() int { return 64 << 10 }, Timeouts: func() Timeouts { return times }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &house{t: t, door: d, echo: e, addr: l.Addr().String(), served: make(chan error, 1)}
-	go func() { h.served <- d.Serve(l) }()
+	h := &testServer{t: t, server: d, handler: e, addr: l.Addr().String(), serveResult: make(chan error, 1)}
+	go func() { h.serveResult <- d.Serve(l) }()
 	t.Cleanup(d.Close)
 	return h
 }
 
 // dial opens a connection and sends a text on it.
-func (h *house) dial(text string) net.Conn {
+func (h *testServer) dial(text string) net.Conn {
 	h.t.Helper()
 	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
 		h.t.Fatal(err)
 	}
 	h.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		h.t.Fatal(err)
 	}
 	return c
 }
 
-func post(target, body string) string {
+func postRequest(target, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", target, len(body), body)
 }
 
-// answer reads one answer.
-func (h *house) answer(in *bufio.Reader) (*http.Response, string) {
+// readResponse reads one answer.
+func (h *testServer) readResponse(in *bufio.Reader) (*http.Response, string) {
 	h.t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -171,34 +171,34 @@
 	return resp, string(body)
 }
 
-func (h *house) wait(c <-chan struct{}, what string) {
+func (h *testServer) waitFor(c <-chan struct{}, what string) {
 	h.t.Helper()
 	select {
 	case <-c:
-	case <-time.After(patience):
-		h.t.Fatalf("%s: not within %v", what, patience)
+	case <-time.After(testTimeout):
+		h.t.Fatalf("%s: not within %v", what, testTimeout)
 	}
 }
 
-// gone waits until no connection is left.
-func (h *house) gone(most int) {
+// waitForConns waits until no connection is left.
+func (h *testServer) waitForConns(most int) {
 	h.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-		h.door.mu.Lock()
-		n := len(h.door.conns)
-		h.door.mu.Unlock()
-		if n <= most && len(h.door.slots) <= most+1 { // one place is for whoever comes next
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		h.server.mu.Lock()
+		n := len(h.server.conns)
+		h.server.mu.Unlock()
+		if n <= most && len(h.server.slots) <= most+1 { // one place is for whoever comes next
 			return
 		}
 		if time.Now().After(end) {
-			h.t.Fatalf("%d connections and %d places are left", n, len(h.door.slots))
+			h.t.Fatalf("%d connections and %d places are left", n, len(h.server.slots))
 		}
 	}
 }
 
 // Requests of each shape are answered in turn on one connection, whole or a byte a segment.
-func TestServes(t *testing.T) {
-	h := open(t, 10, usualTimes())
+func TestServerServesRequestsInTurn(t *testing.T) {
+	h := startServer(t, 10, longTimeouts())
 	long := strings.Repeat("x", 60<<10)
 	for name, cut := range map[string]int{"whole": 1 << 20, "by bytes": 1} {
 		c := h.dial("")
@@ -207,7 +207,7 @@
 			if cut == 1 && len(body) > 100 {
 				continue
 			}
-			text := post("/a?b", body)
+			text := postRequest("/a?b", body)
 			for len(text) > 0 {
 				n := min(cut, len(text))
 				if _, err := io.WriteString(c, text[:n]); err != nil {
@@ -215,7 +215,7 @@
 				}
 				text = text[n:]
 			}
-			resp, got := h.answer(in)
+			resp, got := h.readResponse(in)
 			if resp.StatusCode != 200 || got != "POST /a?b "+body || resp.Close || resp.Header.Get("Date") == "" {
 				t.Errorf("%s: %s %v %.40q", name, resp.Status, resp.Header, got)
 			}
@@ -225,11 +225,11 @@
 
 // Connection: close is kept to, and a client that waits for 100 Continue gets it where the
 // body is wanted only.
-func TestCloseAndContinue(t *testing.T) {
-	h := open(t, 10, usualTimes())
+func TestServerHonorsConnectionCloseAndExpectContinue(t *testing.T) {
+	h := startServer(t, 10, longTimeouts())
 	c := h.dial("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 	in := bufio.NewReader(c)
-	if resp, _ := h.answer(in); !resp.Close {
+	if resp, _ := h.readResponse(in); !resp.Close {
 		t.Error("the answer does not say that the connection ends")
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
@@ -244,7 +244,7 @@
 		}
 		if want == 100 {
 			io.WriteString(c, "ok")
-			if _, body := h.answer(in); body != "POST / ok" {
+			if _, body := h.readResponse(in); body != "POST / ok" {
 				t.Errorf("%q", body)
 			}
 		}
@@ -253,27 +253,27 @@
 
 // Of requests sent ahead, those that can be read are answered in their order; one that can't
 // is refused, and ends the connection whatever follows.
-func TestPipelined(t *testing.T) {
-	h := open(t, 10, usualTimes())
+func TestServerServesPipelinedRequestsInOrder(t *testing.T) {
+	h := startServer(t, 10, longTimeouts())
 	for name, bad := range map[string]string{
 		"noise": "\x00\xff", "two lengths": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 9\r\n\r\n",
-		"refused": post("/no", "body"),
+		"refused": postRequest("/no", "body"),
 	} {
-		before := h.echo.served.Load()
-		c := h.dial(post("/1", "a") + post("/2", "") + bad + post("/3", "c"))
+		before := h.handler.requestCount.Load()
+		c := h.dial(postRequest("/1", "a") + postRequest("/2", "") + bad + postRequest("/3", "c"))
 		in := bufio.NewReader(c)
 		for _, want := range []string{"POST /1 a", "POST /2 "} {
-			if _, got := h.answer(in); got != want {
+			if _, got := h.readResponse(in); got != want {
 				t.Errorf("%s: %q, want %q", name, got, want)
 			}
 		}
-		if resp, _ := h.answer(in); resp.StatusCode/100 != 4 || !resp.Close {
+		if resp, _ := h.readResponse(in); resp.StatusCode/100 != 4 || !resp.Close {
 			t.Errorf("%s: %s, closes %v", name, resp.Status, resp.Close)
 		}
 		if n, _ := io.Copy(io.Discard, in); n > 0 {
 			t.Errorf("%s: %d bytes follow", name, n)
 		}
-		if n := h.echo.served.Load() - before; n != 2 {
+		if n := h.handler.requestCount.Load() - before; n != 2 {
 			t.Errorf("%s: %d were served, want 2", name, n)
 		}
 	}
@@ -281,12 +281,12 @@
 
 // A caller may end its connection or reset it in each stage. Nothing is kept of it, and
 // whoever answers it is told.
-func TestCallerGoes(t *testing.T) {
-	h := open(t, 10, usualTimes())
+func TestServerDetectsDisconnectInEveryStage(t *testing.T) {
+	h := startServer(t, 10, longTimeouts())
 	for name, text := range map[string]string{
 		"silent": "", "part of a head": "POST / HT", "a head": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n",
-		"part of a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf", "taken": post("/hold", ""),
-		"taken, with more behind": post("/hold", "") + "POST",
+		"part of a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf", "taken": postRequest("/hold", ""),
+		"taken, with more behind": postRequest("/hold", "") + "POST",
 	} {
 		for how, end := range map[string]func(c *net.TCPConn){
 			"closes": func(c *net.TCPConn) { c.Close() },
@@ -298,37 +298,37 @@
 		} {
 			c := h.dial(text).(*net.TCPConn)
 			if strings.HasPrefix(name, "taken") {
-				h.wait(h.echo.held, "request")
+				h.waitFor(h.handler.holding, "request")
 			}
 			end(c)
 			if strings.HasPrefix(name, "taken") {
-				h.wait(h.echo.left, name+", "+how)
+				h.waitFor(h.handler.canceled, name+", "+how)
 			}
-			h.gone(0)
+			h.waitForConns(0)
 		}
 	}
 }
 
 // A caller that reads nothing is ended once its time to take the answer is up.
-func TestCallerReadsNothing(t *testing.T) {
-	times := usualTimes()
+func TestServerEnforcesWriteTimeout(t *testing.T) {
+	times := longTimeouts()
 	times.Write = 20 * time.Millisecond
-	h := open(t, 10, times)
-	h.dial(post("/long", ""))
-	for h.echo.served.Load() == 0 {
+	h := startServer(t, 10, times)
+	h.dial(postRequest("/long", ""))
+	for h.handler.requestCount.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	h.gone(0)
+	h.waitForConns(0)
 }
 
 // Each stage has its time; then the caller is ended, with an answer where it has begun a body.
-func TestTimes(t *testing.T) {
-	times := usualTimes()
+func TestServerEnforcesTimeoutOfEachStage(t *testing.T) {
+	times := longTimeouts()
 	times.Head, times.Body, times.Idle = 30*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond
-	h := open(t, 10, times)
+	h := startServer(t, 10, times)
 	for name, text := range map[string]string{
 		"silent": "", "half a head": "POST / HTTP/1.1\r\n", "half a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf",
-		"idle": post("/", "x"),
+		"idle": postRequest("/", "x"),
 	} {
 		c := h.dial(text)
 		got, err := io.ReadAll(c)
@@ -336,16 +336,16 @@
 			t.Errorf("%s: %q %v", name, got, err)
 		}
 	}
-	h.gone(0)
+	h.waitForConns(0)
 }
 
 // 1,000 callers that send their heads a byte at a time are ended in time and don't keep out
 // one that asks.
-func TestSlowHeads(t *testing.T) {
-	times := usualTimes()
+func TestServerClosesSlowHeads(t *testing.T) {
+	times := longTimeouts()
 	times.Head, times.EvictionGrace = 2*time.Second, 10*time.Millisecond
 	const slow = 1000
-	h := open(t, 64, times)
+	h := startServer(t, 64, times)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var ended atomic.Int32
@@ -372,11 +372,11 @@
 		}()
 	}
 	for i := range 5 {
-		if _, got := h.answer(bufio.NewReader(h.dial(post("/", "x")))); got != "POST / x" {
+		if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
 			t.Errorf("%d: %q", i, got)
 		}
 	}
-	for end := time.Now().Add(2 * patience); ended.Load() < slow && time.Now().Before(end); {
+	for end := time.Now().Add(2 * testTimeout); ended.Load() < slow && time.Now().Before(end); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	close(stop)
@@ -388,9 +388,9 @@
 
 // 1,000 idle callers hold less than 4 KiB each beside their sockets, whose own cost is that of
 // as many that nobody reads, and each is answered again.
-func TestIdleCallers(t *testing.T) {
+func TestIdleConnectionsUseLittleMemory(t *testing.T) {
 	const callers = 1000
-	h := open(t, callers+10, usualTimes())
+	h := startServer(t, callers+10, longTimeouts())
 	heap := func() uint64 {
 		runtime.GC()
 		runtime.GC() // what sync.Pool holds goes with the second
@@ -424,10 +424,10 @@
 	conns := make([]net.Conn, callers)
 	ask := func(c net.Conn) {
 		t.Helper()
-		if _, err := io.WriteString(c, post("/", "x")); err != nil {
+		if _, err := io.WriteString(c, postRequest("/", "x")); err != nil {
 			t.Fatal(err)
 		}
-		if _, got := h.answer(bufio.NewReader(c)); got != "POST / x" {
+		if _, got := h.readResponse(bufio.NewReader(c)); got != "POST / x" {
 			t.Fatalf("%q", got)
 		}
 	}
@@ -435,7 +435,7 @@
 		conns[i] = h.dial("")
 		ask(conns[i])
 	}
-	h.idle(callers)
+	h.waitForIdle(callers)
 	each := int64(heap()-before)/callers - sockets
 	t.Logf("%d bytes each, and %d for its sockets", each, sockets)
 	if each >= 4<<10 {
@@ -446,16 +446,16 @@
 	}
 }
 
-// idle waits until so many connections are idle.
-func (h *house) idle(want int) {
+// waitForIdle waits until so many connections are idle.
+func (h *testServer) waitForIdle(want int) {
 	h.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		n := 0
-		h.door.mu.Lock()
-		for g := h.door.places.lists[idle].front; g != nil; g = g.next {
+		h.server.mu.Lock()
+		for g := h.server.table.lists[stageIdle].front; g != nil; g = g.next {
 			n++
 		}
-		h.door.mu.Unlock()
+		h.server.mu.Unlock()
 		if n == want {
 			return
 		}
@@ -467,37 +467,37 @@
 
 // As the end begins, in each stage: what is idle ends, what has been taken is answered, what
 // comes in time is served, and both are told that their connection ends.
-func TestShutdown(t *testing.T) {
-	h := open(t, 10, usualTimes())
-	idleOne := h.dial(post("/", ""))
+func TestShutdownInEveryStage(t *testing.T) {
+	h := startServer(t, 10, longTimeouts())
+	idleOne := h.dial(postRequest("/", ""))
 	idleIn := bufio.NewReader(idleOne)
-	h.answer(idleIn)
-	h.idle(1)
+	h.readResponse(idleIn)
+	h.waitForIdle(1)
 	quiet := h.dial("")
 	half := h.dial("POST / HTTP/1.1\r\nHost: a\r\n")
 	body := h.dial("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nha")
-	held := h.dial(post("/hold", ""))
-	h.wait(h.echo.held, "request")
+	held := h.dial(postRequest("/hold", ""))
+	h.waitFor(h.handler.holding, "request")
 	stopped := make(chan int, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		stopped <- h.door.Shutdown(ctx, 500*time.Millisecond)
+		stopped <- h.server.Shutdown(ctx, 500*time.Millisecond)
 	}()
-	for !h.door.Draining() {
+	for !h.server.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	if _, err := idleIn.ReadByte(); err != io.EOF {
 		t.Errorf("idle: %v, want the end", err)
 	}
-	late := h.dial(post("/late", "x")) // within the time that connections are still accepted
-	io.WriteString(quiet, post("/quiet", ""))
+	late := h.dial(postRequest("/late", "x")) // within the time that connections are still accepted
+	io.WriteString(quiet, postRequest("/quiet", ""))
 	io.WriteString(half, "Content-Length: 0\r\n\r\n")
 	io.WriteString(body, "lf")
-	close(h.echo.free)
+	close(h.handler.release)
 	for name, c := range map[string]net.Conn{"late": late, "silent": quiet, "half a head": half, "half a body": body, "taken": held} {
 		in := bufio.NewReader(c)
-		if resp, _ := h.answer(in); resp.StatusCode != 200 || !resp.Close {
+		if resp, _ := h.readResponse(in); resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("%s: %s, closes %v", name, resp.Status, resp.Close)
 		}
 		if _, err := in.ReadByte(); err != io.EOF {
@@ -509,33 +509,33 @@
 		if left != 0 {
 			t.Errorf("%d connections are left", left)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it does not end")
 	}
-	if err := <-h.served; err != nil {
+	if err := <-h.serveResult; err != nil {
 		t.Error(err)
 	}
 }
 
 // A connection that falls idle just as the end begins, with an answer that does not say so, is
 // ended, not waited for.
-func TestIdleAsTheEndBegins(t *testing.T) {
-	h := open(t, 10, Timeouts{Head: patience, Body: patience, Idle: 10 * patience, Write: patience, EvictionGrace: patience})
-	c := h.dial(post("/after", ""))
-	h.wait(h.echo.held, "request")
+func TestShutdownClosesConnectionThatBecomesIdle(t *testing.T) {
+	h := startServer(t, 10, Timeouts{Head: testTimeout, Body: testTimeout, Idle: 10 * testTimeout, Write: testTimeout, EvictionGrace: testTimeout})
+	c := h.dial(postRequest("/after", ""))
+	h.waitFor(h.handler.holding, "request")
 	stopped := make(chan int, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		stopped <- h.door.Shutdown(ctx, 0)
+		stopped <- h.server.Shutdown(ctx, 0)
 	}()
-	for !h.door.Draining() {
+	for !h.server.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(10 * time.Millisecond) // by now it has looked for idle ones
-	close(h.echo.free)
+	close(h.handler.release)
 	in := bufio.NewReader(c)
-	if resp, _ := h.answer(in); resp.StatusCode != 200 {
+	if resp, _ := h.readResponse(in); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
 	if left := <-stopped; left != 0 {
@@ -544,36 +544,36 @@
 }
 
 // Shutdown ends with its context, whoever is left.
-func TestShutdownIsBounded(t *testing.T) {
-	h := open(t, 10, usualTimes())
-	h.dial(post("/hold", ""))
-	h.wait(h.echo.held, "request")
+func TestShutdownReturnsWhenContextEnds(t *testing.T) {
+	h := startServer(t, 10, longTimeouts())
+	h.dial(postRequest("/hold", ""))
+	h.waitFor(h.handler.holding, "request")
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	if left := h.door.Shutdown(ctx, 0); left != 1 {
+	if left := h.server.Shutdown(ctx, 0); left != 1 {
 		t.Errorf("%d connections are left, want 1", left)
 	}
-	close(h.echo.free)
+	close(h.handler.release)
 }
 
-// scarce is a listener for which descriptors run out when the test says so. As with the kernel's,
+// scarceListener is a listener for which descriptors run out when the test says so. As with the kernel's,
 // the connection that could not be accepted stays in line.
-type scarce struct {
+type scarceListener struct {
 	net.Listener
-	short atomic.Bool
-	line  net.Conn // that could not be accepted
+	failNext atomic.Bool
+	pending  net.Conn // that could not be accepted
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
-	c := s.line
-	if s.line = nil; c == nil {
+func (s *scarceListener) Accept() (net.Conn, error) {
+	c := s.pending
+	if s.pending = nil; c == nil {
 		var err error
 		if c, err = s.Listener.Accept(); err != nil {
 			return nil, err
 		}
 	}
-	if s.short.CompareAndSwap(true, false) {
-		s.line = c
+	if s.failNext.CompareAndSwap(true, false) {
+		s.pending = c
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return c, nil
@@ -581,88 +581,88 @@
 
 // Descriptors that run out end neither the listener nor what has been taken; an idle
 // connection gives its own up.
-func TestNoDescriptors(t *testing.T) {
+func TestServerSurvivesDescriptorExhaustion(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scarce{Listener: l}
-	h := openAt(t, s, 10, usualTimes())
-	held := h.dial(post("/hold", ""))
-	h.wait(h.echo.held, "request")
-	idle := h.dial(post("/", ""))
+	s := &scarceListener{Listener: l}
+	h := startServerOn(t, s, 10, longTimeouts())
+	held := h.dial(postRequest("/hold", ""))
+	h.waitFor(h.handler.holding, "request")
+	idle := h.dial(postRequest("/", ""))
 	idleIn := bufio.NewReader(idle)
-	h.answer(idleIn)
-	h.idle(1)
-	s.short.Store(true)
-	if _, got := h.answer(bufio.NewReader(h.dial(post("/", "x")))); got != "POST / x" {
+	h.readResponse(idleIn)
+	h.waitForIdle(1)
+	s.failNext.Store(true)
+	if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
 		t.Errorf("%q", got)
 	}
 	if _, err := idleIn.ReadByte(); err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the idle one: %v", err)
 	}
-	close(h.echo.free)
-	if _, got := h.answer(bufio.NewReader(held)); got != "POST /hold " {
+	close(h.handler.release)
+	if _, got := h.readResponse(bufio.NewReader(held)); got != "POST /hold " {
 		t.Errorf("%q", got)
 	}
 }
 
-// failing is a listener whose accept fails before each connection, with one error after another.
-type failing struct {
+// failingListener is a listener whose accept fails before each connection, with one error after another.
+type failingListener struct {
 	net.Listener
-	errors []error
+	acceptErrors []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
-	if len(f.errors) > 0 {
-		err := f.errors[0]
-		f.errors = f.errors[1:]
+func (f *failingListener) Accept() (net.Conn, error) {
+	if len(f.acceptErrors) > 0 {
+		err := f.acceptErrors[0]
+		f.acceptErrors = f.acceptErrors[1:]
 		return nil, &net.OpError{Op: "accept", Err: err}
 	}
 	return f.Listener.Accept()
 }
 
-func TestAcceptFailuresThatPassDoNotEndTheListener(t *testing.T) {
+func TestServeRetriesTransientAcceptErrors(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := openAt(t, &failing{l, []error{
+	h := startServerOn(t, &failingListener{l, []error{
 		syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EADDRNOTAVAIL,
-	}}, 10, usualTimes())
-	if _, got := h.answer(bufio.NewReader(h.dial(post("/", "x")))); got != "POST / x" {
+	}}, 10, longTimeouts())
+	if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
 		t.Errorf("%q", got)
 	}
 }
 
 // Another error of the listener is told.
-func TestListenerFails(t *testing.T) {
+func TestServeReturnsFatalAcceptError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := openAt(t, l, 10, usualTimes())
+	h := startServerOn(t, l, 10, longTimeouts())
 	l.Close()
 	select {
-	case err := <-h.served:
+	case err := <-h.serveResult:
 		if err == nil {
 			t.Error("no error")
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it goes on")
 	}
 }
 
 // A connection that is handed over has what came behind its request, is neither closed nor
 // given way, and is waited for at the end until it is closed.
-func TestHijack(t *testing.T) {
-	times := usualTimes()
+func TestHijackedConnKeepsItsSlotUntilClosed(t *testing.T) {
+	times := longTimeouts()
 	times.EvictionGrace = 300 * time.Millisecond // more than a caller takes over its request
-	h := open(t, 2, times)
+	h := startServer(t, 2, times)
 	c := h.dial("GET /raw HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nbehind")
-	raw := <-h.echo.raw
+	raw := <-h.handler.hijacked
 	for range 3 { // others come and go at the only other place
-		if _, got := h.answer(bufio.NewReader(h.dial(post("/", "x")))); got != "POST / x" {
+		if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
 			t.Errorf("%q", got)
 		}
 		time.Sleep(times.EvictionGrace)
@@ -675,11 +675,11 @@
 	io.WriteString(raw, "back")
 	stopped := make(chan int, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		stopped <- h.door.Shutdown(ctx, 0)
+		stopped <- h.server.Shutdown(ctx, 0)
 	}()
-	for !h.door.Draining() {
+	for !h.server.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	select {
@@ -695,26 +695,26 @@
 	if got, err := io.ReadAll(c); err != nil || string(got) != "back" {
 		t.Errorf("%q %v", got, err)
 	}
-	h.gone(0)
+	h.waitForConns(0)
 }
 
 // A fault in answering one request ends its connection and no other.
-func TestPanic(t *testing.T) {
-	h := open(t, 10, usualTimes())
-	if resp, _ := h.answer(bufio.NewReader(h.dial(post("/panic", "")))); resp.StatusCode != 500 || !resp.Close {
+func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
+	h := startServer(t, 10, longTimeouts())
+	if resp, _ := h.readResponse(bufio.NewReader(h.dial(postRequest("/panic", "")))); resp.StatusCode != 500 || !resp.Close {
 		t.Errorf("%s, closes %v", resp.Status, resp.Close)
 	}
-	if _, got := h.answer(bufio.NewReader(h.dial(post("/", "x")))); got != "POST / x" {
+	if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
 		t.Errorf("%q", got)
 	}
-	h.gone(1)
+	h.waitForConns(1)
 }
 
-// BenchmarkDoor is one request after another on a connection, with nothing behind the door.
-func BenchmarkDoor(b *testing.B) {
-	h := open(b, 10, usualTimes())
+// BenchmarkServer is one request after another on a connection, with nothing behind the door.
+func BenchmarkServer(b *testing.B) {
+	h := startServer(b, 10, longTimeouts())
 	c := h.dial("")
-	text, buf := []byte(post("/", "0123456789")), make([]byte, 4096)
+	text, buf := []byte(postRequest("/", "0123456789")), make([]byte, 4096)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := c.Write(text); err != nil {
--- a/internal/tcpconn/sock.go
+++ b/internal/tcpconn/conn.go
@@ -26,20 +26,20 @@
 
 	// What a call hands to the functions that the runtime calls with the descriptor, which are
 	// made once: a closure for each call would be garbage.
-	try, ask, put func(fd uintptr) bool
-	into          *http1.Buffer
-	n             int
-	err           error
-	out           []byte
-	sent          int
-	asked, stale  bool
+	readFunc, writeThenReadFunc, writeFunc func(fd uintptr) bool
+	readBuffer                             *http1.Buffer
+	readBytes                              int
+	syscallErr                             error
+	writeData                              []byte
+	writtenBytes                           int
+	writeTried, stale                      bool
 
-	look  func(fd uintptr)
-	quiet atomic.Bool
+	peekFunc   func(fd uintptr)
+	wouldBlock atomic.Bool
 }
 
-// leastRead is the least space that is read into.
-const leastRead = 512
+// minReadBytes is the least space that is read into.
+const minReadBytes = 512
 
 // New returns the connection with buffers from a pool.
 func New(c net.Conn, bufs *http1.BufferPool) (*Conn, error) {
@@ -52,9 +52,9 @@
 		return nil, err
 	}
 	s := &Conn{Conn: c, raw: raw, bufs: bufs}
-	s.try, s.ask, s.look = s.read, s.askOnce, s.peek
-	s.put = func(fd uintptr) bool {
-		s.write(fd)
+	s.readFunc, s.writeThenReadFunc, s.peekFunc = s.readOnce, s.writeThenReadOnce, s.peek
+	s.writeFunc = func(fd uintptr) bool {
+		s.writeOnce(fd)
 		return true
 	}
 	return s, nil
@@ -63,21 +63,21 @@
 // ReadInto waits until there is something to read and reads it into a buffer, one from the pool if
 // it is handed none. It returns the buffer, nil still if nothing came, and io.EOF at the end.
 func (s *Conn) ReadInto(b *http1.Buffer) (*http1.Buffer, error) {
-	s.into = b
-	err := s.raw.Read(s.try)
-	return s.filled(err)
+	s.readBuffer = b
+	err := s.raw.Read(s.readFunc)
+	return s.readResult(err)
 }
 
-// filled returns what a read has come to.
-func (s *Conn) filled(err error) (*http1.Buffer, error) {
-	b := s.into
-	s.into = nil
+// readResult returns what a read has come to.
+func (s *Conn) readResult(err error) (*http1.Buffer, error) {
+	b := s.readBuffer
+	s.readBuffer = nil
 	switch {
 	case err != nil:
 		return b, err
-	case s.err != nil:
-		return b, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", s.err)}
-	case s.n == 0:
+	case s.syscallErr != nil:
+		return b, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", s.syscallErr)}
+	case s.readBytes == 0:
 		return b, io.EOF
 	}
 	return b, nil
@@ -89,37 +89,37 @@
 // that proves the connection quiet is the attempt to read that waiting begins with anyway:
 // that saves a system call for each request.
 func (s *Conn) WriteThenRead(p []byte) (sent int, stale bool, b *http1.Buffer, err error) {
-	s.out, s.sent, s.asked, s.stale, s.into, s.n, s.err = p, 0, false, false, nil, 0, nil
-	err = s.raw.Read(s.ask)
-	s.out = nil
-	if s.stale || err == nil && s.sent < len(p) {
-		return s.sent, s.stale, nil, s.err
+	s.writeData, s.writtenBytes, s.writeTried, s.stale, s.readBuffer, s.readBytes, s.syscallErr = p, 0, false, false, nil, 0, nil
+	err = s.raw.Read(s.writeThenReadFunc)
+	s.writeData = nil
+	if s.stale || err == nil && s.writtenBytes < len(p) {
+		return s.writtenBytes, s.stale, nil, s.syscallErr
 	}
-	b, err = s.filled(err)
-	return s.sent, false, b, err
+	b, err = s.readResult(err)
+	return s.writtenBytes, false, b, err
 }
 
-func (s *Conn) askOnce(fd uintptr) bool {
-	if s.asked {
-		return s.read(fd)
+func (s *Conn) writeThenReadOnce(fd uintptr) bool {
+	if s.writeTried {
+		return s.readOnce(fd)
 	}
-	s.asked = true
-	if s.peek(fd); !s.quiet.Load() {
+	s.writeTried = true
+	if s.peek(fd); !s.wouldBlock.Load() {
 		s.stale = true
 		return true
 	}
-	return !s.write(fd) || s.sent < len(s.out) // else the answer is waited for
+	return !s.writeOnce(fd) || s.writtenBytes < len(s.writeData) // else the answer is waited for
 }
 
 // TryWrite writes what can be written without waiting.
 func (s *Conn) TryWrite(p []byte) (n int, err error) {
-	s.out, s.sent, s.err = p, 0, nil
-	err = s.raw.Write(s.put)
-	s.out = nil
-	if err == nil && s.err != nil {
-		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", s.err)}
+	s.writeData, s.writtenBytes, s.syscallErr = p, 0, nil
+	err = s.raw.Write(s.writeFunc)
+	s.writeData = nil
+	if err == nil && s.syscallErr != nil {
+		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", s.syscallErr)}
 	}
-	return s.sent, err
+	return s.writtenBytes, err
 }
 
 // WriteWithDeadline writes all of p. What can't be written without waiting is written by a deadline that ends
@@ -135,58 +135,58 @@
 	return err
 }
 
-// write writes once without waiting, and tells whether that did not fail.
-func (s *Conn) write(fd uintptr) bool {
+// writeOnce writes once without waiting, and tells whether that did not fail.
+func (s *Conn) writeOnce(fd uintptr) bool {
 	for {
-		n, err := syscall.Write(int(fd), s.out)
+		n, err := syscall.Write(int(fd), s.writeData)
 		switch err {
 		case nil:
-			s.sent = n
+			s.writtenBytes = n
 		case syscall.EINTR:
 			continue
 		case syscall.EAGAIN:
 		default:
-			s.err = err
+			s.syscallErr = err
 			return false
 		}
 		return true
 	}
 }
 
-// read reads if that needs no waiting, and tells whether it did.
-func (s *Conn) read(fd uintptr) bool {
-	b := s.into
+// readOnce reads if that needs no waiting, and tells whether it did.
+func (s *Conn) readOnce(fd uintptr) bool {
+	b := s.readBuffer
 	if b == nil {
 		b = s.bufs.Get()
 	}
 	for {
-		s.n, s.err = syscall.Read(int(fd), b.Reserve(leastRead))
-		if s.err != syscall.EINTR {
+		s.readBytes, s.syscallErr = syscall.Read(int(fd), b.Reserve(minReadBytes))
+		if s.syscallErr != syscall.EINTR {
 			break
 		}
 	}
-	if s.n > 0 {
-		b.Commit(s.n)
-		s.into = b
+	if s.readBytes > 0 {
+		b.Commit(s.readBytes)
+		s.readBuffer = b
 		return true
 	}
-	if s.into == nil {
+	if s.readBuffer == nil {
 		s.bufs.Put(b)
 	}
-	return s.err != syscall.EAGAIN
+	return s.syscallErr != syscall.EAGAIN
 }
 
 // ReadWouldBlock tells whether the connection is open with nothing to read. It does not wait, and may
 // be called while another goroutine waits in Fill.
 func (s *Conn) ReadWouldBlock() bool {
-	return s.raw.Control(s.look) == nil && s.quiet.Load()
+	return s.raw.Control(s.peekFunc) == nil && s.wouldBlock.Load()
 }
 
 // peek looks at what there is to read and leaves it there.
 func (s *Conn) peek(fd uintptr) {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	s.quiet.Store(err == syscall.EAGAIN)
+	s.wouldBlock.Store(err == syscall.EAGAIN)
 }
 
 // PeerDisconnected tells whether the peer has ended its sending or reset, or the connection is closed here. It does
--- a/internal/tcpconn/sock_test.go
+++ b/internal/tcpconn/conn_test.go
@@ -13,10 +13,10 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// pair returns the two ends of a connection.
-func pair(t *testing.T, bufs *http1.BufferPool) (*Conn, *net.TCPConn) {
+// newConnPair returns the two ends of a connection.
+func newConnPair(t *testing.T, bufs *http1.BufferPool) (*Conn, *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,9 +44,9 @@
 
 // Reads take a buffer only with something in it, come back at the deadline with none, and end
 // with io.EOF.
-func TestFill(t *testing.T) {
+func TestReadIntoUsesBufferOnlyForData(t *testing.T) {
 	var bufs http1.BufferPool
-	here, there := pair(t, &bufs)
+	here, there := newConnPair(t, &bufs)
 	if !here.ReadWouldBlock() {
 		t.Error("not quiet at first")
 	}
@@ -55,7 +55,7 @@
 	if ne, ok := err.(net.Error); b != nil || !ok || !ne.Timeout() {
 		t.Errorf("%v %v, want a time-out and no buffer", b, err)
 	}
-	here.SetReadDeadline(time.Now().Add(patience))
+	here.SetReadDeadline(time.Now().Add(testTimeout))
 	long := strings.Repeat("x", 100_000)
 	go io.WriteString(there, long)
 	for b == nil || b.Len() < len(long) {
@@ -84,7 +84,7 @@
 
 // Each peer that ends its sending or resets is told once, whatever else has been sent; one
 // that is closed here is not.
-func TestWatch(t *testing.T) {
+func TestDisconnectWatcherNotifiesOncePerDisconnect(t *testing.T) {
 	w, err := NewDisconnectWatcher()
 	if err != nil {
 		t.Fatal(err)
@@ -100,8 +100,8 @@
 			c.Close()
 		},
 	} {
-		here, there := pair(t, &bufs)
-		silent, _ := pair(t, &bufs)
+		here, there := newConnPair(t, &bufs)
+		silent, _ := newConnPair(t, &bufs)
 		for n, c := range []*Conn{here, silent} {
 			if err := w.Add(c, big+uint64(2*i+n)); err != nil {
 				t.Fatal(err)
@@ -115,7 +115,7 @@
 			if got != big+uint64(2*i) {
 				t.Errorf("%d was told, want %d", got, big+2*i)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("it is not told")
 		}
 	}
@@ -127,14 +127,14 @@
 	}
 }
 
-func TestWatchGoesOnAfterAnInterruptedWait(t *testing.T) {
+func TestDisconnectWatcherRetriesInterruptedWait(t *testing.T) {
 	w, err := NewDisconnectWatcher()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
 	calls, waiting := 0, make(chan struct{})
-	w.poll = func(epfd int, events []syscall.EpollEvent, msec int) (int, error) {
+	w.epollWait = func(epfd int, events []syscall.EpollEvent, msec int) (int, error) {
 		switch calls++; calls {
 		case 1:
 			close(waiting)
@@ -145,7 +145,7 @@
 	}
 	told := make(chan uint64, 1)
 	var bufs http1.BufferPool
-	here, there := pair(t, &bufs)
+	here, there := newConnPair(t, &bufs)
 	if err := w.Add(here, 7); err != nil {
 		t.Fatal(err)
 	}
@@ -157,12 +157,12 @@
 		if got != 7 {
 			t.Errorf("%d was told", got)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it is not told")
 	}
 }
 
-func TestErrorsTellWhoseFaultTheyAre(t *testing.T) {
+func TestErrorClassification(t *testing.T) {
 	wrapped := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 	}
--- a/internal/tcpconn/watch.go
+++ b/internal/tcpconn/watcher.go
@@ -12,15 +12,15 @@
 // for all. A peer that ends its sending is held to have gone: PROTOCOL has callers and sidecars
 // give up a request that way.
 type DisconnectWatcher struct {
-	file   *os.File
-	raw    syscall.RawConn
-	epfd   int
-	closed atomic.Bool
-	poll   func(epfd int, events []syscall.EpollEvent, msec int) (n int, err error) // epoll_wait(2)
+	file      *os.File
+	raw       syscall.RawConn
+	epfd      int
+	closed    atomic.Bool
+	epollWait func(epfd int, events []syscall.EpollEvent, msec int) (n int, err error) // epoll_wait(2)
 }
 
-// goneEvents are told once for each connection, as it happens.
-const goneEvents = syscall.EPOLLRDHUP | syscall.EPOLLHUP | syscall.EPOLLERR | 1<<31 // EPOLLET, whose constant is negative
+// disconnectEvents are told once for each connection, as it happens.
+const disconnectEvents = syscall.EPOLLRDHUP | syscall.EPOLLHUP | syscall.EPOLLERR | 1<<31 // EPOLLET, whose constant is negative
 
 // NewDisconnectWatcher returns a Watch of no connection. It holds a descriptor until Close.
 func NewDisconnectWatcher() (*DisconnectWatcher, error) {
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("watch: %w", err), f.Close())
 	}
-	return &DisconnectWatcher{file: f, raw: raw, epfd: fd, poll: syscall.EpollWait}, nil
+	return &DisconnectWatcher{file: f, raw: raw, epfd: fd, epollWait: syscall.EpollWait}, nil
 }
 
 // Add has a connection watched under a number until it is closed.
@@ -45,7 +45,7 @@
 	var added error
 	err := c.raw.Control(func(fd uintptr) {
 		added = syscall.EpollCtl(w.epfd, syscall.EPOLL_CTL_ADD, int(fd),
-			&syscall.EpollEvent{Events: goneEvents, Fd: int32(number), Pad: int32(number >> 32)})
+			&syscall.EpollEvent{Events: disconnectEvents, Fd: int32(number), Pad: int32(number >> 32)})
 	})
 	return errors.Join(err, added)
 }
@@ -73,7 +73,7 @@
 func (w *DisconnectWatcher) wait(events []syscall.EpollEvent) (n int, err error) {
 	readErr := w.raw.Read(func(fd uintptr) bool {
 		for {
-			if n, err = w.poll(int(fd), events, 0); err != syscall.EINTR {
+			if n, err = w.epollWait(int(fd), events, 0); err != syscall.EINTR {
 				return err != nil || n > 0
 			}
 		}
--- a/internal/transferrate/pace.go
+++ b/internal/transferrate/meter.go
@@ -10,22 +10,22 @@
 	MinBytesPerSecond int64
 	Window            time.Duration
 
-	waited time.Duration
-	moved  int64
+	waitedTime time.Duration
+	movedBytes int64
 }
 
 // MaxWait is how long the side may be waited for now.
-func (m *Meter) MaxWait() time.Duration { return m.Window - m.waited }
+func (m *Meter) MaxWait() time.Duration { return m.Window - m.waitedTime }
 
 // Record notes that the side was waited for, and moved n bytes. It returns false if the side is
 // slow. A side that stops is told within two windows at the latest.
 func (m *Meter) Record(d time.Duration, n int) bool {
-	m.waited += max(d, 0)
-	m.moved += int64(n)
-	if m.waited < m.Window {
+	m.waitedTime += max(d, 0)
+	m.movedBytes += int64(n)
+	if m.waitedTime < m.Window {
 		return true
 	}
-	fast := float64(m.moved) >= float64(m.MinBytesPerSecond)*m.Window.Seconds()
-	m.waited, m.moved = 0, 0
+	fast := float64(m.movedBytes) >= float64(m.MinBytesPerSecond)*m.Window.Seconds()
+	m.waitedTime, m.movedBytes = 0, 0
 	return fast
 }
--- a/internal/transferrate/pace_test.go
+++ b/internal/transferrate/meter_test.go
@@ -9,7 +9,7 @@
 
 // A side that moves its rate is never slow however it is cut up, one that moves half of it is told
 // within two windows of waiting, and one that is silent too; waiting for others costs nothing.
-func TestMeter(t *testing.T) {
+func TestMeterDetectsOnlySlowSides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := time.Duration(rapid.Int64Range(int64(10*time.Millisecond), int64(10*time.Second)).Draw(t, "window"))
 		rate := rapid.Int64Range(1<<20, 1<<30).Draw(t, "rate")
