--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -12,30 +12,31 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-// Why a connection is ended from this side; any other reason is the error of a read or write.
+// Reasons for which the server closes a connection. Any other reason is the error of a read or write.
 var (
-	errEvicted            = errors.New("closed to make room for another")
-	errLastResponseSent   = errors.New("closed after its last answer")
-	errResponseIncomplete = errors.New("closed within an answer that broke off")
-	errRequestRejected    = errors.New("closed after a request that can't be used")
+	errEvicted            = errors.New("evicted in favor of another connection")
+	errLastResponseSent   = errors.New("closed after its last response")
+	errResponseIncomplete = errors.New("closed within an incomplete response")
+	errRequestRejected    = errors.New("closed after a rejected request")
 	errShuttingDown       = errors.New("closed by the shutdown")
-	errHijacked           = errors.New("handed over")
+	errHijacked           = errors.New("taken over by the handler")
 )
 
-// The end of a connection on which more may come: it is read for a while, so that the answer
-// is not lost to a reset. One that sends on and on is not read for ever, and ends once it has
-// the answer, which is looked for now and then.
+// Limits for closing a connection on which more data may arrive. The server reads on for a while, since
+// closing with unread data would reset the connection and the caller could lose the response. A caller
+// that keeps sending is read up to maxLingerBytes only; the connection then closes once the caller's
+// machine has acknowledged the response, which is polled.
 const (
 	lingerTimeout      = 500 * time.Millisecond
 	maxLingerBytes     = 1 << 20
 	lingerPollInterval = 5 * time.Millisecond
 )
 
-// serveConn serves a connection until it ends.
+// serveConn serves the requests of a connection until it closes.
 func (d *Server) serveConn(c *conn) {
 	defer func() {
-		if fault := recover(); fault != nil { // one request's, which the others outlive
-			slog.Error("door: panic", "fault", fault, "stack", string(debug.Stack()))
+		if fault := recover(); fault != nil { // a panic of one request must not affect the others
+			slog.Error("httpserver: panic while serving a request", "fault", fault, "stack", string(debug.Stack()))
 			d.respondToPanic(c)
 		}
 		if !c.hijacked {
@@ -53,7 +54,7 @@
 	}
 }
 
-// respondToPanic answers a request whose handler has panicked, unless part of an answer has gone out.
+// respondToPanic responds with 500 to a request whose handler has panicked, unless its response has started.
 func (d *Server) respondToPanic(c *conn) {
 	x := &c.exchange
 	if !c.responsePending || c.hijacked || x.pooledBuffer == nil || x.stream.started {
@@ -66,26 +67,27 @@
 	}
 }
 
-// logClose logs why a connection ends. A request that it leaves without a whole answer is a
-// warning unless its caller has gone.
+// logClose logs why a connection closes. The level is Warn if a request is left without a complete
+// response and its caller has not disconnected, otherwise Debug.
 func (d *Server) logClose(c *conn, reason error) {
 	level, message := slog.LevelDebug, "connection closed"
-	gone := d.callerDisconnected(c)
-	var id []byte
+	disconnected := d.callerDisconnected(c)
+	var requestID []byte
 	if c.responsePending {
-		message = "connection closed with no whole answer"
-		id, _ = c.head.Get("X-Request-ID") // the head is held until its answer is out
-		if !gone {
+		message = "connection closed without a complete response"
+		requestID, _ = c.head.Get("X-Request-ID") // the head is valid until the response is sent
+		if !disconnected {
 			level = slog.LevelWarn
 		}
 	}
 	if ctx := context.Background(); slog.Default().Enabled(ctx, level) {
 		slog.Log(ctx, level, message, "connection", c.id, "reason", reason, "answered", c.responseCount,
-			"request", string(id), "caller gone", gone, "open", time.Since(c.openedAt))
+			"request", string(requestID), "caller gone", disconnected, "open", time.Since(c.openedAt))
 	}
 }
 
-// serveRequest serves one request. An error ends the connection.
+// serveRequest reads and serves one request. It returns nil if the connection can serve another request,
+// otherwise why it closes.
 func (d *Server) serveRequest(c *conn) error {
 	if c.buf == nil {
 		if err := d.waitForRequest(c); err != nil {
@@ -94,7 +96,7 @@
 		c.receivedAt = c.earliestArrivalAt
 	}
 	c.requestStartedAt = c.receivedAt
-	n, err := d.readHead(c)
+	headBytes, err := d.readHead(c)
 	if err != nil {
 		return err
 	}
@@ -103,33 +105,33 @@
 		return d.reject(c, r)
 	}
 	if c.exchange.Streaming {
-		return d.serveStreaming(c, n)
+		return d.serveStreaming(c, headBytes)
 	}
 	if c.head.Framing() == http1.Chunked {
-		return d.serveChunked(c, n)
+		return d.serveChunked(c, headBytes)
 	}
-	whole := n + int(max(c.head.ContentLength(), 0))
-	if c.buf.Len() < whole {
-		if err := d.readBody(c, whole); err != nil {
+	requestBytes := headBytes + int(max(c.head.ContentLength(), 0))
+	if c.buf.Len() < requestBytes {
+		if err := d.readBody(c, requestBytes); err != nil {
 			return err
 		}
 	}
-	text := c.buf.Bytes()
-	c.head.Rebase(text)
+	data := c.buf.Bytes()
+	c.head.Rebase(data)
 	d.setStage(c, stageServing, c.lastReadAt)
-	return d.serveBuffered(c, text[n:whole], whole)
+	return d.serveBuffered(c, data[headBytes:requestBytes], requestBytes)
 }
 
-// waitForRequest waits for the first bytes of a request: on a connection at rest for as long as one may be idle,
-// on a new one for as long as a head may take. What has come by the end of that time, or as the
-// connection is asked to end, is read: only a connection with nothing unread ends at rest.
+// waitForRequest waits for the first bytes of a request and reads them. It waits up to Timeouts.Idle, on a
+// new connection up to Timeouts.Head. Data that has arrived by the end of that time, or by the time at which the
+// connection is requested to close, is read: only a connection without unread data is closed here.
 func (d *Server) waitForRequest(c *conn) error {
-	times := d.cfg.Timeouts()
-	wait := times.Idle
+	timeouts := d.cfg.Timeouts()
+	timeout := timeouts.Idle
 	if c.receivedAt.IsZero() {
-		wait = times.Head
+		timeout = timeouts.Head
 	}
-	d.setReadDeadline(c, c.idleSince.Add(wait))
+	d.setReadDeadline(c, c.idleSince.Add(timeout))
 	err := d.fill(c)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
@@ -137,38 +139,38 @@
 	if c.ReadWouldBlock() {
 		return cmp.Or(d.closeReason(c), err)
 	}
-	c.SetReadDeadline(time.Time{}) // there is something to read, so that nothing is waited for
+	c.SetReadDeadline(time.Time{}) // there is data to read, so that the read does not wait
 	return d.fill(c)
 }
 
-// readHead reads a request's head and returns how long it is.
-func (d *Server) readHead(c *conn) (n int, err error) {
+// readHead reads a request's head and returns its length in bytes.
+func (d *Server) readHead(c *conn) (headBytes int, err error) {
 	c.head.Reset()
-	n, err = c.head.Parse(c.buf.Bytes())
-	for began := false; n == 0 && err == nil; began = true {
-		if !began {
+	headBytes, err = c.head.Parse(c.buf.Bytes())
+	for waiting := false; headBytes == 0 && err == nil; waiting = true {
+		if !waiting {
 			d.setStage(c, stageReading, time.Now())
-			times := d.cfg.Timeouts()
-			d.setReadDeadline(c, later(c.timerStartedAt().Add(times.Head), c.lastReadAt.Add(times.Body)))
+			timeouts := d.cfg.Timeouts()
+			d.setReadDeadline(c, later(c.timerStartedAt().Add(timeouts.Head), c.lastReadAt.Add(timeouts.Body)))
 		}
 		if err := d.fill(c); err != nil {
 			return 0, d.abortRequest(c, err, nil)
 		}
 		c.receivedAt = c.earliestArrivalAt
-		n, err = c.head.Parse(c.buf.Bytes())
+		headBytes, err = c.head.Parse(c.buf.Bytes())
 	}
 	if err != nil {
 		return 0, d.reject(c, errorResponse(err))
 	}
-	return n, nil
+	return headBytes, nil
 }
 
-// readBody waits for the rest of a request.
-func (d *Server) readBody(c *conn, whole int) error {
+// readBody reads the rest of a request of requestBytes bytes, head included, into c.buf.
+func (d *Server) readBody(c *conn, requestBytes int) error {
 	if err := d.startBodyRead(c); err != nil {
 		return err
 	}
-	for c.buf.Len() < whole {
+	for c.buf.Len() < requestBytes {
 		if err := d.fill(c); err != nil {
 			return d.abortRequest(c, err, bodyTimeoutResponse)
 		}
@@ -177,23 +179,24 @@
 	return nil
 }
 
-// bodyTimeoutResponse answers a request whose body is not whole when its time is up.
+// bodyTimeoutResponse is the response to a request whose body is not complete at its deadline.
 var bodyTimeoutResponse = &ErrorResponse{Status: 400, Message: "body: it did not come whole in time"}
 
-// startBodyRead has a body waited for, for which the caller may be waiting to be told.
+// startBodyRead sets the deadline for reading a body and sends 100 Continue if the caller expects it.
 func (d *Server) startBodyRead(c *conn) error {
 	d.setStage(c, stageReading, time.Now())
-	times := d.cfg.Timeouts()
+	timeouts := d.cfg.Timeouts()
 	if c.head.ExpectsContinue() {
-		if err := c.WriteWithDeadline([]byte(http1.ContinueResponse), time.Now().Add(times.Write)); err != nil {
+		if err := c.WriteWithDeadline([]byte(http1.ContinueResponse), time.Now().Add(timeouts.Write)); err != nil {
 			return err
 		}
 	}
-	d.setReadDeadline(c, later(c.timerStartedAt().Add(times.Head+times.Body), time.Now().Add(times.Body)))
+	d.setReadDeadline(c, later(c.timerStartedAt().Add(timeouts.Head+timeouts.Body), time.Now().Add(timeouts.Body)))
 	return nil
 }
 
-// timerStartedAt is when the time of the request at hand began: on a new connection when that was opened.
+// timerStartedAt returns when the timeouts of the current request started: when its first byte arrived, or
+// when the connection was opened if the request is its first.
 func (c *conn) timerStartedAt() time.Time {
 	if c.responseCount == 0 {
 		return c.openedAt
@@ -201,7 +204,7 @@
 	return c.requestStartedAt
 }
 
-// later is the later of two times.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -209,13 +212,13 @@
 	return b
 }
 
-// serveChunked has a request answered whose body comes in chunks and is held whole.
-func (d *Server) serveChunked(c *conn, headLen int) error {
-	d.detachHead(c, headLen)
-	parts := http1.ChunkedDecoder{Limits: http1.DefaultLimits}
+// serveChunked serves a request with a chunked body that is buffered whole.
+func (d *Server) serveChunked(c *conn, headBytes int) error {
+	d.detachHead(c, headBytes)
+	decoder := http1.ChunkedDecoder{Limits: http1.DefaultLimits}
 	var body []byte
-	for waited := false; ; {
-		data, n, err := parts.Decode(c.buf.Bytes())
+	for bodyReadStarted := false; ; {
+		data, n, err := decoder.Decode(c.buf.Bytes())
 		if err != nil {
 			return d.reject(c, errorResponse(err))
 		}
@@ -225,13 +228,13 @@
 		body = append(body, data...)
 		c.buf.Consume(n)
 		switch {
-		case parts.Done():
+		case decoder.Done():
 			d.setStage(c, stageServing, c.lastReadAt)
 			return d.serveBuffered(c, body, 0)
 		case n > 0:
 			continue
-		case !waited:
-			waited = true
+		case !bodyReadStarted:
+			bodyReadStarted = true
 			if err := d.startBodyRead(c); err != nil {
 				return err
 			}
@@ -243,27 +246,28 @@
 	}
 }
 
-// detachHead keeps the head of a request apart, so that its buffer can be read on into.
-func (d *Server) detachHead(c *conn, headLen int) {
-	c.head.Rebase(append([]byte(nil), c.buf.Bytes()[:headLen]...))
-	c.buf.Consume(headLen)
+// detachHead moves a request's head to memory of its own, so that reads can reuse the buffer.
+func (d *Server) detachHead(c *conn, headBytes int) {
+	c.head.Rebase(append([]byte(nil), c.buf.Bytes()[:headBytes]...))
+	c.buf.Consume(headBytes)
 }
 
-// abortRequest ends a connection on which part of a request has come. One that gives way to another ends at
-// once, and one that the shutdown cuts off is told to come back; else the answer is r, nil for none.
+// abortRequest handles a read error on a connection that has received part of a request, and returns why
+// the connection closes. An evicted connection closes at once, without a response. One that the shutdown
+// closes gets 503, so that its caller retries. Otherwise the response is r, nil for none.
 func (d *Server) abortRequest(c *conn, err error, r *ErrorResponse) error {
-	switch asked := d.closeReason(c); {
-	case asked == errShuttingDown:
+	switch reason := d.closeReason(c); {
+	case reason == errShuttingDown:
 		return d.reject(c, &ErrorResponse{Status: 503, Message: "shutting down"})
-	case asked != nil:
-		return asked
+	case reason != nil:
+		return reason
 	case r != nil:
 		return d.reject(c, r)
 	}
 	return err
 }
 
-// fill reads what has come.
+// fill reads the data that has arrived into c.buf, and waits for it until the read deadline.
 func (d *Server) fill(c *conn) error {
 	b, err := c.ReadInto(c.buf)
 	c.buf = b
@@ -272,13 +276,13 @@
 	}
 	c.earliestArrivalAt = c.lastReadAt
 	c.lastReadAt = time.Now()
-	if !c.pipelined { // else it may have lain there since the read before
+	if !c.pipelined { // pipelined data may have been waiting since the previous read
 		c.earliestArrivalAt = c.lastReadAt
 	}
 	return nil
 }
 
-// errorResponse is the answer to a head that can't be read.
+// errorResponse returns the response to a request whose head or chunked body is malformed.
 func errorResponse(err error) *ErrorResponse {
 	if e := (*http1.Error)(nil); errors.As(err, &e) {
 		return &ErrorResponse{Status: e.Status, Message: e.Error()}
@@ -286,10 +290,10 @@
 	return &ErrorResponse{Status: 400, Message: err.Error()}
 }
 
-// reject answers a request that can't be used, and ends the connection.
+// reject sends an error response to a request and lingers. It returns why the connection closes.
 func (d *Server) reject(c *conn, r *ErrorResponse) error {
 	d.setStage(c, stageReading, time.Now())
-	slog.Debug("request can't be used", "connection", c.id, "status", r.Status, "why", r.Message)
+	slog.Debug("request rejected", "connection", c.id, "status", r.Status, "why", r.Message)
 	x := &c.exchange
 	x.reset(nil)
 	x.Close = true
@@ -303,85 +307,87 @@
 	return errRequestRejected
 }
 
-// linger reads on for a while after the last answer.
+// linger ends sending and reads on for a while after the last response, see lingerTimeout.
 func (d *Server) linger(c *conn) {
 	if c.CloseWrite() != nil {
 		return
 	}
-	end := time.Now().Add(lingerTimeout)
-	c.SetReadDeadline(end)
+	deadline := time.Now().Add(lingerTimeout)
+	c.SetReadDeadline(deadline)
 	if c.buf != nil {
 		c.buf.Reset()
 	}
-	for left := maxLingerBytes; left > 0; {
+	for remaining := maxLingerBytes; remaining > 0; {
 		if d.fill(c) != nil {
 			return
 		}
-		left -= c.buf.Len()
+		remaining -= c.buf.Len()
 		c.buf.Reset()
 	}
-	for c.HasUnackedData() && time.Now().Before(end) {
+	for c.HasUnackedData() && time.Now().Before(deadline) {
 		time.Sleep(lingerPollInterval)
 	}
 }
 
-// serveBuffered has a request answered and makes the connection ready for the next.
-func (d *Server) serveBuffered(c *conn, body []byte, whole int) error {
+// serveBuffered serves a request whose body is complete, and prepares the connection for the next request.
+// The request's first requestBytes bytes are still in c.buf.
+func (d *Server) serveBuffered(c *conn, body []byte, requestBytes int) error {
 	x := &c.exchange
 	x.reset(body)
 	x.Close = c.head.ClosesConnection()
-	c.requestBytes, c.responsePending = whole, true
+	c.requestBytes, c.responsePending = requestBytes, true
 	d.cfg.Handler.ServeExchange(x)
 	if c.hijacked {
 		c.responsePending = false
 		x.releaseBuffers()
 		return errHijacked
 	}
-	return d.sendResponse(c, whole)
+	return d.sendResponse(c, requestBytes)
 }
 
-// sendResponse sends the answer, unless it has flowed, and makes the connection ready for the next request,
-// which begins behind so many bytes of what has been read.
-func (d *Server) sendResponse(c *conn, whole int) error {
+// sendResponse sends the response, unless it was streamed, and prepares the connection for the next
+// request, which starts after requestBytes bytes of c.buf.
+func (d *Server) sendResponse(c *conn, requestBytes int) error {
 	x := &c.exchange
 	if x.stream.started {
-		return d.finishStreamedResponse(c, whole)
+		return d.finishStreamedResponse(c, requestBytes)
 	}
 	if x.responseData == nil {
 		x.Respond(502, "text/plain; charset=utf-8", nil, []byte("failed\n"))
 	}
-	// What has come by now was sent before its caller saw this answer, at what time is not
-	// known: the earliest is taken, so that its answer is not late.
+	// Data that has arrived by now was sent before the caller could see this response. When it arrived
+	// is unknown: the earliest possible time is assumed, so that its response is not late.
 	c.idleSince = x.respondedAt
-	ahead := !x.Streaming && c.idleSince.Sub(c.lastReadAt) > pipelineWait && !c.ReadWouldBlock()
+	pipelined := !x.Streaming && c.idleSince.Sub(c.lastReadAt) > pipelineTolerance && !c.ReadWouldBlock()
 	err := d.writeResponse(c)
-	closes := x.Close
+	closing := x.Close
 	x.releaseBuffers()
 	if err != nil {
 		return err
 	}
 	c.responsePending = false
 	c.responseCount++
-	if closes {
-		if x.Streaming || ahead || c.buf.Len() > whole {
+	if closing {
+		if x.Streaming || pipelined || c.buf.Len() > requestBytes {
 			d.linger(c)
 		}
 		return errLastResponseSent
 	}
-	c.buf.Consume(whole)
-	return d.prepareForNextRequest(c, ahead)
+	c.buf.Consume(requestBytes)
+	return d.prepareForNextRequest(c, pipelined)
 }
 
-// prepareForNextRequest makes a connection ready for the next request, part of which may have come ahead.
-func (d *Server) prepareForNextRequest(c *conn, ahead bool) error {
-	c.pipelined = ahead || c.buf.Len() > 0
-	if c.buf.Len() > 0 { // the next request came with this one
+// prepareForNextRequest prepares a connection for the next request. unreadData means that data of that
+// request has arrived but has not been read. Other data of it may have been read into c.buf already.
+func (d *Server) prepareForNextRequest(c *conn, unreadData bool) error {
+	c.pipelined = unreadData || c.buf.Len() > 0
+	if c.buf.Len() > 0 { // the next request arrived together with this one
 		c.receivedAt = c.earliestArrivalAt
 		return nil
 	}
 	d.readBuffers.Put(c.buf)
 	c.buf = nil
-	if ahead {
+	if unreadData {
 		c.SetReadDeadline(time.Now().Add(d.cfg.Timeouts().Head))
 		if err := d.fill(c); err != nil {
 			return err
@@ -393,10 +399,11 @@
 	return nil
 }
 
-// pipelineWait is a wait that a request which came ahead may be off by.
-const pipelineWait = 5 * time.Millisecond
+// pipelineTolerance is the largest error that is accepted in the arrival time of a pipelined request. Unread
+// data counts as pipelined only if the response was composed longer than this after the last read.
+const pipelineTolerance = 5 * time.Millisecond
 
-// writeResponse writes the answer.
+// writeResponse writes the buffered response, within Timeouts.Write.
 func (d *Server) writeResponse(c *conn) error {
 	return c.WriteWithDeadline(c.exchange.responseData, time.Now().Add(d.cfg.Timeouts().Write))
 }
--- a/internal/httpserver/conntable.go
+++ b/internal/httpserver/conntable.go
@@ -2,107 +2,111 @@
 
 import "time"
 
-// connStage is how far a caller's connection has come. The lower, the sooner it gives way.
+// connStage is how far a connection's current request has progressed. Connections in a lower stage are
+// evicted first.
 type connStage uint8
 
 const (
-	stageNew     connStage = iota // nothing has come on it yet
+	stageNew     connStage = iota // open, nothing received yet
 	stageIdle                     // between two requests
-	stageReading                  // part of a request has come, or it is to be closed
-	stageServing                  // a request is being answered
+	stageReading                  // part of a request was received, or the connection is about to close
+	stageServing                  // a request is being served
 	numStages
 )
 
-// tableEntry is a connection as places sees it.
+// tableEntry is a connection's entry in a connTable, which owns all fields but conn.
 type tableEntry struct {
 	conn       *conn
 	stage      connStage
-	stageSince time.Time
-	prev, next *tableEntry
+	stageSince time.Time   // when the connection reached its stage
+	prev, next *tableEntry // in the list of the stage
 	inTable    bool
 }
 
-// connTable are the connections that callers may have open, by stage, those first that have been
-// in it for longest. It does no I/O and takes no lock.
+// connTable holds the open connections that count against the connection limit, and selects those to evict.
+// It has one list for each stage, in which the connection that reached the stage first comes first. It does
+// no I/O and takes no lock.
 type connTable struct {
 	maxOpen   int
 	openCount int
 	lists     [numStages]struct{ front, back *tableEntry }
 }
 
-// add lets a connection in, which is silent. There may be one more than the most: the
-// listener waits for a place before it accepts.
-func (p *connTable) add(g *tableEntry, now time.Time) {
-	g.inTable = true
+// add adds a new connection. The table never holds more than maxOpen+1 entries, since the
+// listener waits for a slot before it accepts.
+func (p *connTable) add(e *tableEntry, now time.Time) {
+	e.inTable = true
 	p.openCount++
-	p.pushBack(g, stageNew, now)
+	p.pushBack(e, stageNew, now)
 }
 
-// setStage notes the stage that a connection has come to. It tells whether the connection is still
-// in: one that has given way is to be closed.
-func (p *connTable) setStage(g *tableEntry, to connStage, now time.Time) bool {
-	if !g.inTable {
+// setStage records the stage that a connection has reached. It returns false if the connection is not
+// in the table: an evicted connection is about to close.
+func (p *connTable) setStage(e *tableEntry, stage connStage, now time.Time) bool {
+	if !e.inTable {
 		return false
 	}
-	p.unlink(g)
-	p.pushBack(g, to, now)
+	p.unlink(e)
+	p.pushBack(e, stage, now)
 	return true
 }
 
-// remove takes a connection out. It tells whether it was in.
-func (p *connTable) remove(g *tableEntry) bool {
-	if !g.inTable {
+// remove removes a connection and reports whether it was in the table.
+func (p *connTable) remove(e *tableEntry) bool {
+	if !e.inTable {
 		return false
 	}
-	p.unlink(g)
-	g.inTable = false
+	p.unlink(e)
+	e.inTable = false
 	p.openCount--
 	return true
 }
 
-// full tells whether the last place is taken: one is kept free for whoever comes next, since
-// silent and idle callers would fill all.
+// full reports whether maxOpen connections are in the table. Connections are evicted then, so that one
+// slot stays free for the next caller; otherwise new and idle connections would occupy all slots.
 func (p *connTable) full() bool { return p.openCount >= p.maxOpen }
 
-// evictionCandidate returns the connection that is the least loss: the one that has been silent for longest, else
-// idle, else with part of a request; the first and the last only after grace, as their requests may be on
-// their way. It is never one whose request has been taken, nor the newest unless that is idle, nor one of
-// the first two on which something has come that nobody has read yet, as quiet tells. It is nil if there
-// is none.
-func (p *connTable) evictionCandidate(newest *tableEntry, now time.Time, grace time.Duration, quiet func(*tableEntry) bool) *tableEntry {
-	for _, at := range []connStage{stageNew, stageIdle, stageReading} {
-		for g := p.lists[at].front; g != nil; g = g.next {
-			if at != stageIdle && (g == newest || now.Sub(g.stageSince) < grace) || at != stageReading && !quiet(g) {
+// evictionCandidate returns the connection whose eviction does the least harm, nil if none may be evicted:
+// the one that has been new for longest, else idle for longest, else reading for longest. New and reading
+// connections are evicted only after grace in their stage, as their requests may be on their way, and never
+// if they are the newest. New and idle connections must have no unread data, which readWouldBlock reports.
+// Connections whose request is being served are never evicted.
+func (p *connTable) evictionCandidate(newest *tableEntry, now time.Time, grace time.Duration, readWouldBlock func(*tableEntry) bool) *tableEntry {
+	for _, stage := range []connStage{stageNew, stageIdle, stageReading} {
+		for e := p.lists[stage].front; e != nil; e = e.next {
+			if stage != stageIdle && (e == newest || now.Sub(e.stageSince) < grace) || stage != stageReading && !readWouldBlock(e) {
 				continue
 			}
-			return g
+			return e
 		}
 	}
 	return nil
 }
 
-func (p *connTable) pushBack(g *tableEntry, at connStage, now time.Time) {
-	l := &p.lists[at]
-	g.stage, g.stageSince, g.prev, g.next = at, now, l.back, nil
+// pushBack appends an entry to the list of a stage.
+func (p *connTable) pushBack(e *tableEntry, stage connStage, now time.Time) {
+	l := &p.lists[stage]
+	e.stage, e.stageSince, e.prev, e.next = stage, now, l.back, nil
 	if l.back != nil {
-		l.back.next = g
+		l.back.next = e
 	} else {
-		l.front = g
+		l.front = e
 	}
-	l.back = g
+	l.back = e
 }
 
-func (p *connTable) unlink(g *tableEntry) {
-	l := &p.lists[g.stage]
-	if g.prev != nil {
-		g.prev.next = g.next
+// unlink removes an entry from the list of its stage.
+func (p *connTable) unlink(e *tableEntry) {
+	l := &p.lists[e.stage]
+	if e.prev != nil {
+		e.prev.next = e.next
 	} else {
-		l.front = g.next
+		l.front = e.next
 	}
-	if g.next != nil {
-		g.next.prev = g.prev
+	if e.next != nil {
+		e.next.prev = e.prev
 	} else {
-		l.back = g.prev
+		l.back = e.prev
 	}
-	g.prev, g.next = nil, nil
+	e.prev, e.next = nil, nil
 }
--- a/internal/httpserver/conntable_test.go
+++ b/internal/httpserver/conntable_test.go
@@ -8,89 +8,89 @@
 	"pgregory.net/rapid"
 )
 
-// The places against a plain model: a list of connections with their stages, searched from end
-// to end for the one that is the least loss.
+// TestConnTableModel compares the table with a simple model: a list of connections with their stages
+// that is searched completely for the eviction candidate.
 func TestConnTableModel(t *testing.T) {
-	type entry struct {
-		g     *tableEntry
-		at    connStage
-		since time.Time
+	type modelEntry struct {
+		entry      *tableEntry
+		stage      connStage
+		stageSince time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		p := connTable{maxOpen: 5}
+		table := connTable{maxOpen: 5}
 		now := time.Unix(0, 0)
 		const grace = 10 * time.Second
-		var model []*entry // in the order of their last moves
-		noisy := make(map[*tableEntry]bool)
-		find := func(t *rapid.T) *entry {
+		var model []*modelEntry // in the order of their last change of stage
+		hasUnreadData := make(map[*tableEntry]bool)
+		drawEntry := func(t *rapid.T) *modelEntry {
 			if len(model) == 0 {
-				t.Skip("nobody")
+				t.Skip("no connections")
 			}
-			return rapid.SampledFrom(model).Draw(t, "guest")
+			return rapid.SampledFrom(model).Draw(t, "entry")
 		}
-		drop := func(e *entry) { model = slices.DeleteFunc(model, func(x *entry) bool { return x == e }) }
+		deleteEntry := func(e *modelEntry) { model = slices.DeleteFunc(model, func(x *modelEntry) bool { return x == e }) }
 		t.Repeat(map[string]func(*rapid.T){
-			"enter": func(t *rapid.T) {
+			"add": func(t *rapid.T) {
 				now = now.Add(time.Second)
-				g := new(tableEntry)
-				p.add(g, now)
-				model = append(model, &entry{g, stageNew, now})
+				e := new(tableEntry)
+				table.add(e, now)
+				model = append(model, &modelEntry{e, stageNew, now})
 			},
-			"move": func(t *rapid.T) {
+			"set stage": func(t *rapid.T) {
 				now = now.Add(time.Second)
-				e := find(t)
-				to := connStage(rapid.IntRange(0, int(numStages)-1).Draw(t, "stage"))
-				if !p.setStage(e.g, to, now) {
-					t.Fatal("it is not in")
+				e := drawEntry(t)
+				stage := connStage(rapid.IntRange(0, int(numStages)-1).Draw(t, "stage"))
+				if !table.setStage(e.entry, stage, now) {
+					t.Fatal("setStage: entry is not in the table")
 				}
-				drop(e)
-				e.at, e.since = to, now
+				deleteEntry(e)
+				e.stage, e.stageSince = stage, now
 				model = append(model, e)
 			},
-			"noise": func(t *rapid.T) {
-				g := find(t).g
-				noisy[g] = !noisy[g]
+			"toggle unread data": func(t *rapid.T) {
+				e := drawEntry(t).entry
+				hasUnreadData[e] = !hasUnreadData[e]
 			},
-			"leave": func(t *rapid.T) {
-				e := find(t)
-				if !p.remove(e.g) || p.remove(e.g) || p.setStage(e.g, stageServing, now) {
-					t.Fatal("it was in once, and is not now")
+			"remove": func(t *rapid.T) {
+				e := drawEntry(t)
+				if !table.remove(e.entry) || table.remove(e.entry) || table.setStage(e.entry, stageServing, now) {
+					t.Fatal("the entry must be removed once and not be in the table afterwards")
 				}
-				drop(e)
+				deleteEntry(e)
 			},
-			"victim": func(t *rapid.T) {
+			"verify eviction candidate": func(t *rapid.T) {
 				var newest *tableEntry
-				if len(model) > 0 && rapid.Bool().Draw(t, "has a newest") {
-					newest = model[len(model)-1].g
+				if len(model) > 0 && rapid.Bool().Draw(t, "has newest") {
+					newest = model[len(model)-1].entry
 				}
-				var want *entry
+				var want *modelEntry
 				for _, e := range model {
 					switch {
-					case e.at == stageServing, e.g == newest && e.at != stageIdle, e.at < stageReading && noisy[e.g]:
-					case e.at != stageIdle && now.Sub(e.since) < grace:
-					case want == nil, e.at < want.at, e.at == want.at && e.since.Before(want.since):
+					case e.stage == stageServing, e.entry == newest && e.stage != stageIdle, e.stage < stageReading && hasUnreadData[e.entry]:
+					case e.stage != stageIdle && now.Sub(e.stageSince) < grace:
+					case want == nil, e.stage < want.stage, e.stage == want.stage && e.stageSince.Before(want.stageSince):
 						want = e
 					}
 				}
-				got := p.evictionCandidate(newest, now, grace, func(g *tableEntry) bool { return !noisy[g] })
-				if want == nil && got != nil || want != nil && got != want.g {
-					t.Fatalf("%v gives way, want %v", got, want)
+				got := table.evictionCandidate(newest, now, grace, func(e *tableEntry) bool { return !hasUnreadData[e] })
+				if want == nil && got != nil || want != nil && got != want.entry {
+					t.Fatalf("eviction candidate %v, want %v", got, want)
 				}
 			},
 			"": func(t *rapid.T) {
-				if p.openCount != len(model) || p.full() != (len(model) >= 5) {
-					t.Fatalf("%d are open, want %d", p.openCount, len(model))
+				if table.openCount != len(model) || table.full() != (len(model) >= 5) {
+					t.Fatalf("%d open connections, want %d", table.openCount, len(model))
 				}
 				n := 0
-				for at := range numStages {
-					for g := p.lists[at].front; g != nil; g = g.next {
-						if n++; g.stage != at {
-							t.Fatalf("stage %d in the list of %d", g.stage, at)
+				for stage := range numStages {
+					for e := table.lists[stage].front; e != nil; e = e.next {
+						if n++; e.stage != stage {
+							t.Fatalf("entry of stage %d in the list of stage %d", e.stage, stage)
 						}
 					}
 				}
 				if n != len(model) {
-					t.Fatalf("%d in the lists, want %d", n, len(model))
+					t.Fatalf("%d entries in the lists, want %d", n, len(model))
 				}
 			},
 		})
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -9,43 +9,46 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-// Exchange is a request that has come whole, or flows, and its answer.
+// Exchange is a request, which is complete or streamed, and its response.
 type Exchange struct {
-	Body         []byte
-	Streaming    bool // set by Handler.Head: Serve has the body by Upload, as it arrives
-	Close        bool // the connection ends with the answer
-	HandlerState any  // the handler's, from Head to Serve
+	Body         []byte // empty if Streaming
+	Streaming    bool   // set by Handler.CheckHead: ServeExchange gets the body by ReceiveBody, as it arrives
+	Close        bool   // the connection closes after the response
+	HandlerState any    // passed from Handler.CheckHead to Handler.ServeExchange
 
 	server       *Server
 	conn         *conn
-	respondedAt  time.Time // of the answer
+	respondedAt  time.Time // when the response's head was composed
 	responseData []byte
-	pooledBuffer *[]byte // of Door.outs, which out may have outgrown
+	pooledBuffer *[]byte // from Server.responseBuffers; responseData may have outgrown it
 
 	receiver *bodyReceiver
 	stream   responseStream
 }
 
-// RequestHead is the request's head.
+// RequestHead returns the request's head.
 func (x *Exchange) RequestHead() *http1.Request { return x.conn.head }
 
-// ReceivedAt is when the request's last byte came, from which its caller counts, or the first of one that flows. One
-// that was sent ahead of the answer to the one before has waited for that, all of which its caller counts.
+// ReceivedAt returns when the request's last byte arrived, or its first byte if it is streamed. The caller's
+// time for the request starts then. The caller of a pipelined request also counts the wait for the response to
+// the previous request, so that ReceivedAt is the earliest time at which the request may have arrived.
 func (x *Exchange) ReceivedAt() time.Time { return x.conn.receivedAt }
 
+// reset prepares x for a response to a request with the given body.
 func (x *Exchange) reset(body []byte) {
 	x.Body, x.Close = body, false
 	x.responseData, x.receiver, x.stream = nil, nil, responseStream{}
-	owned, ok := x.server.responseBuffers.Get().(*[]byte)
+	buffer, ok := x.server.responseBuffers.Get().(*[]byte)
 	if !ok {
-		owned = new([]byte)
+		buffer = new([]byte)
 	}
-	x.pooledBuffer = owned
+	x.pooledBuffer = buffer
 }
 
-// maxPooledResponseBytes is the largest space of an answer that is kept for another.
+// maxPooledResponseBytes is the largest capacity of a response buffer that returns to the pool.
 const maxPooledResponseBytes = 64 << 10
 
+// releaseBuffers returns the response buffer to the pool, unless it is too large.
 func (x *Exchange) releaseBuffers() {
 	if *x.pooledBuffer = x.responseData[:0]; cap(x.responseData) <= maxPooledResponseBytes {
 		x.server.responseBuffers.Put(x.pooledBuffer)
@@ -53,46 +56,50 @@
 	x.responseData, x.pooledBuffer, x.Body = nil, nil, nil
 }
 
-// NotifyDisconnect has l told if the caller goes away before Unwatch, which is owed. It returns false if
-// the caller has gone by now.
-func (x *Exchange) NotifyDisconnect(l Canceler) bool {
+// NotifyDisconnect arranges for canceler.Cancel to be called if the caller disconnects before
+// StopNotifyDisconnect, which must be called in any case. It returns false if the caller has already
+// disconnected.
+func (x *Exchange) NotifyDisconnect(canceler Canceler) bool {
 	x.server.mu.Lock()
 	defer x.server.mu.Unlock()
-	x.conn.canceler = l
+	x.conn.canceler = canceler
 	return !x.conn.disconnected
 }
 
-// CallerDisconnected tells whether the caller has gone, which it looks for itself: Watch tells it a moment later. It may be
-// called by any goroutine, also after Serve has returned.
+// CallerDisconnected reports whether the caller has disconnected. It checks the connection itself, and may
+// report a disconnect a moment before the Canceler is called. It may be called by any goroutine, also after
+// ServeExchange has returned.
 func (x *Exchange) CallerDisconnected() bool { return x.conn.PeerDisconnected() }
 
-// StopNotifyDisconnect ends Watch: l is told nothing from then on.
+// StopNotifyDisconnect ends NotifyDisconnect: the Canceler is not called from then on.
 func (x *Exchange) StopNotifyDisconnect() {
 	x.server.mu.Lock()
 	defer x.server.mu.Unlock()
 	x.conn.canceler = nil
 }
 
-// Respond sets the answer: fields appends further ones, whole lines, or is nil. Framing, Date
-// and Connection are the door's, see RFC 9110, 6.6.1 and 7.6.1.
-func (x *Exchange) Respond(status int, contentType string, fields func(b []byte) []byte, body []byte) {
+// Respond sets the response, which the server sends after ServeExchange has returned. appendFields appends
+// further header fields as complete lines, or is nil. The server sets the framing, Date and Connection
+// fields, see RFC 9110, 6.6.1 and 7.6.1.
+func (x *Exchange) Respond(status int, contentType string, appendFields func(b []byte) []byte, body []byte) {
 	b := http1.AppendStatusLine((*x.pooledBuffer)[:0], status)
 	if contentType != "" {
 		b = http1.AppendField(b, "Content-Type", contentType)
 	}
-	b = x.appendCommonFields(b, fields)
+	b = x.appendCommonFields(b, appendFields)
 	b = http1.AppendHeadEnd(http1.AppendContentLength(b, int64(len(body))))
 	x.responseData = append(b, body...)
 }
 
-// appendCommonFields appends the fields of any answer.
-func (x *Exchange) appendCommonFields(b []byte, fields func(b []byte) []byte) []byte {
+// appendCommonFields appends the header fields that every response has, and those of appendFields.
+func (x *Exchange) appendCommonFields(b []byte, appendFields func(b []byte) []byte) []byte {
 	x.respondedAt = time.Now()
 	b = x.server.appendDate(b, x.respondedAt)
-	if fields != nil {
-		b = fields(b)
+	if appendFields != nil {
+		b = appendFields(b)
 	}
-	// What is left of a request's body can't be told from the next request.
+	// The connection also closes if the request's body was not read to its end, as the rest can't be told from
+	// the next request.
 	x.Close = x.Close || x.receiver != nil && !x.receiver.complete() || x.server.draining.Load() && !x.hasMoreData()
 	if x.Close {
 		b = http1.AppendField(b, "Connection", "close")
@@ -100,30 +107,34 @@
 	return b
 }
 
-// hasMoreData tells whether something has come behind the request, which is answered too.
+// hasMoreData reports whether data of a further request has arrived. That request gets a response too, so that
+// this one does not end the connection during a shutdown.
 func (x *Exchange) hasMoreData() bool {
 	return x.conn.buf.Len() > x.conn.requestBytes || !x.conn.ReadWouldBlock()
 }
 
-// HijackedConn is a connection that its door has handed over. Its reader gets first what had been read
-// behind the request. It keeps its place, and Shutdown waits for it, until Close.
+// HijackedConn is a connection that a handler has taken over from the server. Read first returns the data
+// that the server had read after the request. Until Close, the connection keeps its slot and Shutdown
+// waits for it.
 type HijackedConn struct {
 	net.Conn
 	unread  []byte
 	release func()
 }
 
-// Hijack hands the connection over, as it is once Serve returns: the door neither answers on it
-// nor reads or closes it any more. It must be closed.
+// Hijack hands the connection over to the handler, without any deadline, as of the return of ServeExchange.
+// The server sends no response on it and neither reads nor closes it any more, except in Server.Close. The
+// new owner must close it.
 func (x *Exchange) Hijack() *HijackedConn {
 	c := x.conn
 	c.hijacked = true
 	x.StopNotifyDisconnect()
 	c.SetDeadline(time.Time{})
-	rest := c.buf.Bytes()[c.requestBytes:]
-	return &HijackedConn{Conn: c.Conn, unread: append([]byte(nil), rest...), release: sync.OnceFunc(func() { x.server.releaseConn(c) })}
+	unread := c.buf.Bytes()[c.requestBytes:]
+	return &HijackedConn{Conn: c.Conn, unread: append([]byte(nil), unread...), release: sync.OnceFunc(func() { x.server.releaseConn(c) })}
 }
 
+// Read reads as net.Conn does, first the data that the server had read.
 func (r *HijackedConn) Read(p []byte) (int, error) {
 	if len(r.unread) > 0 {
 		n := copy(p, r.unread)
@@ -133,23 +144,24 @@
 	return r.Conn.Read(p)
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and returns its slot. It may be called more than once.
 func (r *HijackedConn) Close() error {
 	defer r.release()
 	return r.Conn.Close()
 }
 
-// cachedDate is a Date field for one second.
+// cachedDate is a Date field line and the second for which it holds.
 type cachedDate struct {
 	unixSeconds int64
 	field       []byte
 }
 
+// appendDate appends the Date field line for now, which is formatted once a second.
 func (d *Server) appendDate(b []byte, now time.Time) []byte {
-	at := d.dateField.Load()
-	if at == nil || at.unixSeconds != now.Unix() {
-		at = &cachedDate{now.Unix(), http1.AppendField(nil, "Date", now.UTC().Format(http.TimeFormat))}
-		d.dateField.Store(at)
+	cached := d.dateField.Load()
+	if cached == nil || cached.unixSeconds != now.Unix() {
+		cached = &cachedDate{now.Unix(), http1.AppendField(nil, "Date", now.UTC().Format(http.TimeFormat))}
+		d.dateField.Store(cached)
 	}
-	return append(b, at.field...)
+	return append(b, cached.field...)
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,10 +1,10 @@
-// Package httpserver takes callers' connections and reads their requests. It holds to what each
-// caller may take of time, bytes and places, and hands on whole requests only; what they are
-// about is a [Handler]'s to judge.
+// Package httpserver accepts callers' connections and reads their HTTP/1.1 requests. It enforces
+// limits on time, bytes and open connections, and passes only complete requests, or requests whose
+// body is streamed, to a [Handler], which interprets them.
 //
-// Each connection has one goroutine, which serves its requests one after another. It holds no
-// buffer while the connection is idle. One further goroutine hears of all callers that go away
-// while their request is being answered.
+// Each connection has one goroutine, which serves its requests one after another and holds no
+// buffer while the connection is idle. One more goroutine detects the callers that disconnect
+// while their request is being served.
 package httpserver
 
 import (
@@ -22,25 +22,28 @@
 	"barleydrum.example/barleydrum/internal/tcpconn"
 )
 
-// Handler answers requests.
+// Handler responds to requests. Its methods are called by the goroutine of the request's connection.
 type Handler interface {
-	// CheckHead judges a request by its head, before its body is waited for. It returns nil to have
-	// the body read, or the answer to it; the connection ends after that, since what follows on
-	// it can't be trusted. It sets x.Flows to have the body as it arrives.
+	// CheckHead inspects a request's head before the server waits for the body. It returns nil to
+	// accept the request, or the response that rejects it; the server then closes the connection,
+	// since the data that follows on it can't be trusted. CheckHead sets x.Streaming to receive
+	// the body as it arrives.
 	CheckHead(x *Exchange) *ErrorResponse
 
-	// ServeExchange answers a request, which has come whole unless it flows, by x.Answer, or by x.Begin
-	// and what follows on it. What x holds is valid until it returns.
+	// ServeExchange serves a request, which is complete unless it is streamed. It responds with
+	// x.Respond, or with x.StartResponse, x.WriteBody and x.FinishResponse. The data that x refers
+	// to is valid until ServeExchange returns.
 	ServeExchange(x *Exchange)
 }
 
-// ErrorResponse is the answer to a request that can't be used.
+// ErrorResponse is the response to a request that is rejected.
 type ErrorResponse struct {
 	Status     int
 	Message    string
-	RetryAfter time.Duration // when to come back, 0 for no advice
+	RetryAfter time.Duration // value of the Retry-After field, 0 for no field
 }
 
+// appendFields appends the response's own header fields to b.
 func (r *ErrorResponse) appendFields(b []byte) []byte {
 	if r.RetryAfter > 0 {
 		b = http1.AppendRetryAfter(b, r.RetryAfter)
@@ -48,105 +51,106 @@
 	return b
 }
 
-// Canceler is told, once, that the caller of a request that is being answered has gone. It must
-// not call the door.
+// Canceler is notified when the caller of a request that is being served disconnects. The server
+// calls Cancel once, with its lock held, so that Cancel must not call the server.
 type Canceler interface{ Cancel() }
 
-// Timeouts are what a caller may take. They may change while the door is open.
+// Timeouts are the times that a caller is allowed. They may change while the server is running.
 type Timeouts struct {
-	Head          time.Duration // from a request's first byte, or a connection's begin, to its head's end
-	Body          time.Duration // for the body, beyond what is left of Head
+	Head          time.Duration // from a request's first byte, or the opening of its connection, to the end of its head
+	Body          time.Duration // for the body, in addition to what remains of Head
 	Idle          time.Duration // between two requests
-	Write         time.Duration // to take an answer
-	EvictionGrace time.Duration // for which part of a request is safe from giving way
+	Write         time.Duration // for the caller to receive a response
+	EvictionGrace time.Duration // during which a connection that is new, or has part of a request, is not evicted
 }
 
-// Config says how a door is kept.
+// Config configures a Server.
 type Config struct {
 	Handler        Handler
-	MaxConnections int        // connections that may be open
-	MaxHeadBytes   int        // bytes of a request's head
-	MaxBodyBytes   func() int // bytes of a body that comes in chunks and is held whole
+	MaxConnections int        // connections that may be open at once
+	MaxHeadBytes   int        // largest head of a request
+	MaxBodyBytes   func() int // largest chunked body that is buffered whole; streamed bodies have StreamLimits
 	Timeouts       func() Timeouts
 }
 
-// Server is a server of callers.
+// Server serves HTTP/1.1 connections of callers.
 type Server struct {
 	cfg             Config
 	limits          http1.Limits
 	readBuffers     http1.BufferPool
-	chunkBuffers    http1.BufferPool // for bodies that flow in chunks
-	responseBuffers sync.Pool        // of *[]byte, for answers
-	slots           chan struct{}    // one for each connection that is open
-	acceptStopped   chan struct{}
+	chunkBuffers    http1.BufferPool // for chunked bodies that are streamed
+	responseBuffers sync.Pool        // of *[]byte
+	slots           chan struct{}    // holds one element for each open connection
+	acceptStopped   chan struct{}    // closed when no more connections are accepted
 	draining        atomic.Bool
 	watcher         *tcpconn.DisconnectWatcher
 	dateField       atomic.Pointer[cachedDate]
 
 	mu                sync.Mutex
 	table             connTable
-	conns             map[uint64]*conn // that are open, by number
+	conns             map[uint64]*conn // open connections by id
 	lastConnID        uint64
-	evictionScheduled bool // a timer will make room
-	abortIncomplete   bool // what has not come whole by now is cut off
+	evictionScheduled bool // a timer will retry an eviction
+	abortIncomplete   bool // requests that are still incomplete are aborted
 	listeners         []net.Listener
-	allClosed         chan struct{} // closed once the last connection has gone, where Shutdown waits
+	allClosed         chan struct{} // closed when the last connection is removed; nil unless Shutdown waits
 }
 
-// conn is a caller's connection. Its goroutine owns it; what is under mu is the door's.
+// conn is a caller's connection. Its goroutine owns it, except for the fields that Server.mu guards.
 type conn struct {
 	*tcpconn.Conn
-	entry        tableEntry // under Door.mu
+	entry        tableEntry // guarded by Server.mu
 	id           uint64
-	disconnected bool     // the caller has gone; under Door.mu
-	canceler     Canceler // of the request that is being answered; under Door.mu
-	closeReason  error    // to end, and why; under Door.mu
+	disconnected bool     // the caller has disconnected; guarded by Server.mu
+	canceler     Canceler // of the request that is being served; guarded by Server.mu
+	closeReason  error    // why the connection was requested to close, nil if it was not; guarded by Server.mu
 
 	head              *http1.Request
-	buf               *http1.Buffer // nil while there is nothing in it
-	requestStartedAt  time.Time     // when the first byte of the request came
-	receivedAt        time.Time     // the earliest at which its last byte may have come, or the first of one that flows
-	pipelined         bool          // it began to come ahead of the answer to the one before
-	lastReadAt        time.Time     // the last time that something was read
-	earliestArrivalAt time.Time     // the earliest at which that may have come
-	idleSince         time.Time     // of the last answer, or of its begin
-	requestBytes      int           // bytes of the request that is being answered
+	buf               *http1.Buffer // data that was read but not consumed, nil if there is none
+	requestStartedAt  time.Time     // when the request's first byte arrived
+	receivedAt        time.Time     // earliest time at which the request's last byte (first byte if it is streamed) may have arrived
+	pipelined         bool          // the request started to arrive before the response to the previous one was sent
+	lastReadAt        time.Time     // when data was last read
+	earliestArrivalAt time.Time     // earliest time at which that data may have arrived
+	idleSince         time.Time     // time of the last response, or of the connection's opening
+	requestBytes      int           // bytes of the request being served that are still in buf
 
 	openedAt        time.Time
-	responsePending bool // a request has been handed on whose answer has not gone out whole
-	responseCount   int  // requests
+	responsePending bool // a request was passed to the handler and its response is not completely sent
+	responseCount   int  // responses that were completely sent
 
-	hijacked bool // the connection is another's
+	hijacked bool // the handler has taken over the connection
 	exchange Exchange
 }
 
-// New returns a Door.
+// New returns a Server. It runs a goroutine, and holds a file descriptor, until Close or the end of Shutdown.
 func New(cfg Config) (*Server, error) {
-	w, err := tcpconn.NewDisconnectWatcher()
+	watcher, err := tcpconn.NewDisconnectWatcher()
 	if err != nil {
-		return nil, fmt.Errorf("door: %w", err)
+		return nil, fmt.Errorf("httpserver: %w", err)
 	}
 	d := &Server{
-		cfg: cfg, limits: http1.DefaultLimits, watcher: w,
+		cfg: cfg, limits: http1.DefaultLimits, watcher: watcher,
 		chunkBuffers: http1.BufferPool{InitialSize: body.BlockSize},
 		slots:        make(chan struct{}, cfg.MaxConnections), acceptStopped: make(chan struct{}),
 		table: connTable{maxOpen: cfg.MaxConnections}, conns: make(map[uint64]*conn),
 	}
 	d.limits.HeadBytes = cfg.MaxHeadBytes
 	go func() {
-		if err := w.Run(d.notifyDisconnect); err != nil {
-			slog.Error("door: callers that go away are noticed no more", "err", err)
+		if err := watcher.Run(d.notifyDisconnect); err != nil {
+			slog.Error("httpserver: disconnect watcher failed; disconnects of callers are no longer detected", "err", err)
 		}
 	}()
 	return d, nil
 }
 
-// Serve accepts connections until Shutdown or Close. Several listeners may be served together.
+// Serve accepts connections until Shutdown or Close, and returns nil then. Otherwise it returns the
+// error after which the listener can accept no more. Several listeners may be served concurrently.
 func (d *Server) Serve(l net.Listener) error {
 	d.mu.Lock()
 	d.listeners = append(d.listeners, l)
 	d.mu.Unlock()
-	var pause time.Duration
+	var retryDelay time.Duration
 	for {
 		select {
 		case d.slots <- struct{}{}:
@@ -156,10 +160,10 @@
 		c, err := l.Accept()
 		if err == nil {
 			if err := d.addConn(c); err != nil {
-				slog.Warn("door: a connection can't be served", "err", err)
+				slog.Warn("httpserver: accepted connection can't be served", "err", err)
 				<-d.slots
 			}
-			pause = 0
+			retryDelay = 0
 			continue
 		}
 		<-d.slots
@@ -168,32 +172,33 @@
 			return nil
 		default:
 		}
-		// A connection that breaks as it is accepted says nothing of the next. Without a
-		// descriptor the next fails too, until one is free: the least loss gives way.
+		// An error of the connection being accepted does not affect the next one. If file
+		// descriptors have run out, accept fails until one is free, so that a connection is evicted.
 		if tcpconn.IsFatalAcceptError(err) {
-			return fmt.Errorf("door: %w", err)
+			return fmt.Errorf("httpserver: %w", err)
 		}
 		if tcpconn.IsOutOfDescriptors(err) {
 			d.mu.Lock()
 			d.evictOne(nil)
 			d.mu.Unlock()
 		}
-		pause = min(max(2*pause, time.Millisecond), 100*time.Millisecond)
+		retryDelay = min(max(2*retryDelay, time.Millisecond), 100*time.Millisecond)
 		select {
-		case <-time.After(pause):
+		case <-time.After(retryDelay):
 		case <-d.acceptStopped:
 			return nil
 		}
 	}
 }
 
-// addConn lets a connection in, whose place has been taken.
+// addConn starts to serve an accepted connection, for which Serve has acquired a slot. On an error
+// the connection is closed, and Serve returns the slot.
 func (d *Server) addConn(nc net.Conn) error {
-	s, err := tcpconn.New(nc, &d.readBuffers)
+	tc, err := tcpconn.New(nc, &d.readBuffers)
 	if err != nil {
 		return errors.Join(err, nc.Close())
 	}
-	c := &conn{Conn: s, head: http1.NewRequest(d.limits), idleSince: time.Now()}
+	c := &conn{Conn: tc, head: http1.NewRequest(d.limits), idleSince: time.Now()}
 	c.openedAt = c.idleSince
 	c.entry.conn, c.exchange.conn, c.exchange.server = c, c, d
 	d.mu.Lock()
@@ -203,7 +208,7 @@
 	d.table.add(&c.entry, c.idleSince)
 	d.evictUntilBelowLimit(&c.entry)
 	d.mu.Unlock()
-	if err := d.watcher.Add(s, c.id); err != nil && !errors.Is(err, net.ErrClosed) {
+	if err := d.watcher.Add(tc, c.id); err != nil && !errors.Is(err, net.ErrClosed) {
 		d.removeConn(c)
 		return errors.Join(err, nc.Close())
 	}
@@ -211,13 +216,13 @@
 	return nil
 }
 
-// releaseConn forgets a connection and gives its place back.
+// releaseConn removes a connection and returns its slot.
 func (d *Server) releaseConn(c *conn) {
 	d.removeConn(c)
 	<-d.slots
 }
 
-// removeConn forgets a connection.
+// removeConn removes a connection from the table and the map of open connections.
 func (d *Server) removeConn(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -229,52 +234,54 @@
 	}
 }
 
-// setStage notes the stage of a connection. One that was asked to end and has read something since
-// is in again: whatever has been read gets its answer.
-func (d *Server) setStage(c *conn, at connStage, now time.Time) {
+// setStage records the stage that a connection has reached. It cancels a request to close the
+// connection, and adds an evicted connection to the table again: data that has been read always
+// gets a response.
+func (d *Server) setStage(c *conn, stage connStage, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.closeReason = nil
-	if !d.table.setStage(&c.entry, at, now) {
+	if !d.table.setStage(&c.entry, stage, now) {
 		d.table.add(&c.entry, now)
-		d.table.setStage(&c.entry, at, now)
+		d.table.setStage(&c.entry, stage, now)
 		d.evictUntilBelowLimit(&c.entry)
 		return
 	}
-	if at != stageServing {
+	if stage != stageServing {
 		d.evictUntilBelowLimit(&c.entry)
 	}
 }
 
-// requestClose asks a connection to end that has no request which is being answered. Its own goroutine ends it,
-// unless that has read something by then. The caller holds the lock.
+// requestClose requests a connection to close on which no request is being served. The connection's
+// own goroutine closes it, unless it has read data in the meantime. d.mu must be held.
 func (d *Server) requestClose(c *conn, reason error) {
 	c.closeReason = reason
 	c.SetReadDeadline(expiredDeadline)
 }
 
-// closeReason is why a connection has been asked to end, nil if it has not been.
+// closeReason returns why a connection was requested to close, nil if it was not.
 func (d *Server) closeReason(c *conn) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return c.closeReason
 }
 
-// setReadDeadline sets the time by which something must be read, unless the connection is to end.
-func (d *Server) setReadDeadline(c *conn, until time.Time) {
+// setReadDeadline sets the deadline for the next read. On a connection that was requested to close, or
+// that the shutdown closes in its present stage, it sets one that has passed.
+func (d *Server) setReadDeadline(c *conn, deadline time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.closeReason == nil && (d.abortIncomplete || c.entry.stage == stageIdle && d.draining.Load()) {
 		c.closeReason = errShuttingDown
 	}
 	if c.closeReason != nil {
-		until = expiredDeadline
+		deadline = expiredDeadline
 	}
-	c.SetReadDeadline(until)
+	c.SetReadDeadline(deadline)
 }
 
-// evictUntilBelowLimit closes connections until a place is free. If none may be closed yet, it looks
-// again later.
+// evictUntilBelowLimit evicts connections until the table has a free slot. If none may be evicted yet,
+// it tries again after EvictionGrace. d.mu must be held.
 func (d *Server) evictUntilBelowLimit(newest *tableEntry) {
 	for d.table.full() {
 		if d.evictOne(newest) {
@@ -293,29 +300,31 @@
 	}
 }
 
-// evictOne closes the connection that is the least loss, and tells whether there was one.
+// evictOne removes the table's eviction candidate and requests its connection to close. It reports whether
+// there was a candidate. d.mu must be held.
 func (d *Server) evictOne(newest *tableEntry) bool {
-	out := d.table.evictionCandidate(newest, time.Now(), d.cfg.Timeouts().EvictionGrace, func(g *tableEntry) bool { return g.conn.ReadWouldBlock() })
-	if out == nil {
+	candidate := d.table.evictionCandidate(newest, time.Now(), d.cfg.Timeouts().EvictionGrace, func(e *tableEntry) bool { return e.conn.ReadWouldBlock() })
+	if candidate == nil {
 		return false
 	}
-	d.table.remove(out)
-	d.requestClose(out.conn, errEvicted)
+	d.table.remove(candidate)
+	d.requestClose(candidate.conn, errEvicted)
 	return true
 }
 
-// callerDisconnected tells whether a connection's caller has gone.
+// callerDisconnected reports whether the disconnect watcher has reported a connection's caller.
 func (d *Server) callerDisconnected(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return c.disconnected
 }
 
-// notifyDisconnect tells whoever answers a caller's request that the caller has gone.
-func (d *Server) notifyDisconnect(number uint64) {
+// notifyDisconnect records that a connection's caller has disconnected and calls the Canceler of the
+// request that is being served, if there is one.
+func (d *Server) notifyDisconnect(id uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.conns[number]
+	c := d.conns[id]
 	if c == nil || c.disconnected {
 		return
 	}
@@ -325,14 +334,15 @@
 	}
 }
 
-// Shutdown steers callers off: idle connections end, answers say that theirs ends, and after linger no
-// more connections are accepted, and those end on which no whole request has come. It returns when all
-// have gone, or when ctx ends, with how many are left.
-func (d *Server) Shutdown(ctx context.Context, linger time.Duration) (left int) {
+// Shutdown drains the server: it closes idle connections and has responses announce the end of theirs
+// with Connection: close. After acceptGrace it accepts no more connections and closes those without a
+// complete request. It returns when all connections are closed, or when ctx ends, with the number of
+// connections that remained; it closes these.
+func (d *Server) Shutdown(ctx context.Context, acceptGrace time.Duration) (remaining int) {
 	d.draining.Store(true)
 	d.requestCloseAll(stageIdle)
 	select {
-	case <-time.After(linger):
+	case <-time.After(acceptGrace):
 	case <-ctx.Done():
 	}
 	d.closeListeners()
@@ -345,36 +355,37 @@
 	case <-ctx.Done():
 	}
 	d.mu.Lock()
-	left = len(d.conns)
+	remaining = len(d.conns)
 	d.mu.Unlock()
 	d.Close()
-	return left
+	return remaining
 }
 
-// requestCloseAll asks all connections at some stages to end, for the shutdown.
+// requestCloseAll requests all connections in the given stages to close because of the shutdown.
 func (d *Server) requestCloseAll(stages ...connStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, at := range stages {
-		for g := d.table.lists[at].front; g != nil; g = g.next {
-			d.requestClose(g.conn, errShuttingDown)
+	for _, stage := range stages {
+		for e := d.table.lists[stage].front; e != nil; e = e.next {
+			d.requestClose(e.conn, errShuttingDown)
 		}
 	}
 }
 
-// allConnsClosed is closed once no connection is left.
+// allConnsClosed returns a channel that is closed once no connection is open.
 func (d *Server) allConnsClosed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	empty := make(chan struct{})
+	allClosed := make(chan struct{})
 	if len(d.conns) == 0 {
-		close(empty)
+		close(allClosed)
 	} else {
-		d.allClosed = empty
+		d.allClosed = allClosed
 	}
-	return empty
+	return allClosed
 }
 
+// closeListeners closes all listeners and makes Serve return. It may be called more than once.
 func (d *Server) closeListeners() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -389,7 +400,7 @@
 	d.listeners = nil
 }
 
-// Close ends all listeners and connections at once.
+// Close closes all listeners and connections immediately, and stops the disconnect watcher.
 func (d *Server) Close() {
 	d.closeListeners()
 	d.mu.Lock()
@@ -400,5 +411,5 @@
 	d.watcher.Close()
 }
 
-// Draining tells whether Shutdown has begun.
+// Draining reports whether Shutdown has started.
 func (d *Server) Draining() bool { return d.draining.Load() }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -19,54 +19,59 @@
 	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
-// testTimeout is how long a test waits for what must happen: no verdict leans on it being short.
+// testTimeout is how long a test waits for an event that must happen. No test depends on it being short.
 const testTimeout = 20 * time.Second
 
-// hugeResponseBytes is the length of an answer that no socket takes at once.
+// hugeResponseBytes is the length of a body that does not fit into a socket buffer.
 const hugeResponseBytes = 64 << 20
 
-// streamTimeout is the time for an answer that flows.
+// streamTimeout is the deadline and the rate window of a streamed response.
 const streamTimeout = time.Second
 
-// echoHandler answers with the method, the target and the body. /hold waits for free, or until the
-// caller goes; /long answers with 4 MiB, /huge with 64; /flow flows;
-// /panic panics; /no is refused by its head.
+// echoHandler responds with the method, the target and the body of a request. Some paths differ:
+//   - /hold first waits for release, or until the caller disconnects;
+//   - /hold-responded waits for release after it has composed an empty response;
+//   - /long responds with 4 MiB and /huge with 64 MiB of zeros;
+//   - /stream streams its response;
+//   - /hijack takes over the connection;
+//   - /panic panics;
+//   - /reject is rejected by CheckHead.
 type echoHandler struct {
-	holding, canceled chan struct{}
-	release           chan struct{}
+	holding, canceled chan struct{} // receive an element for each request that waits, or whose caller has disconnected
+	release           chan struct{} // closed to end all waits
 	hijacked          chan *HijackedConn
 	requestCount      atomic.Int32
 }
 
-func newEcho() *echoHandler {
+func newEchoHandler() *echoHandler {
 	return &echoHandler{holding: make(chan struct{}, 2000), canceled: make(chan struct{}, 2000), release: make(chan struct{}), hijacked: make(chan *HijackedConn, 1)}
 }
 
 func (*echoHandler) CheckHead(x *Exchange) *ErrorResponse {
-	if string(x.RequestHead().Path()) == "/no" {
+	if string(x.RequestHead().Path()) == "/reject" {
 		return &ErrorResponse{Status: http.StatusForbidden, Message: "no"}
 	}
 	x.HandlerState = "seen"
 	return nil
 }
 
-// cancelChan tells a channel.
-type cancelChan chan struct{}
+// cancelNotifier is a Canceler that sends to a channel.
+type cancelNotifier chan struct{}
 
-func (l cancelChan) Cancel() { l <- struct{}{} }
+func (l cancelNotifier) Cancel() { l <- struct{}{} }
 
 func (e *echoHandler) ServeExchange(x *Exchange) {
 	e.requestCount.Add(1)
 	if x.HandlerState != "seen" {
-		panic("not seen by Head")
+		panic("HandlerState was not set by CheckHead")
 	}
 	switch path := string(x.RequestHead().Path()); path {
-	case "/after": // the end begins once the answer has been worded
+	case "/hold-responded": // the test starts the shutdown after the response has been composed
 		x.Respond(200, "", nil, nil)
 		e.holding <- struct{}{}
 		<-e.release
 		return
-	case "/raw":
+	case "/hijack":
 		e.hijacked <- x.Hijack()
 		return
 	case "/panic":
@@ -77,69 +82,73 @@
 	case "/huge":
 		x.Respond(200, "", nil, make([]byte, hugeResponseBytes))
 		return
-	case "/flow":
-		text := []byte("flows")
-		how := StreamLimits{RateMeter: transferrate.Meter{MinBytesPerSecond: 1, Window: streamTimeout}, Deadline: time.Now().Add(streamTimeout)}
-		if err := x.StartResponse(200, nil, int64(len(text)), how); err == nil {
-			x.WriteBody(text)
+	case "/stream":
+		body := []byte("streamed")
+		limits := StreamLimits{RateMeter: transferrate.Meter{MinBytesPerSecond: 1, Window: streamTimeout}, Deadline: time.Now().Add(streamTimeout)}
+		if err := x.StartResponse(200, nil, int64(len(body)), limits); err == nil {
+			x.WriteBody(body)
 			x.FinishResponse(nil)
 		}
 		return
 	case "/hold":
-		left := make(cancelChan, 1)
-		here := x.NotifyDisconnect(left)
+		canceled := make(cancelNotifier, 1)
+		connected := x.NotifyDisconnect(canceled)
 		e.holding <- struct{}{}
-		if here {
+		if connected {
 			select {
-			case <-left:
-				here = false
+			case <-canceled:
+				connected = false
 			case <-e.release:
 			}
 		}
 		x.StopNotifyDisconnect()
-		if !here {
+		if !connected {
 			e.canceled <- struct{}{}
 		}
 	}
 	x.Respond(200, "text/plain", nil, fmt.Appendf(nil, "%s %s %s", x.RequestHead().Method(), x.RequestHead().Target(), x.Body))
 }
 
+// testServer is a running Server with an echoHandler.
 type testServer struct {
 	t           testing.TB
 	server      *Server
 	handler     *echoHandler
 	addr        string
-	serveResult chan error
+	serveResult chan error // of Server.Serve
 }
 
+// longTimeouts returns timeouts that are not reached in a passing test.
 func longTimeouts() Timeouts {
 	return Timeouts{Head: testTimeout, Body: testTimeout, Idle: testTimeout, Write: testTimeout, EvictionGrace: testTimeout}
 }
 
-func startServer(t testing.TB, places int, times Timeouts) *testServer {
+// startServer starts a server on a loopback address.
+func startServer(t testing.TB, maxConns int, timeouts Timeouts) *testServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startServerOn(t, l, places, times)
+	return startServerOn(t, l, maxConns, timeouts)
 }
 
-func startServerOn(t testing.TB, l net.Listener, places int, times Timeouts) *testServer {
+// startServerOn starts a server on the listener l.
+func startServerOn(t testing.TB, l net.Listener, maxConns int, timeouts Timeouts) *testServer {
 	t.Helper()
-	e := newEcho()
-	d, err := New(Config{Handler: e, MaxConnections: places, MaxHeadBytes: 16 << 10, MaxBodyBytes: func() int { return 64 << 10 }, Timeouts: func() Timeouts { return times }})
+	handler := newEchoHandler()
+	server, err := New(Config{Handler: handler, MaxConnections: maxConns, MaxHeadBytes: 16 << 10, MaxBodyBytes: func() int { return 64 << 10 }, Timeouts: func() Timeouts { return timeouts }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &testServer{t: t, server: d, handler: e, addr: l.Addr().String(), serveResult: make(chan error, 1)}
-	go func() { h.serveResult <- d.Serve(l) }()
-	t.Cleanup(d.Close)
-	return h
+	srv := &testServer{t: t, server: server, handler: handler, addr: l.Addr().String(), serveResult: make(chan error, 1)}
+	go func() { srv.serveResult <- server.Serve(l) }()
+	t.Cleanup(server.Close)
+	return srv
 }
 
-// dial opens a connection and sends a text on it.
-func (h *testServer) dial(text string) net.Conn {
+// dial opens a connection and sends data on it.
+func (h *testServer) dial(data string) net.Conn {
 	h.t.Helper()
 	c, err := net.Dial("tcp", h.addr)
 	if err != nil {
@@ -147,20 +156,21 @@
 	}
 	h.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testTimeout))
-	if _, err := io.WriteString(c, text); err != nil {
+	if _, err := io.WriteString(c, data); err != nil {
 		h.t.Fatal(err)
 	}
 	return c
 }
 
+// postRequest returns a POST request as it is sent.
 func postRequest(target, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", target, len(body), body)
 }
 
-// readResponse reads one answer.
-func (h *testServer) readResponse(in *bufio.Reader) (*http.Response, string) {
+// readResponse reads one response and its body.
+func (h *testServer) readResponse(reader *bufio.Reader) (*http.Response, string) {
 	h.t.Helper()
-	resp, err := http.ReadResponse(in, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -171,51 +181,53 @@
 	return resp, string(body)
 }
 
-func (h *testServer) waitFor(c <-chan struct{}, what string) {
+// waitFor waits for an element on c. event describes it in the failure message.
+func (h *testServer) waitFor(c <-chan struct{}, event string) {
 	h.t.Helper()
 	select {
 	case <-c:
 	case <-time.After(testTimeout):
-		h.t.Fatalf("%s: not within %v", what, testTimeout)
+		h.t.Fatalf("%s: not within %v", event, testTimeout)
 	}
 }
 
-// waitForConns waits until no connection is left.
-func (h *testServer) waitForConns(most int) {
+// waitForOpenConns waits until at most maxOpen connections are open.
+func (h *testServer) waitForOpenConns(maxOpen int) {
 	h.t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		h.server.mu.Lock()
 		n := len(h.server.conns)
 		h.server.mu.Unlock()
-		if n <= most && len(h.server.slots) <= most+1 { // one place is for whoever comes next
+		if n <= maxOpen && len(h.server.slots) <= maxOpen+1 { // Serve holds one slot for the next connection
 			return
 		}
-		if time.Now().After(end) {
-			h.t.Fatalf("%d connections and %d places are left", n, len(h.server.slots))
+		if time.Now().After(deadline) {
+			h.t.Fatalf("%d connections remain and %d slots are in use", n, len(h.server.slots))
 		}
 	}
 }
 
-// Requests of each shape are answered in turn on one connection, whole or a byte a segment.
+// Requests with bodies of several lengths are served in turn on one connection, whether they arrive in one
+// write or byte by byte.
 func TestServerServesRequestsInTurn(t *testing.T) {
-	h := startServer(t, 10, longTimeouts())
+	srv := startServer(t, 10, longTimeouts())
 	long := strings.Repeat("x", 60<<10)
-	for name, cut := range map[string]int{"whole": 1 << 20, "by bytes": 1} {
-		c := h.dial("")
-		in := bufio.NewReader(c)
+	for name, writeSize := range map[string]int{"whole": 1 << 20, "by bytes": 1} {
+		c := srv.dial("")
+		reader := bufio.NewReader(c)
 		for _, body := range []string{"", "short", long} {
-			if cut == 1 && len(body) > 100 {
+			if writeSize == 1 && len(body) > 100 {
 				continue
 			}
-			text := postRequest("/a?b", body)
-			for len(text) > 0 {
-				n := min(cut, len(text))
-				if _, err := io.WriteString(c, text[:n]); err != nil {
+			request := postRequest("/a?b", body)
+			for len(request) > 0 {
+				n := min(writeSize, len(request))
+				if _, err := io.WriteString(c, request[:n]); err != nil {
 					t.Fatal(err)
 				}
-				text = text[n:]
+				request = request[n:]
 			}
-			resp, got := h.readResponse(in)
+			resp, got := srv.readResponse(reader)
 			if resp.StatusCode != 200 || got != "POST /a?b "+body || resp.Close || resp.Header.Get("Date") == "" {
 				t.Errorf("%s: %s %v %.40q", name, resp.Status, resp.Header, got)
 			}
@@ -223,72 +235,72 @@
 	}
 }
 
-// Connection: close is kept to, and a client that waits for 100 Continue gets it where the
-// body is wanted only.
+// The server honors Connection: close, and sends 100 Continue to a caller that waits for it only if the
+// request was accepted by its head.
 func TestServerHonorsConnectionCloseAndExpectContinue(t *testing.T) {
-	h := startServer(t, 10, longTimeouts())
-	c := h.dial("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-	in := bufio.NewReader(c)
-	if resp, _ := h.readResponse(in); !resp.Close {
-		t.Error("the answer does not say that the connection ends")
-	}
-	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("%v, want the end", err)
-	}
-	for target, want := range map[string]int{"/": 100, "/no": 403} {
-		c := h.dial("POST " + target + " HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-		in := bufio.NewReader(c)
-		resp, err := http.ReadResponse(in, nil)
+	srv := startServer(t, 10, longTimeouts())
+	c := srv.dial("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+	reader := bufio.NewReader(c)
+	if resp, _ := srv.readResponse(reader); !resp.Close {
+		t.Error("the response has no Connection: close")
+	}
+	if _, err := reader.ReadByte(); err != io.EOF {
+		t.Errorf("%v, want io.EOF", err)
+	}
+	for target, want := range map[string]int{"/": 100, "/reject": 403} {
+		c := srv.dial("POST " + target + " HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+		reader := bufio.NewReader(c)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil || resp.StatusCode != want {
 			t.Fatalf("%s: %v %v", target, resp, err)
 		}
 		if want == 100 {
 			io.WriteString(c, "ok")
-			if _, body := h.readResponse(in); body != "POST / ok" {
+			if _, body := srv.readResponse(reader); body != "POST / ok" {
 				t.Errorf("%q", body)
 			}
 		}
 	}
 }
 
-// Of requests sent ahead, those that can be read are answered in their order; one that can't
-// is refused, and ends the connection whatever follows.
+// Pipelined requests are served in order. One that is malformed or rejected gets a 4xx response and closes
+// the connection; requests after it are not served.
 func TestServerServesPipelinedRequestsInOrder(t *testing.T) {
-	h := startServer(t, 10, longTimeouts())
-	for name, bad := range map[string]string{
-		"noise": "\x00\xff", "two lengths": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 9\r\n\r\n",
-		"refused": postRequest("/no", "body"),
+	srv := startServer(t, 10, longTimeouts())
+	for name, invalid := range map[string]string{
+		"garbage": "\x00\xff", "two lengths": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 9\r\n\r\n",
+		"rejected": postRequest("/reject", "body"),
 	} {
-		before := h.handler.requestCount.Load()
-		c := h.dial(postRequest("/1", "a") + postRequest("/2", "") + bad + postRequest("/3", "c"))
-		in := bufio.NewReader(c)
+		before := srv.handler.requestCount.Load()
+		c := srv.dial(postRequest("/1", "a") + postRequest("/2", "") + invalid + postRequest("/3", "c"))
+		reader := bufio.NewReader(c)
 		for _, want := range []string{"POST /1 a", "POST /2 "} {
-			if _, got := h.readResponse(in); got != want {
+			if _, got := srv.readResponse(reader); got != want {
 				t.Errorf("%s: %q, want %q", name, got, want)
 			}
 		}
-		if resp, _ := h.readResponse(in); resp.StatusCode/100 != 4 || !resp.Close {
-			t.Errorf("%s: %s, closes %v", name, resp.Status, resp.Close)
+		if resp, _ := srv.readResponse(reader); resp.StatusCode/100 != 4 || !resp.Close {
+			t.Errorf("%s: %s, Close: %v", name, resp.Status, resp.Close)
 		}
-		if n, _ := io.Copy(io.Discard, in); n > 0 {
-			t.Errorf("%s: %d bytes follow", name, n)
+		if n, _ := io.Copy(io.Discard, reader); n > 0 {
+			t.Errorf("%s: %d bytes after the last response", name, n)
 		}
-		if n := h.handler.requestCount.Load() - before; n != 2 {
-			t.Errorf("%s: %d were served, want 2", name, n)
+		if n := srv.handler.requestCount.Load() - before; n != 2 {
+			t.Errorf("%s: %d requests were served, want 2", name, n)
 		}
 	}
 }
 
-// A caller may end its connection or reset it in each stage. Nothing is kept of it, and
-// whoever answers it is told.
+// A caller may close or reset its connection, or end its sending, in each stage. The server removes the
+// connection and cancels a request that is being served.
 func TestServerDetectsDisconnectInEveryStage(t *testing.T) {
-	h := startServer(t, 10, longTimeouts())
-	for name, text := range map[string]string{
-		"silent": "", "part of a head": "POST / HT", "a head": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n",
-		"part of a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf", "taken": postRequest("/hold", ""),
-		"taken, with more behind": postRequest("/hold", "") + "POST",
+	srv := startServer(t, 10, longTimeouts())
+	for name, sent := range map[string]string{
+		"new": "", "part of a head": "POST / HT", "a head": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\n",
+		"part of a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf", "serving": postRequest("/hold", ""),
+		"serving, with more data": postRequest("/hold", "") + "POST",
 	} {
-		for how, end := range map[string]func(c *net.TCPConn){
+		for how, disconnect := range map[string]func(c *net.TCPConn){
 			"closes": func(c *net.TCPConn) { c.Close() },
 			"resets": func(c *net.TCPConn) {
 				c.SetLinger(0)
@@ -296,61 +308,62 @@
 			},
 			"ends its sending": func(c *net.TCPConn) { c.CloseWrite() },
 		} {
-			c := h.dial(text).(*net.TCPConn)
-			if strings.HasPrefix(name, "taken") {
-				h.waitFor(h.handler.holding, "request")
+			c := srv.dial(sent).(*net.TCPConn)
+			if strings.HasPrefix(name, "serving") {
+				srv.waitFor(srv.handler.holding, "request")
 			}
-			end(c)
-			if strings.HasPrefix(name, "taken") {
-				h.waitFor(h.handler.canceled, name+", "+how)
+			disconnect(c)
+			if strings.HasPrefix(name, "serving") {
+				srv.waitFor(srv.handler.canceled, name+", "+how)
 			}
-			h.waitForConns(0)
+			srv.waitForOpenConns(0)
 		}
 	}
 }
 
-// A caller that reads nothing is ended once its time to take the answer is up.
+// The connection of a caller that reads nothing is closed when Timeouts.Write has passed.
 func TestServerEnforcesWriteTimeout(t *testing.T) {
-	times := longTimeouts()
-	times.Write = 20 * time.Millisecond
-	h := startServer(t, 10, times)
-	h.dial(postRequest("/long", ""))
-	for h.handler.requestCount.Load() == 0 {
+	timeouts := longTimeouts()
+	timeouts.Write = 20 * time.Millisecond
+	srv := startServer(t, 10, timeouts)
+	srv.dial(postRequest("/long", ""))
+	for srv.handler.requestCount.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	h.waitForConns(0)
+	srv.waitForOpenConns(0)
 }
 
-// Each stage has its time; then the caller is ended, with an answer where it has begun a body.
+// Each stage has its timeout, after which the connection is closed. A caller that has sent part of a body
+// gets a response first.
 func TestServerEnforcesTimeoutOfEachStage(t *testing.T) {
-	times := longTimeouts()
-	times.Head, times.Body, times.Idle = 30*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond
-	h := startServer(t, 10, times)
-	for name, text := range map[string]string{
-		"silent": "", "half a head": "POST / HTTP/1.1\r\n", "half a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf",
+	timeouts := longTimeouts()
+	timeouts.Head, timeouts.Body, timeouts.Idle = 30*time.Millisecond, 30*time.Millisecond, 30*time.Millisecond
+	srv := startServer(t, 10, timeouts)
+	for name, sent := range map[string]string{
+		"new": "", "half a head": "POST / HTTP/1.1\r\n", "half a body": "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf",
 		"idle": postRequest("/", "x"),
 	} {
-		c := h.dial(text)
+		c := srv.dial(sent)
 		got, err := io.ReadAll(c)
 		if err != nil || name == "half a body" && !strings.HasPrefix(string(got), "HTTP/1.1 400") || name == "idle" && !strings.Contains(string(got), "POST / x") {
 			t.Errorf("%s: %q %v", name, got, err)
 		}
 	}
-	h.waitForConns(0)
+	srv.waitForOpenConns(0)
 }
 
-// 1,000 callers that send their heads a byte at a time are ended in time and don't keep out
-// one that asks.
+// The connections of 1,000 callers that send their heads a byte at a time are closed in time, and don't
+// keep out a caller that sends complete requests.
 func TestServerClosesSlowHeads(t *testing.T) {
-	times := longTimeouts()
-	times.Head, times.EvictionGrace = 2*time.Second, 10*time.Millisecond
-	const slow = 1000
-	h := startServer(t, 64, times)
+	timeouts := longTimeouts()
+	timeouts.Head, timeouts.EvictionGrace = 2*time.Second, 10*time.Millisecond
+	const slowCallers = 1000
+	srv := startServer(t, 64, timeouts)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	var ended atomic.Int32
-	for range slow {
-		c, err := net.Dial("tcp", h.addr)
+	var closed atomic.Int32
+	for range slowCallers {
+		c, err := net.Dial("tcp", srv.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -360,7 +373,7 @@
 			defer c.Close()
 			for _, b := range []byte("POST / HTTP/1.1\r\nX: " + strings.Repeat("x", 10000)) {
 				if _, err := c.Write([]byte{b}); err != nil {
-					ended.Add(1)
+					closed.Add(1)
 					return
 				}
 				select {
@@ -372,199 +385,201 @@
 		}()
 	}
 	for i := range 5 {
-		if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
+		if _, got := srv.readResponse(bufio.NewReader(srv.dial(postRequest("/", "x")))); got != "POST / x" {
 			t.Errorf("%d: %q", i, got)
 		}
 	}
-	for end := time.Now().Add(2 * testTimeout); ended.Load() < slow && time.Now().Before(end); {
+	for deadline := time.Now().Add(2 * testTimeout); closed.Load() < slowCallers && time.Now().Before(deadline); {
 		time.Sleep(5 * time.Millisecond)
 	}
 	close(stop)
 	wg.Wait()
-	if n := ended.Load(); n != slow {
-		t.Errorf("%d of %d were ended", n, slow)
+	if n := closed.Load(); n != slowCallers {
+		t.Errorf("%d of %d slow connections were closed", n, slowCallers)
 	}
 }
 
-// 1,000 idle callers hold less than 4 KiB each beside their sockets, whose own cost is that of
-// as many that nobody reads, and each is answered again.
+// 1,000 idle connections use less than 4 KiB of heap each, and each is served again. The heap that their
+// sockets use is not counted: it is measured first, on as many connections without a server.
 func TestIdleConnectionsUseLittleMemory(t *testing.T) {
 	const callers = 1000
-	h := startServer(t, callers+10, longTimeouts())
-	heap := func() uint64 {
+	srv := startServer(t, callers+10, longTimeouts())
+	heapBytes := func() uint64 {
 		runtime.GC()
-		runtime.GC() // what sync.Pool holds goes with the second
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
+		runtime.GC() // the second run frees what a sync.Pool holds
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		return stats.HeapAlloc
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	before := heap()
-	var plain []net.Conn
+	before := heapBytes()
+	var unserved []net.Conn
 	for range callers {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		there, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer there.Close()
-		plain = append(plain, c, there)
+		defer accepted.Close()
+		unserved = append(unserved, c, accepted)
 	}
-	sockets := int64(heap()-before) / callers
-	runtime.KeepAlive(plain)
-	before = heap()
+	socketBytes := int64(heapBytes()-before) / callers
+	runtime.KeepAlive(unserved)
+	before = heapBytes()
 	conns := make([]net.Conn, callers)
-	ask := func(c net.Conn) {
+	exchange := func(c net.Conn) {
 		t.Helper()
 		if _, err := io.WriteString(c, postRequest("/", "x")); err != nil {
 			t.Fatal(err)
 		}
-		if _, got := h.readResponse(bufio.NewReader(c)); got != "POST / x" {
+		if _, got := srv.readResponse(bufio.NewReader(c)); got != "POST / x" {
 			t.Fatalf("%q", got)
 		}
 	}
 	for i := range conns {
-		conns[i] = h.dial("")
-		ask(conns[i])
+		conns[i] = srv.dial("")
+		exchange(conns[i])
 	}
-	h.waitForIdle(callers)
-	each := int64(heap()-before)/callers - sockets
-	t.Logf("%d bytes each, and %d for its sockets", each, sockets)
-	if each >= 4<<10 {
-		t.Errorf("an idle caller holds %d bytes", each)
+	srv.waitForIdle(callers)
+	connBytes := int64(heapBytes()-before)/callers - socketBytes
+	t.Logf("%d bytes for each connection, and %d for its sockets", connBytes, socketBytes)
+	if connBytes >= 4<<10 {
+		t.Errorf("an idle connection uses %d bytes", connBytes)
 	}
 	for _, c := range conns {
-		ask(c)
+		exchange(c)
 	}
 }
 
-// waitForIdle waits until so many connections are idle.
+// waitForIdle waits until want connections are idle.
 func (h *testServer) waitForIdle(want int) {
 	h.t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		n := 0
 		h.server.mu.Lock()
-		for g := h.server.table.lists[stageIdle].front; g != nil; g = g.next {
+		for e := h.server.table.lists[stageIdle].front; e != nil; e = e.next {
 			n++
 		}
 		h.server.mu.Unlock()
 		if n == want {
 			return
 		}
-		if time.Now().After(end) {
-			h.t.Fatalf("%d are idle, want %d", n, want)
+		if time.Now().After(deadline) {
+			h.t.Fatalf("%d connections are idle, want %d", n, want)
 		}
 	}
 }
 
-// As the end begins, in each stage: what is idle ends, what has been taken is answered, what
-// comes in time is served, and both are told that their connection ends.
+// A shutdown meets a connection in each stage. Idle connections are closed, a request that is being served
+// gets its response, and requests that arrive or become complete within the grace time are served. All
+// these responses announce that the connection closes.
 func TestShutdownInEveryStage(t *testing.T) {
-	h := startServer(t, 10, longTimeouts())
-	idleOne := h.dial(postRequest("/", ""))
-	idleIn := bufio.NewReader(idleOne)
-	h.readResponse(idleIn)
-	h.waitForIdle(1)
-	quiet := h.dial("")
-	half := h.dial("POST / HTTP/1.1\r\nHost: a\r\n")
-	body := h.dial("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nha")
-	held := h.dial(postRequest("/hold", ""))
-	h.waitFor(h.handler.holding, "request")
+	srv := startServer(t, 10, longTimeouts())
+	idleConn := srv.dial(postRequest("/", ""))
+	idleReader := bufio.NewReader(idleConn)
+	srv.readResponse(idleReader)
+	srv.waitForIdle(1)
+	newConn := srv.dial("")
+	halfHead := srv.dial("POST / HTTP/1.1\r\nHost: a\r\n")
+	halfBody := srv.dial("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nha")
+	serving := srv.dial(postRequest("/hold", ""))
+	srv.waitFor(srv.handler.holding, "request")
 	stopped := make(chan int, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		stopped <- h.server.Shutdown(ctx, 500*time.Millisecond)
+		stopped <- srv.server.Shutdown(ctx, 500*time.Millisecond)
 	}()
-	for !h.server.Draining() {
+	for !srv.server.Draining() {
 		time.Sleep(time.Millisecond)
 	}
-	if _, err := idleIn.ReadByte(); err != io.EOF {
-		t.Errorf("idle: %v, want the end", err)
-	}
-	late := h.dial(postRequest("/late", "x")) // within the time that connections are still accepted
-	io.WriteString(quiet, postRequest("/quiet", ""))
-	io.WriteString(half, "Content-Length: 0\r\n\r\n")
-	io.WriteString(body, "lf")
-	close(h.handler.release)
-	for name, c := range map[string]net.Conn{"late": late, "silent": quiet, "half a head": half, "half a body": body, "taken": held} {
-		in := bufio.NewReader(c)
-		if resp, _ := h.readResponse(in); resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("%s: %s, closes %v", name, resp.Status, resp.Close)
+	if _, err := idleReader.ReadByte(); err != io.EOF {
+		t.Errorf("idle: %v, want io.EOF", err)
+	}
+	late := srv.dial(postRequest("/late", "x")) // while connections are still accepted
+	io.WriteString(newConn, postRequest("/new", ""))
+	io.WriteString(halfHead, "Content-Length: 0\r\n\r\n")
+	io.WriteString(halfBody, "lf")
+	close(srv.handler.release)
+	for name, c := range map[string]net.Conn{"late": late, "new": newConn, "half a head": halfHead, "half a body": halfBody, "serving": serving} {
+		reader := bufio.NewReader(c)
+		if resp, _ := srv.readResponse(reader); resp.StatusCode != 200 || !resp.Close {
+			t.Errorf("%s: %s, Close: %v", name, resp.Status, resp.Close)
 		}
-		if _, err := in.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v, want the end", name, err)
+		if _, err := reader.ReadByte(); err != io.EOF {
+			t.Errorf("%s: %v, want io.EOF", name, err)
 		}
 	}
 	select {
-	case left := <-stopped:
-		if left != 0 {
-			t.Errorf("%d connections are left", left)
+	case remaining := <-stopped:
+		if remaining != 0 {
+			t.Errorf("%d connections remain", remaining)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("Shutdown does not return")
 	}
-	if err := <-h.serveResult; err != nil {
+	if err := <-srv.serveResult; err != nil {
 		t.Error(err)
 	}
 }
 
-// A connection that falls idle just as the end begins, with an answer that does not say so, is
-// ended, not waited for.
+// A connection may become idle just after Shutdown has requested idle connections to close, with a response
+// that was composed before the shutdown and so lacks Connection: close. It must be closed at once; Shutdown
+// must not wait for its idle timeout.
 func TestShutdownClosesConnectionThatBecomesIdle(t *testing.T) {
-	h := startServer(t, 10, Timeouts{Head: testTimeout, Body: testTimeout, Idle: 10 * testTimeout, Write: testTimeout, EvictionGrace: testTimeout})
-	c := h.dial(postRequest("/after", ""))
-	h.waitFor(h.handler.holding, "request")
+	srv := startServer(t, 10, Timeouts{Head: testTimeout, Body: testTimeout, Idle: 10 * testTimeout, Write: testTimeout, EvictionGrace: testTimeout})
+	c := srv.dial(postRequest("/hold-responded", ""))
+	srv.waitFor(srv.handler.holding, "request")
 	stopped := make(chan int, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		stopped <- h.server.Shutdown(ctx, 0)
+		stopped <- srv.server.Shutdown(ctx, 0)
 	}()
-	for !h.server.Draining() {
+	for !srv.server.Draining() {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(10 * time.Millisecond) // by now it has looked for idle ones
-	close(h.handler.release)
-	in := bufio.NewReader(c)
-	if resp, _ := h.readResponse(in); resp.StatusCode != 200 {
+	time.Sleep(10 * time.Millisecond) // by now Shutdown has requested idle connections to close
+	close(srv.handler.release)
+	reader := bufio.NewReader(c)
+	if resp, _ := srv.readResponse(reader); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
-	if left := <-stopped; left != 0 {
-		t.Errorf("%d connections are left", left)
+	if remaining := <-stopped; remaining != 0 {
+		t.Errorf("%d connections remain", remaining)
 	}
 }
 
-// Shutdown ends with its context, whoever is left.
+// Shutdown returns when its context ends, even if a request is still being served.
 func TestShutdownReturnsWhenContextEnds(t *testing.T) {
-	h := startServer(t, 10, longTimeouts())
-	h.dial(postRequest("/hold", ""))
-	h.waitFor(h.handler.holding, "request")
+	srv := startServer(t, 10, longTimeouts())
+	srv.dial(postRequest("/hold", ""))
+	srv.waitFor(srv.handler.holding, "request")
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	if left := h.server.Shutdown(ctx, 0); left != 1 {
-		t.Errorf("%d connections are left, want 1", left)
+	if remaining := srv.server.Shutdown(ctx, 0); remaining != 1 {
+		t.Errorf("%d connections remain, want 1", remaining)
 	}
-	close(h.handler.release)
+	close(srv.handler.release)
 }
 
-// scarceListener is a listener for which descriptors run out when the test says so. As with the kernel's,
-// the connection that could not be accepted stays in line.
-type scarceListener struct {
+// emfileListener is a listener whose next Accept fails with EMFILE if failNext is set. As in the kernel,
+// the connection that could not be accepted stays in the queue.
+type emfileListener struct {
 	net.Listener
 	failNext atomic.Bool
-	pending  net.Conn // that could not be accepted
+	pending  net.Conn // connection that could not be accepted
 }
 
-func (s *scarceListener) Accept() (net.Conn, error) {
+func (s *emfileListener) Accept() (net.Conn, error) {
 	c := s.pending
 	if s.pending = nil; c == nil {
 		var err error
@@ -579,35 +594,35 @@
 	return c, nil
 }
 
-// Descriptors that run out end neither the listener nor what has been taken; an idle
-// connection gives its own up.
+// When file descriptors run out, neither the listener nor a request that is being served fails; an idle
+// connection is evicted to free one.
 func TestServerSurvivesDescriptorExhaustion(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scarceListener{Listener: l}
-	h := startServerOn(t, s, 10, longTimeouts())
-	held := h.dial(postRequest("/hold", ""))
-	h.waitFor(h.handler.holding, "request")
-	idle := h.dial(postRequest("/", ""))
-	idleIn := bufio.NewReader(idle)
-	h.readResponse(idleIn)
-	h.waitForIdle(1)
-	s.failNext.Store(true)
-	if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
+	listener := &emfileListener{Listener: l}
+	srv := startServerOn(t, listener, 10, longTimeouts())
+	serving := srv.dial(postRequest("/hold", ""))
+	srv.waitFor(srv.handler.holding, "request")
+	idleConn := srv.dial(postRequest("/", ""))
+	idleReader := bufio.NewReader(idleConn)
+	srv.readResponse(idleReader)
+	srv.waitForIdle(1)
+	listener.failNext.Store(true)
+	if _, got := srv.readResponse(bufio.NewReader(srv.dial(postRequest("/", "x")))); got != "POST / x" {
 		t.Errorf("%q", got)
 	}
-	if _, err := idleIn.ReadByte(); err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the idle one: %v", err)
+	if _, err := idleReader.ReadByte(); err != io.EOF && !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("idle connection: %v", err)
 	}
-	close(h.handler.release)
-	if _, got := h.readResponse(bufio.NewReader(held)); got != "POST /hold " {
+	close(srv.handler.release)
+	if _, got := srv.readResponse(bufio.NewReader(serving)); got != "POST /hold " {
 		t.Errorf("%q", got)
 	}
 }
 
-// failingListener is a listener whose accept fails before each connection, with one error after another.
+// failingListener is a listener whose Accept first fails with each of acceptErrors in turn.
 type failingListener struct {
 	net.Listener
 	acceptErrors []error
@@ -622,102 +637,103 @@
 	return f.Listener.Accept()
 }
 
+// Accept errors that concern one connection or a temporary state of this machine must not end Serve.
 func TestServeRetriesTransientAcceptErrors(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := startServerOn(t, &failingListener{l, []error{
+	srv := startServerOn(t, &failingListener{l, []error{
 		syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN, syscall.EADDRNOTAVAIL,
 	}}, 10, longTimeouts())
-	if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
+	if _, got := srv.readResponse(bufio.NewReader(srv.dial(postRequest("/", "x")))); got != "POST / x" {
 		t.Errorf("%q", got)
 	}
 }
 
-// Another error of the listener is told.
+// Serve returns an error after which the listener can accept no more.
 func TestServeReturnsFatalAcceptError(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := startServerOn(t, l, 10, longTimeouts())
+	srv := startServerOn(t, l, 10, longTimeouts())
 	l.Close()
 	select {
-	case err := <-h.serveResult:
+	case err := <-srv.serveResult:
 		if err == nil {
-			t.Error("no error")
+			t.Error("Serve returned no error")
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("it goes on")
+		t.Fatal("Serve does not return")
 	}
 }
 
-// A connection that is handed over has what came behind its request, is neither closed nor
-// given way, and is waited for at the end until it is closed.
+// A hijacked connection returns the data that was read after its request, and is neither closed nor evicted
+// by the server. Shutdown waits until it is closed.
 func TestHijackedConnKeepsItsSlotUntilClosed(t *testing.T) {
-	times := longTimeouts()
-	times.EvictionGrace = 300 * time.Millisecond // more than a caller takes over its request
-	h := startServer(t, 2, times)
-	c := h.dial("GET /raw HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nbehind")
-	raw := <-h.handler.hijacked
-	for range 3 { // others come and go at the only other place
-		if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
+	timeouts := longTimeouts()
+	timeouts.EvictionGrace = 300 * time.Millisecond // longer than a caller takes to send its request
+	srv := startServer(t, 2, timeouts)
+	c := srv.dial("GET /hijack HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\nbehind")
+	hijacked := <-srv.handler.hijacked
+	for range 3 { // other connections use the only other slot in turn
+		if _, got := srv.readResponse(bufio.NewReader(srv.dial(postRequest("/", "x")))); got != "POST / x" {
 			t.Errorf("%q", got)
 		}
-		time.Sleep(times.EvictionGrace)
+		time.Sleep(timeouts.EvictionGrace)
 	}
 	io.WriteString(c, ", later")
 	c.(*net.TCPConn).CloseWrite()
-	if got, err := io.ReadAll(raw); err != nil || string(got) != "behind, later" {
+	if got, err := io.ReadAll(hijacked); err != nil || string(got) != "behind, later" {
 		t.Errorf("%q %v", got, err)
 	}
-	io.WriteString(raw, "back")
+	io.WriteString(hijacked, "back")
 	stopped := make(chan int, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		stopped <- h.server.Shutdown(ctx, 0)
+		stopped <- srv.server.Shutdown(ctx, 0)
 	}()
-	for !h.server.Draining() {
+	for !srv.server.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	select {
 	case <-stopped:
-		t.Error("it was not waited for")
+		t.Error("Shutdown did not wait for the hijacked connection")
 	case <-time.After(50 * time.Millisecond):
 	}
-	raw.Close()
-	raw.Close()
-	if left := <-stopped; left != 0 {
-		t.Errorf("%d are left", left)
+	hijacked.Close()
+	hijacked.Close()
+	if remaining := <-stopped; remaining != 0 {
+		t.Errorf("%d connections remain", remaining)
 	}
 	if got, err := io.ReadAll(c); err != nil || string(got) != "back" {
 		t.Errorf("%q %v", got, err)
 	}
-	h.waitForConns(0)
+	srv.waitForOpenConns(0)
 }
 
-// A fault in answering one request ends its connection and no other.
+// A panic of the handler gets a 500 response and closes the connection, and no other one.
 func TestHandlerPanicClosesOnlyItsConnection(t *testing.T) {
-	h := startServer(t, 10, longTimeouts())
-	if resp, _ := h.readResponse(bufio.NewReader(h.dial(postRequest("/panic", "")))); resp.StatusCode != 500 || !resp.Close {
-		t.Errorf("%s, closes %v", resp.Status, resp.Close)
+	srv := startServer(t, 10, longTimeouts())
+	if resp, _ := srv.readResponse(bufio.NewReader(srv.dial(postRequest("/panic", "")))); resp.StatusCode != 500 || !resp.Close {
+		t.Errorf("%s, Close: %v", resp.Status, resp.Close)
 	}
-	if _, got := h.readResponse(bufio.NewReader(h.dial(postRequest("/", "x")))); got != "POST / x" {
+	if _, got := srv.readResponse(bufio.NewReader(srv.dial(postRequest("/", "x")))); got != "POST / x" {
 		t.Errorf("%q", got)
 	}
-	h.waitForConns(1)
+	srv.waitForOpenConns(1)
 }
 
-// BenchmarkServer is one request after another on a connection, with nothing behind the door.
+// BenchmarkServer measures one request after another on one connection, with a handler that only echoes.
 func BenchmarkServer(b *testing.B) {
-	h := startServer(b, 10, longTimeouts())
-	c := h.dial("")
-	text, buf := []byte(postRequest("/", "0123456789")), make([]byte, 4096)
+	srv := startServer(b, 10, longTimeouts())
+	c := srv.dial("")
+	request, buf := []byte(postRequest("/", "0123456789")), make([]byte, 4096)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := c.Write(text); err != nil {
+		if _, err := c.Write(request); err != nil {
 			b.Fatal(err)
 		}
 		if _, err := c.Read(buf); err != nil {
--- a/internal/httpserver/stream.go
+++ b/internal/httpserver/stream.go
@@ -13,7 +13,7 @@
 	"barleydrum.example/barleydrum/internal/transferrate"
 )
 
-// What may end a body that flows, beside what can't be read (an *http1.Error).
+// Errors that end a streamed body. A malformed body ends with an *http1.Error instead.
 var (
 	ErrCallerTooSlow      = errors.New("the caller is slow")
 	ErrCallerDisconnected = errors.New("the caller went away before its body was whole")
@@ -21,11 +21,11 @@
 	ErrStreamDeadline     = errors.New("the time for the whole is up")
 )
 
-// StreamLimits says how a body may flow.
+// StreamLimits are the limits of a streamed body.
 type StreamLimits struct {
-	MaxBytes  int64              // bytes of it
-	RateMeter transferrate.Meter // that is asked of the caller
-	Deadline  time.Time          // the time for the whole is up
+	MaxBytes  int64              // largest length of a chunked request body, in bytes
+	RateMeter transferrate.Meter // minimum rate at which the caller must send or receive
+	Deadline  time.Time          // of the whole body
 }
 
 // bodyReceiver reads a request's body as it arrives, in a goroutine of its own.
@@ -34,32 +34,32 @@
 	conn            *conn
 	store           *body.Body
 	limits          StreamLimits
-	continuePending bool // the caller waits for a 100
+	continuePending bool // the caller waits for 100 Continue; guarded by mu once the goroutine runs
 	err             error
-	finished        chan struct{} // closed with result set
+	finished        chan struct{} // closed when err is final
 	mu              sync.Mutex
-	stopped         bool // it is to read and write no more
+	stopped         bool // the receiver must not read or write any more; guarded by mu
 }
 
-// ReceiveBody has the body of a request that flows go into a store from now on, as fast as it is
-// taken there, and calls done with what came of it, before StopUpload returns. A caller that
-// expects a 100 gets it once the body has a reader.
-func (x *Exchange) ReceiveBody(to *body.Body, how StreamLimits, done func(error)) {
-	u := &bodyReceiver{server: x.server, conn: x.conn, store: to, limits: how, finished: make(chan struct{})}
+// ReceiveBody starts to receive the body of a streamed request into store, as fast as store accepts it.
+// It calls done with the result, nil for a complete body, before StopReceiving returns; done runs in a
+// goroutine of the receiver. A caller that expects 100 Continue gets it once the body has a reader.
+func (x *Exchange) ReceiveBody(store *body.Body, limits StreamLimits, done func(error)) {
+	u := &bodyReceiver{server: x.server, conn: x.conn, store: store, limits: limits, finished: make(chan struct{})}
 	u.continuePending = x.conn.head.ExpectsContinue() && x.conn.buf.Len() == 0
 	x.receiver = u
 	go func() {
 		defer close(u.finished)
 		u.err = u.receive(x.conn.head)
 		if u.err != nil {
-			to.Fail(u.err)
+			store.Fail(u.err)
 		}
 		done(u.err)
 	}()
 }
 
-// StopReceiving ends the reading of a body, if it has not ended. The store must be closed by now, or
-// the body whole.
+// StopReceiving ends ReceiveBody and waits until it has ended. Before the call, the store must have been
+// closed or the body must be complete.
 func (x *Exchange) StopReceiving() {
 	u := x.receiver
 	if u == nil {
@@ -77,7 +77,7 @@
 // expiredDeadline is a deadline that has passed.
 var expiredDeadline = time.Unix(1, 0)
 
-// complete tells whether the body has been read whole.
+// complete reports whether the whole body has been received.
 func (u *bodyReceiver) complete() bool {
 	select {
 	case <-u.finished:
@@ -87,6 +87,7 @@
 	}
 }
 
+// receive receives the body once it has a reader.
 func (u *bodyReceiver) receive(head *http1.Request) error {
 	if !u.store.WaitForReader() {
 		return body.ErrClosed
@@ -100,7 +101,7 @@
 	return u.receiveFixedLength(head.ContentLength())
 }
 
-// sendContinue tells a caller that waits for it to send its body.
+// sendContinue sends 100 Continue if the caller waits for it.
 func (u *bodyReceiver) sendContinue() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -108,43 +109,43 @@
 		return nil
 	}
 	n, err := u.conn.TryWrite([]byte(http1.ContinueResponse))
-	if err == nil && n < len(http1.ContinueResponse) { // a caller that reads nothing, not even that
+	if err == nil && n < len(http1.ContinueResponse) { // the caller reads nothing, not even these few bytes
 		err = ErrCallerTooSlow
 	}
 	return err
 }
 
-// receiveFixedLength reads a body of a known length, straight to where it is held.
-func (u *bodyReceiver) receiveFixedLength(left int64) error {
-	for left > 0 {
-		room, err := u.store.Reserve(int(min(left, body.BlockSize)))
+// receiveFixedLength receives a body of a known length in bytes, straight into the store.
+func (u *bodyReceiver) receiveFixedLength(remaining int64) error {
+	for remaining > 0 {
+		space, err := u.store.Reserve(int(min(remaining, body.BlockSize)))
 		if err != nil {
 			return err
 		}
-		n := copy(room, u.conn.buf.Bytes()) // what came with the head
+		n := copy(space, u.conn.buf.Bytes()) // data that was read together with the head
 		if u.conn.buf.Consume(n); n == 0 {
-			if n, err = u.readWithinLimits(func() (int, error) { return u.conn.Read(room) }); err != nil {
+			if n, err = u.readWithinLimits(func() (int, error) { return u.conn.Read(space) }); err != nil {
 				return err
 			}
 		}
 		if err := u.store.Commit(n); err != nil {
 			return err
 		}
-		left -= int64(n)
+		remaining -= int64(n)
 	}
 	u.store.Complete(nil)
 	return nil
 }
 
-// receiveChunked reads a body of chunks, whose framing is checked before any of it goes on.
+// receiveChunked receives a chunked body. Only data whose framing has been checked goes into the store.
 func (u *bodyReceiver) receiveChunked() error {
-	in := u.server.chunkBuffers.Get()
-	in.Commit(copy(in.Reserve(u.conn.buf.Len()), u.conn.buf.Bytes()))
+	chunks := u.server.chunkBuffers.Get()
+	chunks.Commit(copy(chunks.Reserve(u.conn.buf.Len()), u.conn.buf.Bytes()))
 	u.conn.buf.Reset()
-	defer func() { u.server.chunkBuffers.Put(in) }()
-	parts := http1.ChunkedDecoder{Limits: http1.DefaultLimits, KeepTrailers: true}
+	defer func() { u.server.chunkBuffers.Put(chunks) }()
+	decoder := http1.ChunkedDecoder{Limits: http1.DefaultLimits, KeepTrailers: true}
 	for total := int64(0); ; {
-		data, n, err := parts.Decode(in.Bytes())
+		data, n, err := decoder.Decode(chunks.Bytes())
 		if err != nil {
 			return err
 		}
@@ -152,59 +153,60 @@
 			return ErrBodyTooLarge
 		}
 		for len(data) > 0 {
-			room, err := u.store.Reserve(len(data))
+			space, err := u.store.Reserve(len(data))
 			if err != nil {
 				return err
 			}
-			m := copy(room, data)
-			if err := u.store.Commit(m); err != nil {
+			copied := copy(space, data)
+			if err := u.store.Commit(copied); err != nil {
 				return err
 			}
-			data = data[m:]
+			data = data[copied:]
 		}
-		in.Consume(n)
-		if parts.Done() {
-			// What is behind belongs to the next request.
-			u.conn.buf.Commit(copy(u.conn.buf.Reserve(in.Len()), in.Bytes()))
-			u.store.Complete(parts.Trailers)
+		chunks.Consume(n)
+		if decoder.Done() {
+			// The data after the body belongs to the next request.
+			u.conn.buf.Commit(copy(u.conn.buf.Reserve(chunks.Len()), chunks.Bytes()))
+			u.store.Complete(decoder.Trailers)
 			return nil
 		}
 		if n > 0 {
 			continue
 		}
 		if _, err := u.readWithinLimits(func() (int, error) {
-			had := in.Len()
-			_, err := u.conn.ReadInto(in)
-			return in.Len() - had, err
+			oldLen := chunks.Len()
+			_, err := u.conn.ReadInto(chunks)
+			return chunks.Len() - oldLen, err
 		}); err != nil {
 			return err
 		}
 	}
 }
 
-// readWithinLimits reads once, for as long as the caller keeps its pace. Time that was spent waiting for
-// whoever takes the body is not the caller's.
-func (u *bodyReceiver) readWithinLimits(f func() (int, error)) (int, error) {
+// readWithinLimits calls read, which reads once from the connection, for as long as the caller keeps the
+// minimum rate and the deadline has not passed. Time spent waiting for the reader of the body does not
+// count against the caller.
+func (u *bodyReceiver) readWithinLimits(read func() (int, error)) (int, error) {
 	for {
-		began := time.Now()
-		by := began.Add(u.limits.RateMeter.MaxWait())
-		if u.limits.Deadline.Before(by) {
-			by = u.limits.Deadline
+		startedAt := time.Now()
+		deadline := startedAt.Add(u.limits.RateMeter.MaxWait())
+		if u.limits.Deadline.Before(deadline) {
+			deadline = u.limits.Deadline
 		}
 		u.mu.Lock()
 		if !u.stopped {
-			u.conn.SetReadDeadline(by)
+			u.conn.SetReadDeadline(deadline)
 		}
 		stopped := u.stopped
 		u.mu.Unlock()
 		if stopped {
 			return 0, body.ErrClosed
 		}
-		n, err := f()
+		n, err := read()
 		now := time.Now()
-		fast := u.limits.RateMeter.Record(now.Sub(began), n)
+		fastEnough := u.limits.RateMeter.Record(now.Sub(startedAt), n)
 		switch {
-		case err == nil && fast:
+		case err == nil && fastEnough:
 			u.conn.lastReadAt = now
 			return n, nil
 		case err == nil:
@@ -213,15 +215,15 @@
 			return 0, fmt.Errorf("body: %w: %w", ErrCallerDisconnected, err)
 		case !now.Before(u.limits.Deadline):
 			return 0, fmt.Errorf("body: %w", ErrStreamDeadline)
-		case !fast:
+		case !fastEnough:
 			return 0, fmt.Errorf("body: %w", ErrCallerTooSlow)
 		}
 	}
 }
 
-// serveStreaming has a request answered whose body is still arriving.
-func (d *Server) serveStreaming(c *conn, head int) error {
-	d.detachHead(c, head)
+// serveStreaming serves a request whose body is still arriving.
+func (d *Server) serveStreaming(c *conn, headBytes int) error {
+	d.detachHead(c, headBytes)
 	d.setStage(c, stageServing, c.lastReadAt)
 	x := &c.exchange
 	x.reset(nil)
@@ -235,26 +237,27 @@
 	return d.sendResponse(c, 0)
 }
 
-// responseStream is an answer that goes out as it comes.
+// responseStream is the state of a response that is sent as its body becomes available.
 type responseStream struct {
 	started, complete, chunked bool
-	remaining                  int64 // of a body whose length was told
+	remaining                  int64 // bytes of a body of known length that are not yet sent
 	limits                     StreamLimits
 	chunkSizeLine              []byte
 }
 
-// StartResponse begins an answer that goes out as it comes, of so many bytes, or in chunks where length
-// is -1. Write and End follow; without End the caller sees that it broke off.
-func (x *Exchange) StartResponse(status int, fields func(b []byte) []byte, length int64, how StreamLimits) error {
-	b := x.appendCommonFields(http1.AppendStatusLine((*x.pooledBuffer)[:0], status), fields)
-	x.stream = responseStream{started: true, chunked: length < 0, remaining: length, limits: how}
+// StartResponse starts a response whose body is sent as it becomes available, and sends its head. length is
+// the body's length in bytes, or -1 for a chunked body. WriteBody and FinishResponse follow; without
+// FinishResponse the caller detects that the response is incomplete.
+func (x *Exchange) StartResponse(status int, appendFields func(b []byte) []byte, length int64, limits StreamLimits) error {
+	b := x.appendCommonFields(http1.AppendStatusLine((*x.pooledBuffer)[:0], status), appendFields)
+	x.stream = responseStream{started: true, chunked: length < 0, remaining: length, limits: limits}
 	if length < 0 {
 		b = http1.AppendChunkedEncoding(b)
 	} else {
 		b = http1.AppendContentLength(b, length)
 	}
 	x.responseData = http1.AppendHeadEnd(b)
-	if u := x.receiver; u != nil { // no 100 may follow the answer
+	if u := x.receiver; u != nil { // 100 Continue must not follow the response
 		u.mu.Lock()
 		u.continuePending = false
 		u.mu.Unlock()
@@ -262,7 +265,7 @@
 	return x.writeAll(x.responseData)
 }
 
-// WriteBody sends a piece of the body, which is not empty.
+// WriteBody sends p, which must not be empty, as the next part of the body.
 func (x *Exchange) WriteBody(p []byte) error {
 	if !x.stream.chunked {
 		x.stream.remaining -= int64(len(p))
@@ -275,7 +278,7 @@
 	return x.writeAll(x.stream.chunkSizeLine, p, []byte("\r\n"))
 }
 
-// FinishResponse ends the body, with trailers that are whole lines where it goes out in chunks.
+// FinishResponse ends the body. A chunked one ends with trailers, which are complete field lines.
 func (x *Exchange) FinishResponse(trailers []byte) error {
 	if x.stream.chunked {
 		if err := x.writeAll(http1.AppendLastChunk(x.stream.chunkSizeLine[:0], trailers)); err != nil {
@@ -286,49 +289,50 @@
 	return nil
 }
 
-// writeAll writes all, for as long as the caller keeps its pace.
-func (x *Exchange) writeAll(texts ...[]byte) error {
-	all := net.Buffers(texts)
-	f := &x.stream
+// writeAll writes all data, for as long as the caller keeps the minimum rate and the deadline has not passed.
+func (x *Exchange) writeAll(data ...[]byte) error {
+	unsent := net.Buffers(data)
+	stream := &x.stream
 	for {
-		began := time.Now()
-		by := began.Add(f.limits.RateMeter.MaxWait())
-		if f.limits.Deadline.Before(by) {
-			by = f.limits.Deadline
+		startedAt := time.Now()
+		deadline := startedAt.Add(stream.limits.RateMeter.MaxWait())
+		if stream.limits.Deadline.Before(deadline) {
+			deadline = stream.limits.Deadline
 		}
-		x.conn.SetWriteDeadline(by)
-		n, err := x.conn.WriteBuffers(&all)
+		x.conn.SetWriteDeadline(deadline)
+		n, err := x.conn.WriteBuffers(&unsent)
 		now := time.Now()
-		fast := f.limits.RateMeter.Record(now.Sub(began), int(n))
+		fastEnough := stream.limits.RateMeter.Record(now.Sub(startedAt), int(n))
 		switch {
 		case err == nil:
 			return nil
 		case !tcpconn.IsDeadlineExceeded(err):
 			return err
-		case !now.Before(f.limits.Deadline):
-			return fmt.Errorf("answer: %w", ErrStreamDeadline)
-		case !fast:
-			return fmt.Errorf("answer: %w", ErrCallerTooSlow)
+		case !now.Before(stream.limits.Deadline):
+			return fmt.Errorf("response: %w", ErrStreamDeadline)
+		case !fastEnough:
+			return fmt.Errorf("response: %w", ErrCallerTooSlow)
 		}
 	}
 }
 
-// finishStreamedResponse ends an answer that went out as it came.
-func (d *Server) finishStreamedResponse(c *conn, request int) error {
+// finishStreamedResponse finishes a streamed response and prepares the connection for the next request,
+// which starts after requestBytes bytes of c.buf.
+func (d *Server) finishStreamedResponse(c *conn, requestBytes int) error {
 	x := &c.exchange
 	c.idleSince = time.Now()
-	c.SetWriteDeadline(time.Time{}) // that of its last piece must not fail the next answer
-	whole, closes := x.stream.complete, x.Close
+	c.SetWriteDeadline(time.Time{}) // the deadline of the last write must not fail the next response
+	complete, closing := x.stream.complete, x.Close
 	x.releaseBuffers()
-	if !whole {
-		return errResponseIncomplete // without its last bytes, by which the caller knows
+	if !complete {
+		return errResponseIncomplete // the missing bytes let the caller detect that
 	}
 	c.responsePending = false
 	c.responseCount++
-	if closes {
+	if closing {
 		d.linger(c)
 		return errLastResponseSent
 	}
-	c.buf.Consume(request)
+	c.buf.Consume(requestBytes)
 	return d.prepareForNextRequest(c, false)
 }
--- a/internal/tcpconn/conn.go
+++ b/internal/tcpconn/conn.go
@@ -1,6 +1,6 @@
-// Package tcpconn reads TCP connections as a program with many of them needs to: a buffer is held
-// only while there is something in it, a connection can be looked at without being read, and
-// one goroutine hears of all peers that go away. It is for Linux.
+// Package tcpconn reads TCP connections for programs that have many of them: a buffer is held only
+// while it contains data, a connection can be checked for data without reading it, and one
+// goroutine detects all peers that disconnect. It is for Linux only.
 package tcpconn
 
 import (
@@ -17,15 +17,15 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-// Conn is a TCP connection. One goroutine at a time may read it; the deadlines and Close of
-// net.Conn hold for all that is done on it.
+// Conn is a TCP connection. Only one goroutine at a time may read it. The deadlines and Close of net.Conn
+// apply to all operations.
 type Conn struct {
 	net.Conn
 	raw  syscall.RawConn
-	bufs *http1.BufferPool
+	bufs *http1.BufferPool // for reads into no given buffer
 
-	// What a call hands to the functions that the runtime calls with the descriptor, which are
-	// made once: a closure for each call would be garbage.
+	// Functions that the runtime calls with the file descriptor, and the fields by which they get arguments
+	// and return results. The functions are created once, since a closure for each call would be garbage.
 	readFunc, writeThenReadFunc, writeFunc func(fd uintptr) bool
 	readBuffer                             *http1.Buffer
 	readBytes                              int
@@ -38,16 +38,17 @@
 	wouldBlock atomic.Bool
 }
 
-// minReadBytes is the least space that is read into.
+// minReadBytes is the smallest space that a read is given.
 const minReadBytes = 512
 
-// New returns the connection with buffers from a pool.
+// New returns a Conn for c that reads into buffers from a pool. It returns errors.ErrUnsupported if c is
+// not a syscall.Conn.
 func New(c net.Conn, bufs *http1.BufferPool) (*Conn, error) {
-	socket, ok := c.(syscall.Conn)
+	sysConn, ok := c.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
 	}
-	raw, err := socket.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
@@ -60,15 +61,15 @@
 	return s, nil
 }
 
-// ReadInto waits until there is something to read and reads it into a buffer, one from the pool if
-// it is handed none. It returns the buffer, nil still if nothing came, and io.EOF at the end.
+// ReadInto waits until there is data to read and appends it to b, or to a buffer from the pool if b is
+// nil. It returns that buffer, or b if no data was read, and io.EOF at the end of the stream.
 func (s *Conn) ReadInto(b *http1.Buffer) (*http1.Buffer, error) {
 	s.readBuffer = b
 	err := s.raw.Read(s.readFunc)
 	return s.readResult(err)
 }
 
-// readResult returns what a read has come to.
+// readResult returns the result of a read. err is the runtime's, such as an exceeded deadline.
 func (s *Conn) readResult(err error) (*http1.Buffer, error) {
 	b := s.readBuffer
 	s.readBuffer = nil
@@ -83,12 +84,12 @@
 	return b, nil
 }
 
-// WriteThenRead writes a request and reads the first of what comes back, as Write and Fill would, on a
-// connection that must be quiet: stale tells that it was not, and nothing has been written. It
-// returns early, with no buffer and no error, if not all could be written at once. The look
-// that proves the connection quiet is the attempt to read that waiting begins with anyway:
-// that saves a system call for each request.
-func (s *Conn) WriteThenRead(p []byte) (sent int, stale bool, b *http1.Buffer, err error) {
+// WriteThenRead writes a request and reads the first part of the response, as Write and ReadInto do. The
+// connection must be open without unread data: otherwise stale is true and nothing has been written. If
+// not all of p could be written without waiting, it returns early, with a nil buffer and no error. The check
+// for unread data takes the place of the attempt to read with which waiting starts in any case, which saves a
+// system call for each request.
+func (s *Conn) WriteThenRead(p []byte) (written int, stale bool, b *http1.Buffer, err error) {
 	s.writeData, s.writtenBytes, s.writeTried, s.stale, s.readBuffer, s.readBytes, s.syscallErr = p, 0, false, false, nil, 0, nil
 	err = s.raw.Read(s.writeThenReadFunc)
 	s.writeData = nil
@@ -99,6 +100,8 @@
 	return s.writtenBytes, false, b, err
 }
 
+// writeThenReadOnce checks the connection and writes when it is first called, and reads after that. It reports
+// whether the runtime must stop waiting for data.
 func (s *Conn) writeThenReadOnce(fd uintptr) bool {
 	if s.writeTried {
 		return s.readOnce(fd)
@@ -108,10 +111,10 @@
 		s.stale = true
 		return true
 	}
-	return !s.writeOnce(fd) || s.writtenBytes < len(s.writeData) // else the answer is waited for
+	return !s.writeOnce(fd) || s.writtenBytes < len(s.writeData) // wait for the response if all was written
 }
 
-// TryWrite writes what can be written without waiting.
+// TryWrite writes as much of p as can be written without waiting, and returns the number of bytes written.
 func (s *Conn) TryWrite(p []byte) (n int, err error) {
 	s.writeData, s.writtenBytes, s.syscallErr = p, 0, nil
 	err = s.raw.Write(s.writeFunc)
@@ -122,8 +125,8 @@
 	return s.writtenBytes, err
 }
 
-// WriteWithDeadline writes all of p. What can't be written without waiting is written by a deadline that ends
-// with the call: one that stayed would fail a later write that needs no waiting.
+// WriteWithDeadline writes all of p. The deadline applies to what can't be written without waiting. It is
+// cleared at the end, since it would otherwise fail a later write that needs no waiting.
 func (s *Conn) WriteWithDeadline(p []byte, deadline time.Time) error {
 	n, err := s.TryWrite(p)
 	if err != nil || n == len(p) {
@@ -135,7 +138,7 @@
 	return err
 }
 
-// writeOnce writes once without waiting, and tells whether that did not fail.
+// writeOnce writes once without waiting. It returns false if the write failed, and stores the error.
 func (s *Conn) writeOnce(fd uintptr) bool {
 	for {
 		n, err := syscall.Write(int(fd), s.writeData)
@@ -153,7 +156,7 @@
 	}
 }
 
-// readOnce reads if that needs no waiting, and tells whether it did.
+// readOnce reads once without waiting. It returns false if there is nothing to read yet.
 func (s *Conn) readOnce(fd uintptr) bool {
 	b := s.readBuffer
 	if b == nil {
@@ -176,56 +179,58 @@
 	return s.syscallErr != syscall.EAGAIN
 }
 
-// ReadWouldBlock tells whether the connection is open with nothing to read. It does not wait, and may
-// be called while another goroutine waits in Fill.
+// ReadWouldBlock reports whether the connection is open with nothing to read. It does not wait, and may
+// be called while another goroutine waits in ReadInto.
 func (s *Conn) ReadWouldBlock() bool {
 	return s.raw.Control(s.peekFunc) == nil && s.wouldBlock.Load()
 }
 
-// peek looks at what there is to read and leaves it there.
+// peek sets wouldBlock to whether a read would have to wait: there is no data, no end of the stream and no error.
+// It consumes no data.
 func (s *Conn) peek(fd uintptr) {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	s.wouldBlock.Store(err == syscall.EAGAIN)
 }
 
-// PeerDisconnected tells whether the peer has ended its sending or reset, or the connection is closed here. It does
-// not wait, and may be called by any goroutine.
+// PeerDisconnected reports whether the peer has ended its sending or reset the connection, or the connection
+// has been closed on this side. It does not wait, and may be called by any goroutine.
 func (s *Conn) PeerDisconnected() bool {
-	gone := false
+	disconnected := false
 	err := s.raw.Control(func(fd uintptr) {
-		fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		pollFds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		for {
-			_, err := unix.Poll(fds[:], 0)
+			_, err := unix.Poll(pollFds[:], 0)
 			if err == unix.EINTR {
 				continue
 			}
-			gone = err == nil && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+			disconnected = err == nil && pollFds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 			return
 		}
 	})
-	return err != nil || gone
+	return err != nil || disconnected
 }
 
-// WriteBuffers writes texts, as far as the write deadline lets it, and takes what has been written off
-// them. Several go out together.
-func (s *Conn) WriteBuffers(texts *net.Buffers) (int64, error) {
-	if len(*texts) != 1 {
-		return texts.WriteTo(s.Conn)
+// WriteBuffers writes buffers until the write deadline and removes what has been written from them. Several
+// buffers are written together. It returns the number of bytes written.
+func (s *Conn) WriteBuffers(buffers *net.Buffers) (int64, error) {
+	if len(*buffers) != 1 {
+		return buffers.WriteTo(s.Conn)
 	}
-	n, err := s.Conn.Write((*texts)[0])
-	(*texts)[0] = (*texts)[0][n:]
+	n, err := s.Conn.Write((*buffers)[0])
+	(*buffers)[0] = (*buffers)[0][n:]
 	return int64(n), err
 }
 
-// HasUnackedData tells whether the peer's machine has yet to take part of what was sent, tcp(7), SIOCOUTQ.
+// HasUnackedData reports whether the peer's machine has not yet acknowledged all that was sent, see SIOCOUTQ in
+// tcp(7).
 func (s *Conn) HasUnackedData() bool {
-	left := 0
-	err := s.raw.Control(func(fd uintptr) { left, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
-	return err == nil && left > 0
+	unackedBytes := 0
+	err := s.raw.Control(func(fd uintptr) { unackedBytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	return err == nil && unackedBytes > 0
 }
 
-// CloseWrite ends what is sent, so that an answer is read before the connection is closed.
+// CloseWrite ends sending, so that the peer can read a last response before the connection is closed.
 func (s *Conn) CloseWrite() error {
 	if c, ok := s.Conn.(*net.TCPConn); ok {
 		return c.CloseWrite()
--- a/internal/tcpconn/conn_test.go
+++ b/internal/tcpconn/conn_test.go
@@ -13,6 +13,7 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
+// testTimeout is how long a test waits for an event that must happen.
 const testTimeout = 20 * time.Second
 
 // newConnPair returns the two ends of a connection.
@@ -23,110 +24,112 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	there, err := net.Dial("tcp", l.Addr().String())
+	peer, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	here, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := New(here, bufs)
+	c, err := New(accepted, bufs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		here.Close()
-		there.Close()
+		accepted.Close()
+		peer.Close()
 	})
-	return s, there.(*net.TCPConn)
+	return c, peer.(*net.TCPConn)
 }
 
-// Reads take a buffer only with something in it, come back at the deadline with none, and end
-// with io.EOF.
+// A read takes a buffer only if there is data, returns none when the deadline passes, and returns io.EOF at
+// the end of the stream.
 func TestReadIntoUsesBufferOnlyForData(t *testing.T) {
 	var bufs http1.BufferPool
-	here, there := newConnPair(t, &bufs)
-	if !here.ReadWouldBlock() {
-		t.Error("not quiet at first")
+	conn, peer := newConnPair(t, &bufs)
+	if !conn.ReadWouldBlock() {
+		t.Error("ReadWouldBlock is false on a new connection")
 	}
-	here.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
-	b, err := here.ReadInto(nil)
+	conn.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
+	b, err := conn.ReadInto(nil)
 	if ne, ok := err.(net.Error); b != nil || !ok || !ne.Timeout() {
-		t.Errorf("%v %v, want a time-out and no buffer", b, err)
+		t.Errorf("%v %v, want no buffer and a timeout", b, err)
 	}
-	here.SetReadDeadline(time.Now().Add(testTimeout))
-	long := strings.Repeat("x", 100_000)
-	go io.WriteString(there, long)
-	for b == nil || b.Len() < len(long) {
-		if b, err = here.ReadInto(b); err != nil {
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
+	want := strings.Repeat("x", 100_000)
+	go io.WriteString(peer, want)
+	for b == nil || b.Len() < len(want) {
+		if b, err = conn.ReadInto(b); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if string(b.Bytes()) != long {
-		t.Error("what was read is not what was sent")
+	if string(b.Bytes()) != want {
+		t.Error("the data read differs from the data sent")
 	}
-	io.WriteString(there, "y")
-	for here.ReadWouldBlock() {
+	io.WriteString(peer, "y")
+	for conn.ReadWouldBlock() {
 		runtime.Gosched()
 	}
-	there.CloseWrite()
-	if b, err = here.ReadInto(nil); err != nil || string(b.Bytes()) != "y" {
+	peer.CloseWrite()
+	if b, err = conn.ReadInto(nil); err != nil || string(b.Bytes()) != "y" {
 		t.Errorf("%v %v", b, err)
 	}
-	if b, err = here.ReadInto(nil); b != nil || err != io.EOF {
-		t.Errorf("%v %v, want the end", b, err)
+	if b, err = conn.ReadInto(nil); b != nil || err != io.EOF {
+		t.Errorf("%v %v, want no buffer and io.EOF", b, err)
 	}
-	if here.ReadWouldBlock() {
-		t.Error("quiet at its end")
+	if conn.ReadWouldBlock() {
+		t.Error("ReadWouldBlock is true at the end of the stream")
 	}
 }
 
-// Each peer that ends its sending or resets is told once, whatever else has been sent; one
-// that is closed here is not.
+// Each peer that closes or resets its connection, or ends its sending, is reported once, even if it has sent
+// unread data. A connection that is closed on this side is not reported.
 func TestDisconnectWatcherNotifiesOncePerDisconnect(t *testing.T) {
 	w, err := NewDisconnectWatcher()
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, ended := make(chan uint64, 100), make(chan error, 1)
-	go func() { ended <- w.Run(func(number uint64) { told <- number }) }()
+	reported, runResult := make(chan uint64, 100), make(chan error, 1)
+	go func() { runResult <- w.Run(func(id uint64) { reported <- id }) }()
 	var bufs http1.BufferPool
-	const big = 7<<40 + 5 // numbers go beyond 32 bits
-	for i, end := range []func(c *net.TCPConn){
+	const firstID = 7<<40 + 5 // ids may exceed 32 bits
+	for i, disconnect := range []func(c *net.TCPConn){
 		func(c *net.TCPConn) { c.Close() }, func(c *net.TCPConn) { c.CloseWrite() },
 		func(c *net.TCPConn) {
 			c.SetLinger(0)
 			c.Close()
 		},
 	} {
-		here, there := newConnPair(t, &bufs)
-		silent, _ := newConnPair(t, &bufs)
-		for n, c := range []*Conn{here, silent} {
-			if err := w.Add(c, big+uint64(2*i+n)); err != nil {
+		conn, peer := newConnPair(t, &bufs)
+		closedHere, _ := newConnPair(t, &bufs)
+		for n, c := range []*Conn{conn, closedHere} {
+			if err := w.Add(c, firstID+uint64(2*i+n)); err != nil {
 				t.Fatal(err)
 			}
 		}
-		io.WriteString(there, "something")
-		silent.Close()
-		end(there)
+		io.WriteString(peer, "something")
+		closedHere.Close()
+		disconnect(peer)
 		select {
-		case got := <-told:
-			if got != big+uint64(2*i) {
-				t.Errorf("%d was told, want %d", got, big+2*i)
+		case got := <-reported:
+			if got != firstID+uint64(2*i) {
+				t.Errorf("id %d was reported, want %d", got, firstID+2*i)
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("it is not told")
+			t.Fatal("the disconnect is not reported")
 		}
 	}
 	if err := w.Close(); err != nil {
 		t.Error(err)
 	}
-	if err := <-ended; err != nil {
+	if err := <-runResult; err != nil {
 		t.Error(err)
 	}
 }
 
+// A signal may interrupt epoll_wait just after the runtime has reported an event. The watcher must repeat the
+// call, or the disconnect is never reported.
 func TestDisconnectWatcherRetriesInterruptedWait(t *testing.T) {
 	w, err := NewDisconnectWatcher()
 	if err != nil {
@@ -138,42 +141,43 @@
 		switch calls++; calls {
 		case 1:
 			close(waiting)
-		case 2: // the call after the news
+		case 2: // the call after the disconnect
 			return -1, syscall.EINTR
 		}
 		return syscall.EpollWait(epfd, events, msec)
 	}
-	told := make(chan uint64, 1)
+	reported := make(chan uint64, 1)
 	var bufs http1.BufferPool
-	here, there := newConnPair(t, &bufs)
-	if err := w.Add(here, 7); err != nil {
+	conn, peer := newConnPair(t, &bufs)
+	if err := w.Add(conn, 7); err != nil {
 		t.Fatal(err)
 	}
-	go w.Run(func(number uint64) { told <- number })
+	go w.Run(func(id uint64) { reported <- id })
 	<-waiting
-	there.Close()
+	peer.Close()
 	select {
-	case got := <-told:
+	case got := <-reported:
 		if got != 7 {
-			t.Errorf("%d was told", got)
+			t.Errorf("id %d was reported, want 7", got)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("it is not told")
+		t.Fatal("the disconnect is not reported")
 	}
 }
 
+// Errors of this machine must not count against an endpoint, nor may errors of one connection end a listener.
 func TestErrorClassification(t *testing.T) {
 	wrapped := func(errno syscall.Errno) error {
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 	}
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH} {
 		if !IsTransientLocalError(wrapped(errno)) {
-			t.Errorf("%v is held to be the endpoint's", errno)
+			t.Errorf("%v is not classified as a transient local error", errno)
 		}
 	}
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		if IsTransientLocalError(wrapped(errno)) || IsDeadlineExceeded(wrapped(errno)) {
-			t.Errorf("%v is held to be this machine's, or a deadline of ours", errno)
+			t.Errorf("%v is classified as a local error or an exceeded deadline", errno)
 		}
 	}
 	for _, errno := range []syscall.Errno{
@@ -181,7 +185,7 @@
 		syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT,
 	} {
 		if IsFatalAcceptError(wrapped(errno)) {
-			t.Errorf("%v ends the listener", errno)
+			t.Errorf("%v is classified as fatal for the listener", errno)
 		}
 	}
 }
