--- /dev/null
+++ b/internal/httpserver/conntable.go
@@ -0,0 +1,112 @@
+package httpserver
+
+import "time"
+
+// connStage is how far a connection's current request has progressed. Connections in a lower stage are
+// evicted first.
+type connStage uint8
+
+const (
+	stageNew     connStage = iota // open, nothing received yet
+	stageIdle                     // between two requests
+	stageReading                  // part of a request was received, or the connection is about to close
+	stageServing                  // a request is being served
+	numStages
+)
+
+// tableEntry is a connection's entry in a connTable, which owns all fields but conn.
+type tableEntry struct {
+	conn       *conn
+	stage      connStage
+	stageSince time.Time   // when the connection reached its stage
+	prev, next *tableEntry // in the list of the stage
+	inTable    bool
+}
+
+// connTable holds the open connections that count against the connection limit, and selects those to evict.
+// It has one list for each stage, in which the connection that reached the stage first comes first. It does
+// no I/O and takes no lock.
+type connTable struct {
+	maxOpen   int
+	openCount int
+	lists     [numStages]struct{ front, back *tableEntry }
+}
+
+// add adds a new connection. The table never holds more than maxOpen+1 entries, since the
+// listener waits for a slot before it accepts.
+func (p *connTable) add(e *tableEntry, now time.Time) {
+	e.inTable = true
+	p.openCount++
+	p.pushBack(e, stageNew, now)
+}
+
+// setStage records the stage that a connection has reached. It returns false if the connection is not
+// in the table: an evicted connection is about to close.
+func (p *connTable) setStage(e *tableEntry, stage connStage, now time.Time) bool {
+	if !e.inTable {
+		return false
+	}
+	p.unlink(e)
+	p.pushBack(e, stage, now)
+	return true
+}
+
+// remove removes a connection and reports whether it was in the table.
+func (p *connTable) remove(e *tableEntry) bool {
+	if !e.inTable {
+		return false
+	}
+	p.unlink(e)
+	e.inTable = false
+	p.openCount--
+	return true
+}
+
+// full reports whether maxOpen connections are in the table. Connections are evicted then, so that one
+// slot stays free for the next caller; otherwise new and idle connections would occupy all slots.
+func (p *connTable) full() bool { return p.openCount >= p.maxOpen }
+
+// evictionCandidate returns the connection whose eviction does the least harm, nil if none may be evicted:
+// the one that has been new for longest, else idle for longest, else reading for longest. New and reading
+// connections are evicted only after grace in their stage, as their requests may be on their way, and never
+// if they are the newest. New and idle connections must have no unread data, which readWouldBlock reports.
+// Connections whose request is being served are never evicted.
+func (p *connTable) evictionCandidate(newest *tableEntry, now time.Time, grace time.Duration, readWouldBlock func(*tableEntry) bool) *tableEntry {
+	for _, stage := range []connStage{stageNew, stageIdle, stageReading} {
+		for e := p.lists[stage].front; e != nil; e = e.next {
+			if stage != stageIdle && (e == newest || now.Sub(e.stageSince) < grace) || stage != stageReading && !readWouldBlock(e) {
+				continue
+			}
+			return e
+		}
+	}
+	return nil
+}
+
+// pushBack appends an entry to the list of a stage.
+func (p *connTable) pushBack(e *tableEntry, stage connStage, now time.Time) {
+	l := &p.lists[stage]
+	e.stage, e.stageSince, e.prev, e.next = stage, now, l.back, nil
+	if l.back != nil {
+		l.back.next = e
+	} else {
+		l.front = e
+	}
+	l.back = e
+}
+
+// unlink removes an entry from the list of its stage.
+func (p *connTable) unlink(e *tableEntry) {
+	l := &p.lists[e.stage]
+	if e.prev != nil {
+		e.prev.next = e.next
+	} else {
+		l.front = e.next
+	}
+	if e.next != nil {
+		e.next.prev = e.prev
+	} else {
+		l.back = e.prev
+	}
+	e.prev, e.next = nil, nil
+}
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -9,145 +9,159 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-// Exchange is a request that has come whole, or flows, and its answer.
+// Exchange is a request, which is complete or streamed, and its response.
 type Exchange struct {
-	Body         []byte
-	Streaming    bool // set by Handler.Head: Serve has the body by Upload, as it arrives
-	Close        bool // the connection ends with the answer
-	HandlerState any  // the handler's, from Head to Serve
-
-	d     *Server
-	c     *conn
-	at    time.Time // of the answer
-	out   []byte
-	owned *[]byte // of Door.outs, which out may have outgrown
-
-	upload *upload
-	flow   flow
+	Body         []byte // empty if Streaming
+	Streaming    bool   // set by Handler.CheckHead: ServeExchange gets the body by ReceiveBody, as it arrives
+	Close        bool   // the connection closes after the response
+	HandlerState any    // passed from Handler.CheckHead to Handler.ServeExchange
+
+	server       *Server
+	conn         *conn
+	respondedAt  time.Time // when the response's head was composed
+	responseData []byte
+	pooledBuffer *[]byte // from Server.responseBuffers; responseData may have outgrown it
+
+	receiver *bodyReceiver
+	stream   responseStream
 }
 
-// RequestHead is the request's head.
-func (x *Exchange) RequestHead() *http1.Request { return x.c.head }
+// RequestHead returns the request's head.
+func (x *Exchange) RequestHead() *http1.Request { return x.conn.head }
 
-// ReceivedAt is when the request's last byte came, from which its caller counts, or the first of one that flows. One
-// that was sent ahead of the answer to the one before has waited for that, all of which its caller counts.
-func (x *Exchange) ReceivedAt() time.Time { return x.c.arrived }
+// ReceivedAt returns when the request's last byte arrived, or its first byte if it is streamed. The caller's
+// time for the request starts then. The caller of a pipelined request also counts the wait for the response to
+// the previous request, so that ReceivedAt is the earliest time at which the request may have arrived.
+func (x *Exchange) ReceivedAt() time.Time { return x.conn.receivedAt }
 
-func (x *Exchange) begin(body []byte) {
+// reset prepares x for a response to a request with the given body.
+func (x *Exchange) reset(body []byte) {
 	x.Body, x.Close = body, false
-	x.out, x.upload, x.flow = nil, nil, flow{}
-	owned, ok := x.d.outs.Get().(*[]byte)
+	x.responseData, x.receiver, x.stream = nil, nil, responseStream{}
+	buffer, ok := x.server.responseBuffers.Get().(*[]byte)
 	if !ok {
-		owned = new([]byte)
+		buffer = new([]byte)
 	}
-	x.owned = owned
+	x.pooledBuffer = buffer
 }
 
-// mostOut is the largest space of an answer that is kept for another.
-const mostOut = 64 << 10
+// maxPooledResponseBytes is the largest capacity of a response buffer that returns to the pool.
+const maxPooledResponseBytes = 64 << 10
 
-func (x *Exchange) end() {
-	if *x.owned = x.out[:0]; cap(x.out) <= mostOut {
-		x.d.outs.Put(x.owned)
+// releaseBuffers returns the response buffer to the pool, unless it is too large.
+func (x *Exchange) releaseBuffers() {
+	if *x.pooledBuffer = x.responseData[:0]; cap(x.responseData) <= maxPooledResponseBytes {
+		x.server.responseBuffers.Put(x.pooledBuffer)
 	}
-	x.out, x.owned, x.Body = nil, nil, nil
+	x.responseData, x.pooledBuffer, x.Body = nil, nil, nil
 }
 
-// NotifyDisconnect has l told if the caller goes away before Unwatch, which is owed. It returns false if
-// the caller has gone by now.
-func (x *Exchange) NotifyDisconnect(l Canceler) bool {
-	x.d.mu.Lock()
-	defer x.d.mu.Unlock()
-	x.c.canceler = l
-	return !x.c.gone
+// NotifyDisconnect arranges for canceler.Cancel to be called if the caller disconnects before
+// StopNotifyDisconnect, which must be called in any case. It returns false if the caller has already
+// disconnected.
+func (x *Exchange) NotifyDisconnect(canceler Canceler) bool {
+	x.server.mu.Lock()
+	defer x.server.mu.Unlock()
+	x.conn.canceler = canceler
+	return !x.conn.disconnected
 }
 
-// CallerDisconnected tells whether the caller has gone, which it looks for itself: Watch tells it a moment later. It may be
-// called by any goroutine, also after Serve has returned.
-func (x *Exchange) CallerDisconnected() bool { return x.c.PeerDisconnected() }
+// CallerDisconnected reports whether the caller has disconnected. It checks the connection itself, and may
+// report a disconnect a moment before the Canceler is called. It may be called by any goroutine, also after
+// ServeExchange has returned.
+func (x *Exchange) CallerDisconnected() bool { return x.conn.PeerDisconnected() }
 
-// StopNotifyDisconnect ends Watch: l is told nothing from then on.
+// StopNotifyDisconnect ends NotifyDisconnect: the Canceler is not called from then on.
 func (x *Exchange) StopNotifyDisconnect() {
-	x.d.mu.Lock()
-	defer x.d.mu.Unlock()
-	x.c.canceler = nil
+	x.server.mu.Lock()
+	defer x.server.mu.Unlock()
+	x.conn.canceler = nil
 }
 
-// Respond sets the answer: fields appends further ones, whole lines, or is nil. Framing, Date
-// and Connection are the door's, see RFC 9110, 6.6.1 and 7.6.1.
-func (x *Exchange) Respond(status int, contentType string, fields func(b []byte) []byte, body []byte) {
-	b := http1.AppendStatusLine((*x.owned)[:0], status)
+// Respond sets the response, which the server sends after ServeExchange has returned. appendFields appends
+// further header fields as complete lines, or is nil. The server sets the framing, Date and Connection
+// fields, see RFC 9110, 6.6.1 and 7.6.1.
+func (x *Exchange) Respond(status int, contentType string, appendFields func(b []byte) []byte, body []byte) {
+	b := http1.AppendStatusLine((*x.pooledBuffer)[:0], status)
 	if contentType != "" {
 		b = http1.AppendField(b, "Content-Type", contentType)
 	}
-	b = x.common(b, fields)
+	b = x.appendCommonFields(b, appendFields)
 	b = http1.AppendHeadEnd(http1.AppendContentLength(b, int64(len(body))))
-	x.out = append(b, body...)
+	x.responseData = append(b, body...)
 }
 
-// common appends the fields of any answer.
-func (x *Exchange) common(b []byte, fields func(b []byte) []byte) []byte {
-	x.at = time.Now()
-	b = x.d.appendDate(b, x.at)
-	if fields != nil {
-		b = fields(b)
+// appendCommonFields appends the header fields that every response has, and those of appendFields.
+func (x *Exchange) appendCommonFields(b []byte, appendFields func(b []byte) []byte) []byte {
+	x.respondedAt = time.Now()
+	b = x.server.appendDate(b, x.respondedAt)
+	if appendFields != nil {
+		b = appendFields(b)
 	}
-	// What is left of a request's body can't be told from the next request.
-	x.Close = x.Close || x.upload != nil && !x.upload.done() || x.d.draining.Load() && !x.more()
+	// The connection also closes if the request's body was not read to its end, as the rest can't be told from
+	// the next request.
+	x.Close = x.Close || x.receiver != nil && !x.receiver.complete() || x.server.draining.Load() && !x.hasMoreData()
 	if x.Close {
 		b = http1.AppendField(b, "Connection", "close")
 	}
 	return b
 }
 
-// more tells whether something has come behind the request, which is answered too.
-func (x *Exchange) more() bool { return x.c.buf.Len() > x.c.whole || !x.c.ReadWouldBlock() }
+// hasMoreData reports whether data of a further request has arrived. That request gets a response too, so that
+// this one does not end the connection during a shutdown.
+func (x *Exchange) hasMoreData() bool {
+	return x.conn.buf.Len() > x.conn.requestBytes || !x.conn.ReadWouldBlock()
+}
 
-// HijackedConn is a connection that its door has handed over. Its reader gets first what had been read
-// behind the request. It keeps its place, and Shutdown waits for it, until Close.
+// HijackedConn is a connection that a handler has taken over from the server. Read first returns the data
+// that the server had read after the request. Until Close, the connection keeps its slot and Shutdown
+// waits for it.
 type HijackedConn struct {
 	net.Conn
-	rest  []byte
-	leave func()
+	unread  []byte
+	release func()
 }
 
-// Hijack hands the connection over, as it is once Serve returns: the door neither answers on it
-// nor reads or closes it any more. It must be closed.
+// Hijack hands the connection over to the handler, without any deadline, as of the return of ServeExchange.
+// The server sends no response on it and neither reads nor closes it any more, except in Server.Close. The
+// new owner must close it.
 func (x *Exchange) Hijack() *HijackedConn {
-	c := x.c
+	c := x.conn
 	c.hijacked = true
 	x.StopNotifyDisconnect()
 	c.SetDeadline(time.Time{})
-	rest := c.buf.Bytes()[c.whole:]
-	return &HijackedConn{Conn: c.Conn, rest: append([]byte(nil), rest...), leave: sync.OnceFunc(func() { x.d.forget(c) })}
+	unread := c.buf.Bytes()[c.requestBytes:]
+	return &HijackedConn{Conn: c.Conn, unread: append([]byte(nil), unread...), release: sync.OnceFunc(func() { x.server.releaseConn(c) })}
 }
 
+// Read reads as net.Conn does, first the data that the server had read.
 func (r *HijackedConn) Read(p []byte) (int, error) {
-	if len(r.rest) > 0 {
-		n := copy(p, r.rest)
-		r.rest = r.rest[n:]
+	if len(r.unread) > 0 {
+		n := copy(p, r.unread)
+		r.unread = r.unread[n:]
 		return n, nil
 	}
 	return r.Conn.Read(p)
 }
 
-// Close closes the connection and gives its place back.
+// Close closes the connection and returns its slot. It may be called more than once.
 func (r *HijackedConn) Close() error {
-	defer r.leave()
+	defer r.release()
 	return r.Conn.Close()
 }
 
-// date is a Date field for one second.
-type date struct {
-	second int64
-	field  []byte
+// cachedDate is a Date field line and the second for which it holds.
+type cachedDate struct {
+	unixSeconds int64
+	field       []byte
 }
 
+// appendDate appends the Date field line for now, which is formatted once a second.
 func (d *Server) appendDate(b []byte, now time.Time) []byte {
-	at := d.date.Load()
-	if at == nil || at.second != now.Unix() {
-		at = &date{now.Unix(), http1.AppendField(nil, "Date", now.UTC().Format(http.TimeFormat))}
-		d.date.Store(at)
+	cached := d.dateField.Load()
+	if cached == nil || cached.unixSeconds != now.Unix() {
+		cached = &cachedDate{now.Unix(), http1.AppendField(nil, "Date", now.UTC().Format(http.TimeFormat))}
+		d.dateField.Store(cached)
 	}
-	return append(b, at.field...)
+	return append(b, cached.field...)
 }
--- /dev/null
+++ b/internal/tcpconn/conn.go
@@ -0,0 +1,239 @@
+// Package tcpconn reads TCP connections for programs that have many of them: a buffer is held only
+// while it contains data, a connection can be checked for data without reading it, and one
+// goroutine detects all peers that disconnect. It is for Linux only.
+package tcpconn
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"barleydrum.example/barleydrum/internal/http1"
+)
+
+// Conn is a TCP connection. Only one goroutine at a time may read it. The deadlines and Close of net.Conn
+// apply to all operations.
+type Conn struct {
+	net.Conn
+	raw  syscall.RawConn
+	bufs *http1.BufferPool // for reads into no given buffer
+
+	// Functions that the runtime calls with the file descriptor, and the fields by which they get arguments
+	// and return results. The functions are created once, since a closure for each call would be garbage.
+	readFunc, writeThenReadFunc, writeFunc func(fd uintptr) bool
+	readBuffer                             *http1.Buffer
+	readBytes                              int
+	syscallErr                             error
+	writeData                              []byte
+	writtenBytes                           int
+	writeTried, stale                      bool
+
+	peekFunc   func(fd uintptr)
+	wouldBlock atomic.Bool
+}
+
+// minReadBytes is the smallest space that a read is given.
+const minReadBytes = 512
+
+// New returns a Conn for c that reads into buffers from a pool. It returns errors.ErrUnsupported if c is
+// not a syscall.Conn.
+func New(c net.Conn, bufs *http1.BufferPool) (*Conn, error) {
+	sysConn, ok := c.(syscall.Conn)
+	if !ok {
+		return nil, errors.ErrUnsupported
+	}
+	raw, err := sysConn.SyscallConn()
+	if err != nil {
+		return nil, err
+	}
+	s := &Conn{Conn: c, raw: raw, bufs: bufs}
+	s.readFunc, s.writeThenReadFunc, s.peekFunc = s.readOnce, s.writeThenReadOnce, s.peek
+	s.writeFunc = func(fd uintptr) bool {
+		s.writeOnce(fd)
+		return true
+	}
+	return s, nil
+}
+
+// ReadInto waits until there is data to read and appends it to b, or to a buffer from the pool if b is
+// nil. It returns that buffer, or b if no data was read, and io.EOF at the end of the stream.
+func (s *Conn) ReadInto(b *http1.Buffer) (*http1.Buffer, error) {
+	s.readBuffer = b
+	err := s.raw.Read(s.readFunc)
+	return s.readResult(err)
+}
+
+// readResult returns the result of a read. err is the runtime's, such as an exceeded deadline.
+func (s *Conn) readResult(err error) (*http1.Buffer, error) {
+	b := s.readBuffer
+	s.readBuffer = nil
+	switch {
+	case err != nil:
+		return b, err
+	case s.syscallErr != nil:
+		return b, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", s.syscallErr)}
+	case s.readBytes == 0:
+		return b, io.EOF
+	}
+	return b, nil
+}
+
+// WriteThenRead writes a request and reads the first part of the response, as Write and ReadInto do. The
+// connection must be open without unread data: otherwise stale is true and nothing has been written. If
+// not all of p could be written without waiting, it returns early, with a nil buffer and no error. The check
+// for unread data takes the place of the attempt to read with which waiting starts in any case, which saves a
+// system call for each request.
+func (s *Conn) WriteThenRead(p []byte) (written int, stale bool, b *http1.Buffer, err error) {
+	s.writeData, s.writtenBytes, s.writeTried, s.stale, s.readBuffer, s.readBytes, s.syscallErr = p, 0, false, false, nil, 0, nil
+	err = s.raw.Read(s.writeThenReadFunc)
+	s.writeData = nil
+	if s.stale || err == nil && s.writtenBytes < len(p) {
+		return s.writtenBytes, s.stale, nil, s.syscallErr
+	}
+	b, err = s.readResult(err)
+	return s.writtenBytes, false, b, err
+}
+
+// writeThenReadOnce checks the connection and writes when it is first called, and reads after that. It reports
+// whether the runtime must stop waiting for data.
+func (s *Conn) writeThenReadOnce(fd uintptr) bool {
+	if s.writeTried {
+		return s.readOnce(fd)
+	}
+	s.writeTried = true
+	if s.peek(fd); !s.wouldBlock.Load() {
+		s.stale = true
+		return true
+	}
+	return !s.writeOnce(fd) || s.writtenBytes < len(s.writeData) // wait for the response if all was written
+}
+
+// TryWrite writes as much of p as can be written without waiting, and returns the number of bytes written.
+func (s *Conn) TryWrite(p []byte) (n int, err error) {
+	s.writeData, s.writtenBytes, s.syscallErr = p, 0, nil
+	err = s.raw.Write(s.writeFunc)
+	s.writeData = nil
+	if err == nil && s.syscallErr != nil {
+		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", s.syscallErr)}
+	}
+	return s.writtenBytes, err
+}
+
+// WriteWithDeadline writes all of p. The deadline applies to what can't be written without waiting. It is
+// cleared at the end, since it would otherwise fail a later write that needs no waiting.
+func (s *Conn) WriteWithDeadline(p []byte, deadline time.Time) error {
+	n, err := s.TryWrite(p)
+	if err != nil || n == len(p) {
+		return err
+	}
+	s.SetWriteDeadline(deadline)
+	defer s.SetWriteDeadline(time.Time{})
+	_, err = s.Write(p[n:])
+	return err
+}
+
+// writeOnce writes once without waiting. It returns false if the write failed, and stores the error.
+func (s *Conn) writeOnce(fd uintptr) bool {
+	for {
+		n, err := syscall.Write(int(fd), s.writeData)
+		switch err {
+		case nil:
+			s.writtenBytes = n
+		case syscall.EINTR:
+			continue
+		case syscall.EAGAIN:
+		default:
+			s.syscallErr = err
+			return false
+		}
+		return true
+	}
+}
+
+// readOnce reads once without waiting. It returns false if there is nothing to read yet.
+func (s *Conn) readOnce(fd uintptr) bool {
+	b := s.readBuffer
+	if b == nil {
+		b = s.bufs.Get()
+	}
+	for {
+		s.readBytes, s.syscallErr = syscall.Read(int(fd), b.Reserve(minReadBytes))
+		if s.syscallErr != syscall.EINTR {
+			break
+		}
+	}
+	if s.readBytes > 0 {
+		b.Commit(s.readBytes)
+		s.readBuffer = b
+		return true
+	}
+	if s.readBuffer == nil {
+		s.bufs.Put(b)
+	}
+	return s.syscallErr != syscall.EAGAIN
+}
+
+// ReadWouldBlock reports whether the connection is open with nothing to read. It does not wait, and may
+// be called while another goroutine waits in ReadInto.
+func (s *Conn) ReadWouldBlock() bool {
+	return s.raw.Control(s.peekFunc) == nil && s.wouldBlock.Load()
+}
+
+// peek sets wouldBlock to whether a read would have to wait: there is no data, no end of the stream and no error.
+// It consumes no data.
+func (s *Conn) peek(fd uintptr) {
+	var b [1]byte
+	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	s.wouldBlock.Store(err == syscall.EAGAIN)
+}
+
+// PeerDisconnected reports whether the peer has ended its sending or reset the connection, or the connection
+// has been closed on this side. It does not wait, and may be called by any goroutine.
+func (s *Conn) PeerDisconnected() bool {
+	disconnected := false
+	err := s.raw.Control(func(fd uintptr) {
+		pollFds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		for {
+			_, err := unix.Poll(pollFds[:], 0)
+			if err == unix.EINTR {
+				continue
+			}
+			disconnected = err == nil && pollFds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+			return
+		}
+	})
+	return err != nil || disconnected
+}
+
+// WriteBuffers writes buffers until the write deadline and removes what has been written from them. Several
+// buffers are written together. It returns the number of bytes written.
+func (s *Conn) WriteBuffers(buffers *net.Buffers) (int64, error) {
+	if len(*buffers) != 1 {
+		return buffers.WriteTo(s.Conn)
+	}
+	n, err := s.Conn.Write((*buffers)[0])
+	(*buffers)[0] = (*buffers)[0][n:]
+	return int64(n), err
+}
+
+// HasUnackedData reports whether the peer's machine has not yet acknowledged all that was sent, see SIOCOUTQ in
+// tcp(7).
+func (s *Conn) HasUnackedData() bool {
+	unackedBytes := 0
+	err := s.raw.Control(func(fd uintptr) { unackedBytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	return err == nil && unackedBytes > 0
+}
+
+// CloseWrite ends sending, so that the peer can read a last response before the connection is closed.
+func (s *Conn) CloseWrite() error {
+	if c, ok := s.Conn.(*net.TCPConn); ok {
+		return c.CloseWrite()
+	}
+	return errors.ErrUnsupported
+}
