--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -26,7 +26,7 @@
 // ParsePlatform reads a platform's configuration, with what is wrong with it as a finding.
 func ParsePlatform(f File) (*config.Platform, []config.Finding) {
 	if f.Err != nil {
-		return nil, []config.Finding{unreadable(f)}
+		return nil, []config.Finding{unreadableFinding(f)}
 	}
 	p, err := config.ParsePlatform(f.Text)
 	if err == nil {
@@ -37,10 +37,10 @@
 	var kind *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		at.Rule, at.Position = config.RuleSyntax, position(f.Text, syntax.Offset)
+		at.Rule, at.Position = config.RuleSyntax, positionAt(f.Text, syntax.Offset)
 	case errors.As(err, &kind):
 		at.Rule, at.Key, at.Found, at.Allowed = config.RuleWrongType, kind.Field, "a "+kind.Value, "a "+kind.Type.String()
-		at.Position = position(f.Text, kind.Offset)
+		at.Position = positionAt(f.Text, kind.Offset)
 	default:
 		if key, found, ok := strings.Cut(err.Error(), ": "); ok {
 			at.Key, at.Found = key, found
@@ -49,11 +49,11 @@
 	return nil, []config.Finding{at}
 }
 
-func unreadable(f File) config.Finding {
+func unreadableFinding(f File) config.Finding {
 	return config.Finding{Rule: config.RuleUnreadable, Level: config.LevelRefused, File: f.Name, Found: f.Err.Error()}
 }
 
-func position(text []byte, offset int64) config.Position {
+func positionAt(text []byte, offset int64) config.Position {
 	before := text[:min(max(int(offset)-1, 0), len(text))]
 	line := bytes.Count(before, []byte("\n"))
 	return config.Position{Line: line + 1, Column: len(before) - bytes.LastIndexByte(before, '\n')}
@@ -62,7 +62,7 @@
 // ParseSettings reads an operators' file.
 func ParseSettings(f File) (*config.Settings, []config.Finding) {
 	if f.Err != nil {
-		return nil, []config.Finding{unreadable(f)}
+		return nil, []config.Finding{unreadableFinding(f)}
 	}
 	return config.ParseSettings(f.Name, f.Text)
 }
@@ -72,13 +72,13 @@
 // names are the files'. It returns what the sidecar is to run with, nil if that is refused.
 func Sidecar(p *config.Platform, platformFile string, s *config.Settings, settingsFile string) (*config.Config, []config.Finding) {
 	c := newChecker(p, platformFile, s, settingsFile)
-	c.alone = p == nil
+	c.standalone = p == nil
 	c.run()
-	c.all.across([]*checker{c})
-	if config.HasRefusal(c.all.findings) {
-		return nil, c.all.findings
+	c.report.crossCheck([]*checker{c})
+	if config.HasRefusal(c.report.findings) {
+		return nil, c.report.findings
 	}
-	return c.merged, c.all.findings
+	return c.merged, c.report.findings
 }
 
 // Deployment checks files of both kinds together: each operators' file beside every platform's
@@ -86,25 +86,25 @@
 // of them for what they claim and how their tiers call each other.
 func Deployment(files []File) []config.Finding {
 	var all report
-	checked, bad := pairs(files)
+	checked, bad := pairFiles(files)
 	all.add(bad...)
 	for _, c := range checked {
 		c.run()
-		all.add(c.all.findings...)
+		all.add(c.report.findings...)
 	}
-	all.across(checked)
+	all.crossCheck(checked)
 	return all.findings
 }
 
-// across checks what only shows with all sidecars side by side.
-func (r *report) across(checked []*checker) {
-	r.claims(checked)
-	r.circles(checked)
-	r.counts(checked)
+// crossCheck checks what only shows with all sidecars side by side.
+func (r *report) crossCheck(checked []*checker) {
+	r.checkListenAddresses(checked)
+	r.checkTierCycles(checked)
+	r.checkSidecarCounts(checked)
 }
 
-// pairs reads files and puts those together that a sidecar would run with.
-func pairs(files []File) (checked []*checker, findings []config.Finding) {
+// pairFiles reads files and puts those together that a sidecar would run with.
+func pairFiles(files []File) (checked []*checker, findings []config.Finding) {
 	var all report
 	var platforms, settings []*checker
 	for _, f := range files {
@@ -135,10 +135,10 @@
 		if matched {
 			continue
 		}
-		switch own.alone = own.complete(); {
-		case own.alone:
+		switch own.standalone = own.isStandalone(); {
+		case own.standalone:
 		case len(platforms) > 0:
-			own.warn("no-platform-match", "application.tier", quoted(own.settings.Application.Tier), "a tier that a platform's configuration here sends to")
+			own.warn("no-platform-match", "application.tier", quote(own.settings.Application.Tier), "a tier that a platform's configuration here sends to")
 		default:
 			own.warn("needs-platform", "application.listen", "nothing", "HOST:PORT, or a platform's configuration beside the file")
 		}
@@ -177,9 +177,9 @@
 	settings     *config.Settings // the defaults for none
 	settingsFile string           // empty for none
 	merged       *config.Config
-	alone        bool // the file must say all that a platform would
+	standalone   bool // the file must say all that a platform would
 	paired       bool // a file goes with this platform's configuration
-	all          report
+	report       report
 }
 
 func newChecker(p *config.Platform, platformFile string, s *config.Settings, settingsFile string) *checker {
@@ -191,13 +191,13 @@
 	}
 }
 
-// complete tells whether an operators' file means to be run with alone.
-func (c *checker) complete() bool {
+// isStandalone tells whether an operators' file means to be run with alone.
+func (c *checker) isStandalone() bool {
 	return c.settings.Application.ListenAddress != "" || c.settings.Application.DiscoveryAddress != ""
 }
 
-// given tells whether the operators' file gives a key.
-func (c *checker) given(keys ...string) bool {
+// setsAny tells whether the operators' file gives a key.
+func (c *checker) setsAny(keys ...string) bool {
 	for _, key := range keys {
 		if _, ok := c.settings.KeyPosition(key); ok {
 			return true
@@ -223,10 +223,10 @@
 	if f.Position = at; !given && c.platformFile != "" {
 		f.File = c.platformFile
 	}
-	c.all.add(f)
+	c.report.add(f)
 }
 
 // warn is refuse for a rule that warns; the rule's level says which.
 func (c *checker) warn(id, key, found, allowed string) { c.refuse(id, key, found, allowed) }
 
-func quoted(text string) string { return fmt.Sprintf("%q", text) }
+func quote(text string) string { return fmt.Sprintf("%q", text) }
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -12,9 +12,9 @@
 	"barleydrum.example/barleydrum/internal/config"
 )
 
-// platform is a platform's configuration in the form of DEPLOY, as one sidecar of the tier
+// platformConfig is a platform's configuration in the form of DEPLOY, as one sidecar of the tier
 // order-front at the operators' main site is told it.
-const platform = `{"name": "n3", "listen": "10.0.0.4:9000", "discovery": "10.2.0.1:8500", "seed": "8c1f30d27a5be964",
+const platformConfig = `{"name": "n3", "listen": "10.0.0.4:9000", "discovery": "10.2.0.1:8500", "seed": "8c1f30d27a5be964",
 "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 "peer_listen": "10.0.0.4:7946", "peers": ["10.3.0.1:7946"], "peers_all": "10.3.255.1:7946",
 "known": {"generation": 41, "reset": true, "instances": [
@@ -33,8 +33,8 @@
  "specifics": {"passesDeadline": true}, "overShareWorth": 0.1, "tenants": []}}
 `
 
-// beside goes with platform, alone is run without one.
-const beside = `schema = 1
+// settingsBeside goes with platform, alone is run without one.
+const settingsBeside = `schema = 1
 
 [application]
 name = "order-front"
@@ -64,7 +64,7 @@
 retry_within = "1200ms"
 `
 
-const alone = `schema = 1
+const standaloneSettings = `schema = 1
 
 [application]
 name = "order-check"
@@ -112,9 +112,9 @@
 second_copies = false
 `
 
-func named(name, text string) File { return File{Name: name, Text: []byte(text)} }
+func newFile(name, text string) File { return File{Name: name, Text: []byte(text)} }
 
-func text(findings []config.Finding) string {
+func formatFindings(findings []config.Finding) string {
 	var b strings.Builder
 	for _, f := range findings {
 		fmt.Fprintln(&b, f)
@@ -124,14 +124,14 @@
 
 // What the platform writes is accepted as it is, and so are the good files of these tests:
 // without a word.
-func TestGoodFilesAreAccepted(t *testing.T) {
+func TestDeploymentAcceptsValidFiles(t *testing.T) {
 	for name, files := range map[string][]File{
-		"platform": {named("p.json", platform)}, "beside": {named("p.json", platform), named("s.toml", beside)},
-		"alone": {named("a.toml", alone)}, "all": {named("p.json", platform), named("s.toml", beside), named("a.toml", alone)},
-		"default": {named("p.json", platform), named("d.toml", "schema = 1\n[application]\nname = \"x\"\n")},
+		"platform": {newFile("p.json", platformConfig)}, "beside": {newFile("p.json", platformConfig), newFile("s.toml", settingsBeside)},
+		"alone": {newFile("a.toml", standaloneSettings)}, "all": {newFile("p.json", platformConfig), newFile("s.toml", settingsBeside), newFile("a.toml", standaloneSettings)},
+		"default": {newFile("p.json", platformConfig), newFile("d.toml", "schema = 1\n[application]\nname = \"x\"\n")},
 	} {
 		if got := Deployment(files); len(got) > 0 {
-			t.Errorf("%s: %s", name, text(got))
+			t.Errorf("%s: %s", name, formatFindings(got))
 		}
 	}
 }
@@ -141,7 +141,7 @@
 	name, rule, key string // the rule and the key that its refusal must name
 	base            string // "beside", "alone", "platform" or "pair": the file that is changed
 	old, new        string // its text
-	more            string // a further file, if any
+	variant         string // a further file, if any
 }
 
 // mutations are each one fault, whose numbers are drawn at random within what is wrong.
@@ -247,84 +247,84 @@
 	)
 }
 
-// another is alone as a further application at an address of its own.
-func another(name, listen string, more ...string) File {
+// otherApplication is alone as a further application at an address of its own.
+func otherApplication(name, listen string, more ...string) File {
 	own := fmt.Sprintf("127.0.9.%d:9001", name[0])
 	r := strings.NewReplacer(append(more, `"order-check"`, `"`+name+`"`, `calls = ["run-booking"]`, "calls = []",
 		"127.0.0.1:9000", listen, "127.0.0.1:9001", own)...)
-	return named(name+".toml", r.Replace(alone))
+	return newFile(name+".toml", r.Replace(standaloneSettings))
 }
 
 // files returns the files of a mutation, broken and good.
 func (m mutation) files(t *testing.T) (broken, good []File) {
-	texts := map[string]string{"platform": platform, "pair": platform, "beside": beside, "alone": alone}
+	texts := map[string]string{"platform": platformConfig, "pair": platformConfig, "beside": settingsBeside, "alone": standaloneSettings}
 	was := texts[m.base]
 	if strings.Count(was, m.old) == 0 {
 		t.Fatalf("%s: %q is not in the file", m.name, m.old)
 	}
 	now := strings.Replace(was, m.old, m.new, 1)
 	build := func(text string, broken bool) []File {
-		with := beside
-		switch m.more {
+		with := settingsBeside
+		switch m.variant {
 		case "raise":
-			with = strings.NewReplacer("[class", "[fleet]\nattempts = 6\n[class").Replace(beside)
+			with = strings.NewReplacer("[class", "[fleet]\nattempts = 6\n[class").Replace(settingsBeside)
 		case "drain450":
-			with = strings.Replace(beside, "[class", "[discovery]\npush_wait = \"50ms\"\n[fleet]\ndrain_grace = \"450ms\"\n[class", 1)
+			with = strings.Replace(settingsBeside, "[class", "[discovery]\npush_wait = \"50ms\"\n[fleet]\ndrain_grace = \"450ms\"\n[class", 1)
 		case "plain":
-			with = strings.Replace(beside, "retries = 2\nsecond_copies = true\n", "", 1)
+			with = strings.Replace(settingsBeside, "retries = 2\nsecond_copies = true\n", "", 1)
 		case "nocopies":
 			text = strings.Replace(text, "second_copies = true\n", "", 1)
 		}
-		if m.more == "noretry" {
+		if m.variant == "noretry" {
 			text = strings.Replace(text, "retry_within = \"1200ms\"\n", "", 1)
 		}
 		var out []File
 		switch m.base {
 		case "platform":
-			out = []File{named("p.json", text)}
+			out = []File{newFile("p.json", text)}
 		case "pair":
-			out = []File{named("p.json", text), named("s.toml", with)}
+			out = []File{newFile("p.json", text), newFile("s.toml", with)}
 		case "beside":
-			p := platform
-			if m.more == "raise" { // the platform allows what the class asks for
+			p := platformConfig
+			if m.variant == "raise" { // the platform allows what the class asks for
 				p = strings.Replace(p, `"attemptsCap": 6`, `"attemptsCap": 99`, 1)
 				p = strings.Replace(p, `"connectTimeoutNs": 250000000`, `"connectTimeoutNs": 300000000`, 1)
 			}
-			out = []File{named("p.json", p), named("s.toml", text)}
+			out = []File{newFile("p.json", p), newFile("s.toml", text)}
 		case "alone":
-			out = []File{named("a.toml", text)}
+			out = []File{newFile("a.toml", text)}
 		}
-		switch form, claims := strings.CutPrefix(m.more, "claim "); {
+		switch form, claims := strings.CutPrefix(m.variant, "claim "); {
 		case claims && broken:
-			out = append(out, another("run-booking", form))
+			out = append(out, otherApplication("run-booking", form))
 		case claims:
-			out = append(out, another("run-booking", "127.0.0.2:9000"))
-		case m.more == "circle":
+			out = append(out, otherApplication("run-booking", "127.0.0.2:9000"))
+		case m.variant == "circle":
 			back := []string{"calls = []", `calls = ["nobody"]`}
 			if broken {
 				back[1] = `calls = ["order-front"]`
 			}
-			front := another("order-front", "127.0.0.2:9000")
+			front := otherApplication("order-front", "127.0.0.2:9000")
 			front.Text = []byte(strings.Replace(string(front.Text), "calls = []", `calls = ["order-check"]`, 1))
-			booking := another("run-booking", "127.0.0.3:9000")
+			booking := otherApplication("run-booking", "127.0.0.3:9000")
 			booking.Text = []byte(strings.Replace(string(booking.Text), back[0], back[1], 1))
 			out = append(out, front, booking)
-		case m.more == "number" || m.more == "fleet":
+		case m.variant == "number" || m.variant == "fleet":
 			for i := range 2 {
 				number := i + 2
-				if m.more == "number" && broken {
+				if m.variant == "number" && broken {
 					number = 1 + i
 				}
-				if m.more == "fleet" {
+				if m.variant == "fleet" {
 					number = i * (1 - i) // 0 and 0: mended below
 				}
-				f := another("order-check", fmt.Sprintf("127.0.0.%d:9000", i+5), "number = 1", fmt.Sprintf("number = %d", number),
+				f := otherApplication("order-check", fmt.Sprintf("127.0.0.%d:9000", i+5), "number = 1", fmt.Sprintf("number = %d", number),
 					"127.0.0.1:9001", fmt.Sprintf("127.0.0.%d:9009", i+5))
 				f.Name = fmt.Sprintf("%d.toml", i)
-				if m.more == "fleet" && broken {
+				if m.variant == "fleet" && broken {
 					f.Text = []byte(strings.Replace(string(f.Text), "sidecars = 4", "sidecars = 9", 1))
 					f.Text = []byte(strings.Replace(string(f.Text), "number = 0", fmt.Sprintf("number = %d", i+5), 1))
-				} else if m.more == "fleet" {
+				} else if m.variant == "fleet" {
 					f.Text = []byte(strings.Replace(string(f.Text), "number = 0", fmt.Sprintf("number = %d", i+2), 1))
 				}
 				out = append(out, f)
@@ -337,17 +337,17 @@
 
 // Each of the broken files has one fault, made from good files by a named mutation with a
 // seeded number: it is refused for that fault and none other, and the good files are not.
-func TestMutations(t *testing.T) {
+func TestDeploymentRefusesEachFault(t *testing.T) {
 	caught := make(map[string]int)
 	tried := 0
 	for seed := range uint64(3) {
 		for _, m := range mutations(rand.New(rand.NewPCG(seed, 7))) {
 			broken, good := m.files(t)
-			if got := refused(Deployment(good)); len(got) > 0 {
-				t.Errorf("%s: the good files are refused: %s", m.name, text(got))
+			if got := refusals(Deployment(good)); len(got) > 0 {
+				t.Errorf("%s: the good files are refused: %s", m.name, formatFindings(got))
 			}
 			tried++
-			got := refused(Deployment(broken))
+			got := refusals(Deployment(broken))
 			if len(got) == 0 {
 				t.Errorf("%s: accepted", m.name)
 				continue
@@ -381,70 +381,70 @@
 	}
 }
 
-func refused(findings []config.Finding) []config.Finding {
+func refusals(findings []config.Finding) []config.Finding {
 	return slices.DeleteFunc(slices.Clone(findings), func(f config.Finding) bool { return f.Level != config.LevelRefused })
 }
 
 // Warnings are apart from refusals: the files are accepted.
 // The grace for drains is the platform's where it gives one: another deployment has another.
-func TestGraceIsThePlatforms(t *testing.T) {
-	second := strings.Replace(platform, `"drainGraceNs": 500000000`, `"drainGraceNs": 1000000000`, 1)
+func TestDrainGraceLimitFollowsPlatform(t *testing.T) {
+	second := strings.Replace(platformConfig, `"drainGraceNs": 500000000`, `"drainGraceNs": 1000000000`, 1)
 	for grace, want := range map[string]string{"": "", "700ms": "", "1s": "", "1001ms": "looser-drain"} {
-		with := beside
+		with := settingsBeside
 		if grace != "" {
-			with = strings.Replace(beside, "[probe]", "[fleet]\ndrain_grace = \""+grace+"\"\n[probe]", 1)
+			with = strings.Replace(settingsBeside, "[probe]", "[fleet]\ndrain_grace = \""+grace+"\"\n[probe]", 1)
 		}
-		got := Deployment([]File{named("p.json", second), named("s.toml", with)})
+		got := Deployment([]File{newFile("p.json", second), newFile("s.toml", with)})
 		if want == "" && len(got) > 0 || want != "" && (len(got) != 1 || got[0].Rule != want) {
-			t.Errorf("grace %q beside 1s: %s", grace, text(got))
+			t.Errorf("grace %q beside 1s: %s", grace, formatFindings(got))
 		}
 	}
-	if got := Deployment([]File{named("p.json", second)}); len(got) > 0 {
-		t.Errorf("alone: %s", text(got))
+	if got := Deployment([]File{newFile("p.json", second)}); len(got) > 0 {
+		t.Errorf("alone: %s", formatFindings(got))
 	}
 }
 
-func TestWarnings(t *testing.T) {
+func TestDeploymentWarnings(t *testing.T) {
 	for rule, c := range map[string]struct{ base, old, new string }{
-		"retry-idle":            {beside, `retry_within = "1200ms"`, `retry_within = "100ms"`},
-		"retries-over-attempts": {beside, "attempts = 6\nretries = 2", "attempts = 2\nretries = 2"},
-		"copies-over-attempts":  {beside, "attempts = 6\nretries = 2", "attempts = 1"},
-		"client-past-window":    {beside, `repeat_window = "10s"`, `repeat_window = "3s"`},
-		"margin-over-tenth":     {beside, `answer_margin = "10ms"`, `answer_margin = "160ms"`},
-		"probe-under-connect":   {beside, `time = "250ms"`, `time = "50ms"`},
-		"slow-callers":          {beside, `body_time = "700ms"`, `body_time = "7s"`},
-		"memory-tight":          {beside, "[probe]", "[limits]\nmemory = \"100MiB\"\n[probe]"},
+		"retry-idle":            {settingsBeside, `retry_within = "1200ms"`, `retry_within = "100ms"`},
+		"retries-over-attempts": {settingsBeside, "attempts = 6\nretries = 2", "attempts = 2\nretries = 2"},
+		"copies-over-attempts":  {settingsBeside, "attempts = 6\nretries = 2", "attempts = 1"},
+		"client-past-window":    {settingsBeside, `repeat_window = "10s"`, `repeat_window = "3s"`},
+		"margin-over-tenth":     {settingsBeside, `answer_margin = "10ms"`, `answer_margin = "160ms"`},
+		"probe-under-connect":   {settingsBeside, `time = "250ms"`, `time = "50ms"`},
+		"slow-callers":          {settingsBeside, `body_time = "700ms"`, `body_time = "7s"`},
+		"memory-tight":          {settingsBeside, "[probe]", "[limits]\nmemory = \"100MiB\"\n[probe]"},
 	} {
 		text2 := strings.Replace(c.base, c.old, c.new, 1)
-		got := Deployment([]File{named("p.json", platform), named("s.toml", text2)})
+		got := Deployment([]File{newFile("p.json", platformConfig), newFile("s.toml", text2)})
 		if config.HasRefusal(got) || len(got) != 1 || got[0].Rule != rule || got[0].Level != config.LevelWarning {
-			t.Errorf("%s: %s", rule, text(got))
+			t.Errorf("%s: %s", rule, formatFindings(got))
 		}
 	}
-	got := Deployment([]File{named("s.toml", beside)})
+	got := Deployment([]File{newFile("s.toml", settingsBeside)})
 	if len(got) != 1 || got[0].Rule != "needs-platform" {
-		t.Errorf("without a platform: %s", text(got))
+		t.Errorf("without a platform: %s", formatFindings(got))
 	}
-	got = Deployment([]File{named("p.json", platform), named("s.toml", strings.Replace(beside, "tier = \"order-front", "tier = \"order-back", 1))})
+	got = Deployment([]File{newFile("p.json", platformConfig), newFile("s.toml", strings.Replace(settingsBeside, "tier = \"order-front", "tier = \"order-back", 1))})
 	if len(got) != 1 || got[0].Rule != "no-platform-match" {
-		t.Errorf("without a match: %s", text(got))
+		t.Errorf("without a match: %s", formatFindings(got))
 	}
 }
 
 // What the checker accepts for one sidecar is what the program runs with, tightened as the
 // file says.
-func TestSidecarRunsWith(t *testing.T) {
-	p, bad := ParsePlatform(named("p.json", platform))
+func TestSidecarReturnsMergedConfig(t *testing.T) {
+	p, bad := ParsePlatform(newFile("p.json", platformConfig))
 	if len(bad) > 0 {
-		t.Fatal(text(bad))
+		t.Fatal(formatFindings(bad))
 	}
-	s, bad := ParseSettings(named("s.toml", strings.Replace(beside, `wanted = "1540ms"`, `wanted = "1300ms"`, 1)))
+	s, bad := ParseSettings(newFile("s.toml", strings.Replace(settingsBeside, `wanted = "1540ms"`, `wanted = "1300ms"`, 1)))
 	if len(bad) > 0 {
-		t.Fatal(text(bad))
+		t.Fatal(formatFindings(bad))
 	}
 	c, got := Sidecar(p, "p.json", s, "s.toml")
 	if c == nil {
-		t.Fatal(text(got))
+		t.Fatal(formatFindings(got))
 	}
 	k := c.BalancerConfig.Classes[0]
 	if k.TargetLatency != 1300e6 || k.MaxAttempts != 6 || k.MaxRetries != 2 || k.RetryStartWindow != 1200e6 || k.NoHedging || c.ConnectTimeout() != 200e6 {
@@ -460,7 +460,7 @@
 
 // What Deployment refuses of one file, or of one beside its platform, Sidecar refuses, and by the same rules:
 // the program runs the one, drumctl the other.
-func TestSidecarRefusesTheSame(t *testing.T) {
+func TestSidecarRefusesAsDeployment(t *testing.T) {
 	for _, m := range mutations(rand.New(rand.NewPCG(1, 7))) {
 		broken, _ := m.files(t)
 		var p *config.Platform
@@ -482,33 +482,33 @@
 		if !ok {
 			continue // not one sidecar's, or refused as it is read
 		}
-		want := refused(Deployment(broken))
+		want := refusals(Deployment(broken))
 		c, got := Sidecar(p, names[0], s, names[1])
-		if got = refused(got); c != nil || text(got) != text(want) {
-			t.Errorf("%s:\nSidecar    %s\nDeployment %s", m.name, text(got), text(want))
+		if got = refusals(got); c != nil || formatFindings(got) != formatFindings(want) {
+			t.Errorf("%s:\nSidecar    %s\nDeployment %s", m.name, formatFindings(got), formatFindings(want))
 		}
 	}
 }
 
 // Whatever the checker accepts, the module starts with, and nothing makes it panic.
 func FuzzCheck(f *testing.F) {
-	f.Add([]byte(platform), []byte(beside))
-	f.Add([]byte(platform), []byte(alone))
+	f.Add([]byte(platformConfig), []byte(settingsBeside))
+	f.Add([]byte(platformConfig), []byte(standaloneSettings))
 	f.Add([]byte("{}"), []byte("schema = 1"))
 	for _, m := range mutations(rand.New(rand.NewPCG(1, 7))) {
 		var p, s []byte
-		switch now := strings.Replace(map[string]string{"platform": platform, "pair": platform, "beside": beside, "alone": alone}[m.base], m.old, m.new, 1); m.base {
+		switch now := strings.Replace(map[string]string{"platform": platformConfig, "pair": platformConfig, "beside": settingsBeside, "alone": standaloneSettings}[m.base], m.old, m.new, 1); m.base {
 		case "platform", "pair":
-			p, s = []byte(now), []byte(beside)
+			p, s = []byte(now), []byte(settingsBeside)
 		default:
-			p, s = []byte(platform), []byte(now)
+			p, s = []byte(platformConfig), []byte(now)
 		}
 		f.Add(p, s)
 	}
 	f.Fuzz(func(t *testing.T, platform, settings []byte) {
 		all := Deployment([]File{{Name: "p", Text: platform}, {Name: "s", Text: settings}})
 		if !json.Valid(platform) && !config.HasRefusal(all) && IsPlatform(platform) {
-			t.Errorf("accepted what is no JSON: %s", text(all))
+			t.Errorf("accepted what is no JSON: %s", formatFindings(all))
 		}
 		s, bad := ParseSettings(File{Name: "s", Text: settings})
 		if len(bad) > 0 {
@@ -521,7 +521,7 @@
 			}
 			c, found := Sidecar(p, "p", s, "s")
 			if (c == nil) != config.HasRefusal(found) {
-				t.Errorf("config %v, findings %s", c != nil, text(found))
+				t.Errorf("config %v, findings %s", c != nil, formatFindings(found))
 			}
 			if c == nil {
 				continue
@@ -538,22 +538,22 @@
 
 // A deployment of the size that is to come is checked in a moment.
 func BenchmarkDeployment170(b *testing.B) {
-	files := deployment(170)
+	files := deploymentFiles(170)
 	if got := Deployment(files); len(got) > 0 {
-		b.Fatal(text(got))
+		b.Fatal(formatFindings(got))
 	}
 	for b.Loop() {
 		Deployment(files)
 	}
 }
 
-// deployment is the files of so many sidecars of one tier, and the operators' file.
-func deployment(n int) []File {
-	files := []File{named("order-front.toml", beside)}
+// deploymentFiles is the files of so many sidecars of one tier, and the operators' file.
+func deploymentFiles(n int) []File {
+	files := []File{newFile("order-front.toml", settingsBeside)}
 	for i := range n {
 		r := strings.NewReplacer(`"n3"`, fmt.Sprintf(`"n%d"`, i), "10.0.0.4:9000", fmt.Sprintf("10.0.%d.%d:9000", i/250, i%250+1),
 			`"me": 3`, fmt.Sprintf(`"me": %d`, i), `"balancers": 170`, fmt.Sprintf(`"balancers": %d`, n))
-		files = append(files, named(fmt.Sprintf("n%d.json", i), r.Replace(platform)))
+		files = append(files, newFile(fmt.Sprintf("n%d.json", i), r.Replace(platformConfig)))
 	}
 	return files
 }
--- a/internal/check/fleet.go
+++ b/internal/check/deployment.go
@@ -10,22 +10,22 @@
 	"strings"
 )
 
-// claim is an address that a sidecar listens on.
-type claim struct {
-	by        *checker
-	key, addr string
+// address is an address that a sidecar listens on.
+type address struct {
+	owner     *checker
+	key, text string
 	hosts     []string // those it stands for; "*" is all
 	port      string
 }
 
-func newClaim(by *checker, key, addr string) claim {
+func newAddress(by *checker, key, addr string) address {
 	host, port, _ := net.SplitHostPort(addr)
-	return claim{by, key, addr, hosts(host), strings.TrimLeft(port, "0")}
+	return address{by, key, addr, hostAddresses(host), strings.TrimLeft(port, "0")}
 }
 
-// hosts are the addresses that a host stands for, each written in one way. A wildcard of
+// hostAddresses are the addresses that a host stands for, each written in one way. A wildcard of
 // either kind takes the port of both: an IPv6 socket takes IPv4 as well unless told not to.
-func hosts(host string) []string {
+func hostAddresses(host string) []string {
 	host = strings.TrimSuffix(strings.ToLower(host), ".")
 	if host == "localhost" {
 		return []string{"127.0.0.1", "::1"}
@@ -43,8 +43,8 @@
 	return []string{ip.String()}
 }
 
-// meets tells whether two claims can't both hold.
-func (x claim) meets(y claim) bool {
+// conflictsWith tells whether two claims can't both hold.
+func (x address) conflictsWith(y address) bool {
 	if x.port != y.port {
 		return false
 	}
@@ -56,25 +56,25 @@
 	return false
 }
 
-// claims checks the addresses that sidecars listen on against one another, discovery and the
+// checkListenAddresses checks the addresses that sidecars listen on against one another, discovery and the
 // endpoints.
-func (r *report) claims(checked []*checker) {
-	ports := make(map[string][]claim)
+func (r *report) checkListenAddresses(checked []*checker) {
+	ports := make(map[string][]address)
 	for _, c := range checked {
-		var own []claim
+		var own []address
 		if listen := c.merged.ListenAddress; listen != "" {
-			own = append(own, newClaim(c, "application.listen", listen))
+			own = append(own, newAddress(c, "application.listen", listen))
 		}
 		for _, addr := range c.settings.Callers.ExtraListenAddresses {
-			own = append(own, newClaim(c, "callers.also_listen", addr))
+			own = append(own, newAddress(c, "callers.also_listen", addr))
 		}
 		var bad report
 		for i, x := range own {
-			c.listensAt(x, &bad)
+			c.checkListenAddress(x, &bad)
 			for _, y := range append(own[:i:i], ports[x.port]...) {
-				if x.meets(y) && !sameSidecar(x, y) {
-					x.by.said(&bad, "listen-claimed", x.key, quoted(x.addr),
-						fmt.Sprintf("an address apart from %q, which %s of %s claims", y.addr, y.key, y.by.name()))
+				if x.conflictsWith(y) && !sameSidecar(x, y) {
+					x.owner.refuseIn(&bad, "listen-claimed", x.key, quote(x.text),
+						fmt.Sprintf("an address apart from %q, which %s of %s claims", y.text, y.key, y.owner.name()))
 				}
 			}
 		}
@@ -87,39 +87,39 @@
 
 // sameSidecar tells whether two claims are one: a platform's configuration that goes with two
 // files is still one sidecar.
-func sameSidecar(x, y claim) bool {
-	return x.by != y.by && x.by.platformFile != "" && x.by.platformFile == y.by.platformFile && x.key == y.key
+func sameSidecar(x, y address) bool {
+	return x.owner != y.owner && x.owner.platformFile != "" && x.owner.platformFile == y.owner.platformFile && x.key == y.key
 }
 
-// listensAt checks an address of a sidecar against what it sends to.
-func (c *checker) listensAt(x claim, bad *report) {
-	if d := c.merged.DiscoveryAddress; d != "" && exact(x, newClaim(c, "", d)) {
-		c.said(bad, "listen-discovery", x.key, quoted(x.addr), "an address apart from discovery's, "+quoted(d))
+// checkListenAddress checks an address of a sidecar against what it sends to.
+func (c *checker) checkListenAddress(x address, bad *report) {
+	if d := c.merged.DiscoveryAddress; d != "" && sameHostPort(x, newAddress(c, "", d)) {
+		c.refuseIn(bad, "listen-discovery", x.key, quote(x.text), "an address apart from discovery's, "+quote(d))
 	}
 	for _, in := range c.merged.KnownEndpoints.Instances {
-		if exact(x, newClaim(c, "", in.HostPort)) {
-			c.said(bad, "listen-endpoint", x.key, quoted(x.addr), fmt.Sprintf("an address apart from endpoint %q's", in.ID))
+		if sameHostPort(x, newAddress(c, "", in.HostPort)) {
+			c.refuseIn(bad, "listen-endpoint", x.key, quote(x.text), fmt.Sprintf("an address apart from endpoint %q's", in.ID))
 		}
 	}
 }
 
-// exact tells whether two claims name one host: what a wildcard covers may be another
+// sameHostPort tells whether two claims name one host: what a wildcard covers may be another
 // machine's.
-func exact(x, y claim) bool {
+func sameHostPort(x, y address) bool {
 	return x.port == y.port && slices.ContainsFunc(x.hosts, func(h string) bool { return h != "*" && slices.Contains(y.hosts, h) })
 }
 
-// said adds a refusal to another report than the checker's own.
-func (c *checker) said(to *report, id, key, found, allowed string) {
+// refuseIn adds a refusal to another report than the checker's own.
+func (c *checker) refuseIn(to *report, id, key, found, allowed string) {
 	at := &checker{platformFile: c.platformFile, settings: c.settings, settingsFile: c.settingsFile}
 	at.refuse(id, key, found, allowed)
-	to.add(at.all.findings...)
+	to.add(at.report.findings...)
 }
 
 func (c *checker) name() string { return cmp.Or(c.settingsFile, c.platformFile, c.merged.Name) }
 
-// circles checks that no tier is called, however indirectly, by the endpoints of its own.
-func (r *report) circles(checked []*checker) {
+// checkTierCycles checks that no tier is called, however indirectly, by the endpoints of its own.
+func (r *report) checkTierCycles(checked []*checker) {
 	calls := make(map[string][]string)
 	by := make(map[string]*checker)
 	var tiers []string
@@ -135,14 +135,14 @@
 		calls[a.Tier] = append(calls[a.Tier], a.DownstreamTiers...)
 	}
 	for _, from := range tiers {
-		if path := circle(calls, from); path != nil && from == slices.Min(path) { // once for each circle
-			by[from].said(r, "tier-circle", "application.calls", strings.Join(append(path, from), " calls "), "a chain that ends")
+		if path := shortestCycle(calls, from); path != nil && from == slices.Min(path) { // once for each circle
+			by[from].refuseIn(r, "tier-circle", "application.calls", strings.Join(append(path, from), " calls "), "a chain that ends")
 		}
 	}
 }
 
-// circle returns the shortest way from a tier back to itself, or nil.
-func circle(calls map[string][]string, from string) []string {
+// shortestCycle returns the shortest way from a tier back to itself, or nil.
+func shortestCycle(calls map[string][]string, from string) []string {
 	before := make(map[string]string)
 	for queue := []string{from}; len(queue) > 0; queue = queue[1:] {
 		at := queue[0]
@@ -165,9 +165,9 @@
 	return nil
 }
 
-// counts checks that as many sidecars send to a tier as they are told, each with a number of
+// checkSidecarCounts checks that as many sidecars send to a tier as they are told, each with a number of
 // its own.
-func (r *report) counts(checked []*checker) {
+func (r *report) checkSidecarCounts(checked []*checker) {
 	type number struct {
 		tier string
 		me   int
@@ -176,7 +176,7 @@
 	numbers := make(map[number]*checker)
 	sidecars := make(map[string]bool)
 	for _, c := range checked {
-		if c.platform == nil && !c.alone || sidecars[c.platformFile] && c.platformFile != "" {
+		if c.platform == nil && !c.standalone || sidecars[c.platformFile] && c.platformFile != "" {
 			continue
 		}
 		sidecars[c.platformFile] = true
@@ -184,7 +184,7 @@
 		tiers[tier] = append(tiers[tier], c)
 		n := number{tier, c.merged.BalancerConfig.SidecarIndex}
 		if other := numbers[n]; other != nil {
-			c.said(r, "sidecar-number", "fleet.number", fmt.Sprint(n.me), fmt.Sprintf("a number apart from that of %s, which also sends to %s", other.name(), tier))
+			c.refuseIn(r, "sidecar-number", "fleet.number", fmt.Sprint(n.me), fmt.Sprintf("a number apart from that of %s, which also sends to %s", other.name(), tier))
 		}
 		numbers[n] = c
 	}
@@ -192,7 +192,7 @@
 		all := tiers[tier]
 		for _, c := range all {
 			if told := c.merged.BalancerConfig.SidecarCount; told < len(all) {
-				c.said(r, "sidecars-undercounted", "fleet.sidecars", fmt.Sprint(told), fmt.Sprintf("%d or more: so many send to %s here", len(all), tier))
+				c.refuseIn(r, "sidecars-undercounted", "fleet.sidecars", fmt.Sprint(told), fmt.Sprintf("%d or more: so many send to %s here", len(all), tier))
 			}
 		}
 	}
--- a/internal/check/explain.go
+++ b/internal/check/explain.go
@@ -47,7 +47,7 @@
 	if config.HasRefusal(findings) {
 		return nil, findings
 	}
-	checked, _ := pairs(files)
+	checked, _ := pairFiles(files)
 	var out []Explanation
 	for _, c := range checked {
 		x := Explanation{
@@ -63,19 +63,19 @@
 			x.ListenAddresses = append([]string{c.merged.ListenAddress}, c.settings.Callers.ExtraListenAddresses...)
 		}
 		for _, k := range c.merged.BalancerConfig.Classes {
-			x.Classes = append(x.Classes, c.explain(k))
+			x.Classes = append(x.Classes, c.explainClass(k))
 		}
 		out = append(out, x)
 	}
 	return out, findings
 }
 
-// explain follows balance.Balancer: mayRetry, mayFollow, finish.
-func (c *checker) explain(k balance.Class) ClassExplanation {
+// explainClass follows balance.Balancer: mayRetry, mayFollow, finish.
+func (c *checker) explainClass(k balance.Class) ClassExplanation {
 	l := c.merged.BalancerConfig.Limits
 	x := ClassExplanation{
 		Name: k.Name, Semantics: config.SemanticsName(k.Semantics), TargetLatency: k.TargetLatency, Deadline: k.Deadline,
-		MaxAttempts: c.attempts(k), MaxRetries: -1, Hedging: l.Hedging && !k.NoHedging && k.Semantics != balance.Unsafe,
+		MaxAttempts: c.maxAttempts(k), MaxRetries: -1, Hedging: l.Hedging && !k.NoHedging && k.Semantics != balance.Unsafe,
 	}
 	x.LatestAttemptStart, _ = LatestAttemptStart(k, x.MaxAttempts)
 	x.GiveUpAfter = k.Deadline
@@ -144,7 +144,7 @@
 	}
 	fmt.Fprintln(w)
 	line("attempts", "%s, %s of them after one that may have run; %s",
-		most(k.MaxAttempts, k.MaxAttempts == 0), most(k.MaxRetries, k.MaxRetries < 0),
+		formatMax(k.MaxAttempts, k.MaxAttempts == 0), formatMax(k.MaxRetries, k.MaxRetries < 0),
 		map[bool]string{true: "a second copy may be out beside the first", false: "never two out together"}[k.Hedging])
 	line("begin", "the last no later than %s after the request came", show(k.LatestAttemptStart))
 	line("answered", "by %s at the latest (wanted within %s, the client waits %s)", show(k.GiveUpAfter), show(k.TargetLatency), show(k.Deadline))
@@ -156,7 +156,7 @@
 	line("failed", "%s", k.FailureMeaning)
 }
 
-func most(n int, unbounded bool) string {
+func formatMax(n int, unbounded bool) string {
 	switch {
 	case unbounded:
 		return "any number"
--- a/internal/check/sidecar.go
+++ b/internal/check/sidecar.go
@@ -16,49 +16,49 @@
 // Figures of the rules (BRIEF, "Figures of the rules") and of the platform (PROTOCOL,
 // "Figures" and "Callers to sidecars").
 const (
-	mostDrainGrace = 500 * time.Millisecond // where no platform gives one
-	leastLinger    = 400 * time.Millisecond // connections go on coming for so long after SIGTERM
-	killAfter      = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline
-	leastCold      = 100 * time.Millisecond // no process warms up sooner
-	leastIdle      = 2 * time.Second        // an idle connection may be closed after it
-	endCallers     = 3 * time.Second        // a caller that sends nothing whole is ended within it
+	maxDrainGrace     = 500 * time.Millisecond // where no platform gives one
+	minAcceptGrace    = 400 * time.Millisecond // connections go on coming for so long after SIGTERM
+	killDelay         = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline
+	minWarmupTime     = 100 * time.Millisecond // no process warms up sooner
+	minIdleTimeout    = 2 * time.Second        // an idle connection may be closed after it
+	maxSlowCallerTime = 3 * time.Second        // a caller that sends nothing whole is ended within it
 )
 
 // Memory that a connection takes beside what its settings bound: a goroutine's stack and the
 // buffers of its reads and writes, with room for a hedge's.
-const perConnection = 24 << 10
+const perConnectionBytes = 24 << 10
 
 func (c *checker) run() {
-	if c.alone {
-		c.missing()
-		if config.HasRefusal(c.all.findings) {
+	if c.standalone {
+		c.checkRequiredKeys()
+		if config.HasRefusal(c.report.findings) {
 			return // what is left out has no value to check
 		}
 	}
 	if c.platform != nil {
-		c.differs()
-		c.looser()
+		c.checkIdentity()
+		c.checkNotLooser()
 	}
-	c.classNames()
+	c.checkClassNames()
 	for _, k := range c.merged.BalancerConfig.Classes {
-		c.class(k)
-	}
-	c.names()
-	c.drains()
-	c.cold()
-	c.shutdown()
-	c.callers()
-	c.streams()
-	c.room()
-	if c.alone || c.platform != nil {
+		c.checkClass(k)
+	}
+	c.checkNames()
+	c.checkDrains()
+	c.checkColdStart()
+	c.checkShutdown()
+	c.checkCallers()
+	c.checkStreams()
+	c.checkCapacity()
+	if c.standalone || c.platform != nil {
 		if _, err := balance.New(c.merged.BalancerConfig, 1); err != nil {
 			c.refuse("module", "", err.Error(), "")
 		}
 	}
 }
 
-// missing reports what a file that is run with alone leaves out.
-func (c *checker) missing() {
+// checkRequiredKeys reports what a file that is run with alone leaves out.
+func (c *checker) checkRequiredKeys() {
 	need := func(key, found, allowed string) {
 		if found == "" {
 			c.refuse(config.RuleMissingKey, key, "nothing", allowed, "a file that runs without a platform's configuration says all")
@@ -71,7 +71,7 @@
 	if len(c.settings.Classes) == 0 {
 		need("class.NAME", "", "a class at the least")
 	}
-	for _, name := range c.classKeys() {
+	for _, name := range c.sortedClassNames() {
 		k, at := c.settings.Classes[name], config.ClassKey(name)
 		if k.TargetLatency == 0 {
 			need(at+".wanted", "", "a time")
@@ -89,7 +89,7 @@
 	}
 }
 
-func (c *checker) classKeys() []string {
+func (c *checker) sortedClassNames() []string {
 	var names []string
 	for name := range c.settings.Classes {
 		names = append(names, name)
@@ -98,12 +98,12 @@
 	return names
 }
 
-// differs reports where the file and the platform say different things of what the sidecar is.
-func (c *checker) differs() {
+// checkIdentity reports where the file and the platform say different things of what the sidecar is.
+func (c *checker) checkIdentity() {
 	p, s := c.platform, c.settings
 	same := func(key, file, platform string) {
-		if c.given(key) && file != platform {
-			c.refuse("platform-differs", key, quoted(file), quoted(platform)+", as "+c.platformFile+" says")
+		if c.setsAny(key) && file != platform {
+			c.refuse("platform-differs", key, quote(file), quote(platform)+", as "+c.platformFile+" says")
 		}
 	}
 	same("application.listen", s.Application.ListenAddress, p.ListenAddress)
@@ -127,16 +127,16 @@
 	}
 }
 
-// looser reports where the file promises more than the platform.
-func (c *checker) looser() {
+// checkNotLooser reports where the file promises more than the platform.
+func (c *checker) checkNotLooser() {
 	p, s, m := c.platform, c.settings, c.platform.BalancerConfig
 	over := func(id, key string, file, platform float64, show func(float64) string) {
-		if c.given(key) && platform > 0 && file > platform {
+		if c.setsAny(key) && platform > 0 && file > platform {
 			c.refuse(id, key, show(file), show(platform)+" at most, as "+c.platformFile+" says")
 		}
 	}
 	under := func(id, key string, file, platform float64, show func(float64) string) {
-		if c.given(key) && file < platform {
+		if c.setsAny(key) && file < platform {
 			c.refuse(id, key, show(file), show(platform)+" at the least, as "+c.platformFile+" says")
 		}
 	}
@@ -159,7 +159,7 @@
 	over("looser-cold", "fleet.fall_time", float64(s.Fleet.OverloadTime), float64(m.ColdOverloadTime), duration)
 	under("looser-cold", "fleet.cold_time", float64(s.Fleet.WarmupTime), float64(m.WarmupTime), duration)
 	under("looser-cold", "fleet.sidecars", float64(s.Fleet.SidecarCount), float64(m.SidecarCount), number)
-	for _, name := range c.classKeys() {
+	for _, name := range c.sortedClassNames() {
 		i, ok := p.ClassIndex[name]
 		if !ok {
 			continue
@@ -171,26 +171,26 @@
 			c.refuse("looser-time", at+".late_worth", number(*k.LateValueShare), number(of.LateValueShare)+" at most, as "+c.platformFile+" says")
 		}
 		if k.Semantics != "" && config.SemanticsByName(k.Semantics) < of.Semantics {
-			c.refuse("looser-semantics", at+".semantics", quoted(k.Semantics), quoted(config.SemanticsName(of.Semantics))+" or stricter")
+			c.refuse("looser-semantics", at+".semantics", quote(k.Semantics), quote(config.SemanticsName(of.Semantics))+" or stricter")
 		}
 		if of.Semantics != balance.Keyed {
 			continue
 		}
 		if k.Scope != "" && config.ScopeByName(k.Scope) < of.Scope {
-			c.refuse("looser-scope", at+".scope", quoted(k.Scope), quoted(config.ScopeName(of.Scope))+" or narrower")
+			c.refuse("looser-scope", at+".scope", quote(k.Scope), quote(config.ScopeName(of.Scope))+" or narrower")
 		}
 		over("looser-window", at+".repeat_window", float64(k.RepeatWindow), float64(of.RepeatWindow), duration)
 	}
 }
 
-// names reports what a platform's configuration names that isn't there, and names that stand
+// checkNames reports what a platform's configuration names that isn't there, and names that stand
 // for two things. The program would take the first zone for one that there isn't, and the
 // last of two endpoints with one name for both.
-func (c *checker) names() {
+func (c *checker) checkNames() {
 	p := c.platform
 	if p == nil {
 		if z := c.settings.Fleet.Zone; z != "" && len(c.settings.Fleet.Zones) > 0 && !slices.Contains(c.settings.Fleet.Zones, z) {
-			c.refuse("zone-unknown", "fleet.zone", quoted(z), "one of fleet.zones")
+			c.refuse("zone-unknown", "fleet.zone", quote(z), "one of fleet.zones")
 		}
 		return
 	}
@@ -201,56 +201,56 @@
 	if n := len(p.Tiers); n > 0 && (m.Tier < 0 || m.Tier >= n) {
 		c.refuse("tier-unknown", "settings.tier", fmt.Sprint(m.Tier), fmt.Sprintf("0 to %d, an index of settings.layers", n-1))
 	}
-	c.unique("settings.zones", p.Zones)
-	c.unique("settings.layers", p.Tiers)
+	c.checkUnique("settings.zones", p.Zones)
+	c.checkUnique("settings.layers", p.Tiers)
 	tenants := make([]string, len(m.Tenants))
 	for i, t := range m.Tenants {
 		tenants[i] = t.Name
 	}
-	c.unique("settings.tenants", tenants)
+	c.checkUnique("settings.tenants", tenants)
 	ids := make([]string, len(p.KnownEndpoints.Instances))
 	for i, in := range p.KnownEndpoints.Instances {
 		ids[i] = in.ID
 		if len(p.Zones) > 0 && in.Zone != "" && !slices.Contains(p.Zones, in.Zone) {
-			c.refuse("zone-unknown", fmt.Sprintf("known.instances[%d].zone", i), quoted(in.Zone), "one of settings.zones")
+			c.refuse("zone-unknown", fmt.Sprintf("known.instances[%d].zone", i), quote(in.Zone), "one of settings.zones")
 		}
 	}
-	c.unique("known.instances", ids)
+	c.checkUnique("known.instances", ids)
 }
 
-// unique reports names of a list that are empty or stand in it twice.
-func (c *checker) unique(key string, names []string) {
+// checkUnique reports names of a list that are empty or stand in it twice.
+func (c *checker) checkUnique(key string, names []string) {
 	seen := make(map[string]bool)
 	for i, name := range names {
 		if seen[name] || name == "" {
-			c.refuse("name-twice", fmt.Sprintf("%s[%d]", key, i), quoted(name), "a name that is not empty and stands there once")
+			c.refuse("name-twice", fmt.Sprintf("%s[%d]", key, i), quote(name), "a name that is not empty and stands there once")
 		}
 		seen[name] = true
 	}
 }
 
-// classNames reports names that stand for no class, or nearly for another.
-func (c *checker) classNames() {
+// checkClassNames reports names that stand for no class, or nearly for another.
+func (c *checker) checkClassNames() {
 	folded := make(map[string]string)
 	if c.platform != nil {
 		for _, k := range c.platform.BalancerConfig.Classes {
 			if other, ok := folded[strings.ToLower(k.Name)]; ok {
-				c.refuse("class-case", "settings.classes", quoted(k.Name), "a name apart from "+quoted(other))
+				c.refuse("class-case", "settings.classes", quote(k.Name), "a name apart from "+quote(other))
 			}
 			folded[strings.ToLower(k.Name)] = k.Name
 		}
 	}
-	for _, name := range c.classKeys() {
+	for _, name := range c.sortedClassNames() {
 		other, ok := folded[strings.ToLower(name)]
 		switch {
 		case ok && other != name:
-			c.refuse("class-case", config.ClassKey(name), quoted(name), "a name apart from "+quoted(other), "did you mean "+other+"?")
+			c.refuse("class-case", config.ClassKey(name), quote(name), "a name apart from "+quote(other), "did you mean "+other+"?")
 		case !ok && c.platform != nil:
 			var known []string
 			for _, k := range c.platform.BalancerConfig.Classes {
 				known = append(known, k.Name)
 			}
-			c.refuse("class-unknown", config.ClassKey(name), quoted(name), strings.Join(known, ", "))
+			c.refuse("class-unknown", config.ClassKey(name), quote(name), strings.Join(known, ", "))
 		}
 		if !ok {
 			folded[strings.ToLower(name)] = name
@@ -258,9 +258,9 @@
 	}
 }
 
-// class checks one class as it is in effect. A value of 0 is not known here: the file is
+// checkClass checks one class as it is in effect. A value of 0 is not known here: the file is
 // checked without its platform.
-func (c *checker) class(k balance.Class) {
+func (c *checker) checkClass(k balance.Class) {
 	at := config.ClassKey(k.Name)
 	file := c.settings.Classes[k.Name]
 	if file == nil {
@@ -274,11 +274,11 @@
 			c.refuse("unsafe-copied", at+".second_copies", "true", "false")
 		}
 	}
-	c.times(at, k, file)
+	c.checkTimes(at, k, file)
 	if k.Semantics == balance.Keyed {
-		c.repeats(at, k)
+		c.checkRepeatWindow(at, k)
 	}
-	attempts := c.attempts(k)
+	attempts := c.maxAttempts(k)
 	if file.MaxRetries != nil && attempts > 0 && *file.MaxRetries >= attempts {
 		c.warn("retries-over-attempts", at+".retries", fmt.Sprint(*file.MaxRetries), fmt.Sprintf("%d at most", attempts-1))
 	}
@@ -287,8 +287,8 @@
 	}
 }
 
-// attempts is the most attempts of a class, 0 for no bound.
-func (c *checker) attempts(k balance.Class) int {
+// maxAttempts is the most attempts of a class, 0 for no bound.
+func (c *checker) maxAttempts(k balance.Class) int {
 	n := c.merged.BalancerConfig.Limits.MaxAttempts
 	if k.MaxAttempts > 0 && (n == 0 || k.MaxAttempts < n) {
 		n = k.MaxAttempts
@@ -296,8 +296,8 @@
 	return n
 }
 
-// times checks that a class's times fit in one another.
-func (c *checker) times(at string, k balance.Class, file *config.Class) {
+// checkTimes checks that a class's times fit in one another.
+func (c *checker) checkTimes(at string, k balance.Class, file *config.Class) {
 	wanted, deadline := k.TargetLatency, k.Deadline
 	if i, ok := c.merged.ClassIndex[k.Name]; ok && c.platform != nil { // as they were asked for
 		wanted = cmp.Or(file.TargetLatency, c.platform.BalancerConfig.Classes[i].TargetLatency)
@@ -323,19 +323,19 @@
 		c.warn("margin-over-tenth", "callers.answer_margin", show(margin), show(k.TargetLatency/10)+" at most for class "+k.Name)
 	}
 	switch {
-	case 2*margin >= k.TargetLatency && c.given("callers.answer_margin"):
+	case 2*margin >= k.TargetLatency && c.setsAny("callers.answer_margin"):
 		c.refuse("margin-past-wanted", "callers.answer_margin", show(margin), "under half of "+show(k.TargetLatency)+", wanted of class "+k.Name)
-	case connect+kept >= k.TargetLatency && (c.platform != nil && c.platform.BalancerConfig.Limits.ConnectTimeout > 0 || c.given("endpoints.connect_time", at+".wanted")):
+	case connect+kept >= k.TargetLatency && (c.platform != nil && c.platform.BalancerConfig.Limits.ConnectTimeout > 0 || c.setsAny("endpoints.connect_time", at+".wanted")):
 		c.refuse("connect-past-wanted", "endpoints.connect_time", show(connect), "under "+show(k.TargetLatency-kept)+" for class "+k.Name)
-	case c.stated(at, "attempts") && c.attempts(k) > 1 && connect*time.Duration(c.attempts(k))+kept > k.TargetLatency:
+	case c.setsAttemptBound(at, "attempts") && c.maxAttempts(k) > 1 && connect*time.Duration(c.maxAttempts(k))+kept > k.TargetLatency:
 		key := at + ".attempts"
-		if !c.given(key) {
+		if !c.setsAny(key) {
 			key = "fleet.attempts"
 		}
-		c.refuse("attempts-past-wanted", key, fmt.Sprintf("%d attempts of %s", c.attempts(k), show(connect)),
+		c.refuse("attempts-past-wanted", key, fmt.Sprintf("%d attempts of %s", c.maxAttempts(k), show(connect)),
 			fmt.Sprintf("%s together, for class %s; that is %d", show(k.TargetLatency-kept), k.Name, max((k.TargetLatency-kept)/connect, 1)))
 	}
-	if probe >= k.TargetLatency && c.given("probe.time", at+".wanted") {
+	if probe >= k.TargetLatency && c.setsAny("probe.time", at+".wanted") {
 		c.refuse("probe-past-wanted", "probe.time", show(probe), "under "+show(k.TargetLatency)+", wanted of class "+k.Name)
 	}
 	if within := k.RetryStartWindow; within > 0 && within < connect {
@@ -343,9 +343,9 @@
 	}
 }
 
-// stated tells whether the file sets a bound for a class or for all.
-func (c *checker) stated(at, key string) bool {
-	return c.given(at+"."+key, "fleet."+key, "endpoints.connect_time", at+".wanted")
+// setsAttemptBound tells whether the file sets a bound for a class or for all.
+func (c *checker) setsAttemptBound(at, key string) bool {
+	return c.setsAny(at+"."+key, "fleet."+key, "endpoints.connect_time", at+".wanted")
 }
 
 // LatestAttemptStart is when the last attempt of a class may begin after its request came, and whether
@@ -361,16 +361,16 @@
 	return last, attempts != 1
 }
 
-// repeats checks that a keyed class's repeats find their key remembered.
-func (c *checker) repeats(at string, k balance.Class) {
+// checkRepeatWindow checks that a keyed class's repeats find their key remembered.
+func (c *checker) checkRepeatWindow(at string, k balance.Class) {
 	if k.RepeatWindow == 0 {
-		if c.alone || c.platform != nil {
+		if c.standalone || c.platform != nil {
 			c.refuse("no-window", at+".repeat_window", "nothing", "a time")
 		}
 		return
 	}
 	show := config.FormatDuration
-	last, more := LatestAttemptStart(k, c.attempts(k))
+	last, more := LatestAttemptStart(k, c.maxAttempts(k))
 	if more && last >= k.RepeatWindow {
 		key := at + ".repeat_window"
 		if k.RetryStartWindow == last {
@@ -383,21 +383,21 @@
 	}
 }
 
-func (c *checker) drains() {
+func (c *checker) checkDrains() {
 	m, show := c.merged.BalancerConfig, config.FormatDuration
 	// Where a platform gives a grace, that is the measure, see looser.
 	if c.platform == nil || c.platform.BalancerConfig.DrainGrace == 0 {
-		if grace := c.settings.Fleet.DrainGrace; grace > mostDrainGrace {
-			c.refuse("drain-grace", "fleet.drain_grace", show(grace), show(mostDrainGrace)+" at most")
+		if grace := c.settings.Fleet.DrainGrace; grace > maxDrainGrace {
+			c.refuse("drain-grace", "fleet.drain_grace", show(grace), show(maxDrainGrace)+" at most")
 		}
 	}
 	w := c.settings.Discovery
 	asked := c.settings.Fleet.DiscoveryMode == "ask" || m.MustSubscribe
-	if call, most := w.PushWait+w.PushResponseTimeout+w.MinPause, cmp.Or(m.DrainGrace, mostDrainGrace); !asked && call > most &&
-		c.given("discovery.push_wait", "discovery.push_answer", "discovery.pause", "fleet.drain_grace") {
+	if call, most := w.PushWait+w.PushResponseTimeout+w.MinPause, cmp.Or(m.DrainGrace, maxDrainGrace); !asked && call > most &&
+		c.setsAny("discovery.push_wait", "discovery.push_answer", "discovery.pause", "fleet.drain_grace") {
 		key := "discovery.push_wait"
 		for _, k := range []string{"discovery.push_answer", "discovery.pause", "fleet.drain_grace"} {
-			if !c.given(key) {
+			if !c.setsAny(key) {
 				key = k
 			}
 		}
@@ -405,49 +405,49 @@
 	}
 }
 
-func (c *checker) cold() {
+func (c *checker) checkColdStart() {
 	m := c.merged.BalancerConfig
-	if at := c.settings.Fleet.WarmupTime; c.alone && at > 0 && at < leastCold && m.ColdCapacityShare < 1 {
-		c.refuse("cold-instant", "fleet.cold_time", config.FormatDuration(at), fmt.Sprintf("%s or more with cold_share %g", config.FormatDuration(leastCold), m.ColdCapacityShare))
+	if at := c.settings.Fleet.WarmupTime; c.standalone && at > 0 && at < minWarmupTime && m.ColdCapacityShare < 1 {
+		c.refuse("cold-instant", "fleet.cold_time", config.FormatDuration(at), fmt.Sprintf("%s or more with cold_share %g", config.FormatDuration(minWarmupTime), m.ColdCapacityShare))
 	}
-	if m.SidecarIndex >= m.SidecarCount && (c.alone || c.platform != nil) && m.SidecarCount > 0 {
+	if m.SidecarIndex >= m.SidecarCount && (c.standalone || c.platform != nil) && m.SidecarCount > 0 {
 		c.refuse("sidecar-number", "fleet.number", fmt.Sprint(m.SidecarIndex), fmt.Sprintf("0 to %d", m.SidecarCount-1))
 	}
 }
 
-// shutdown checks the end against the platform's; another installation sets its own.
-func (c *checker) shutdown() {
+// checkShutdown checks the end against the platform's; another installation sets its own.
+func (c *checker) checkShutdown() {
 	end, show := c.settings.Shutdown, config.FormatDuration
 	if c.platform == nil {
 		return
 	}
-	if end.AcceptGrace < leastLinger {
-		c.refuse("linger-short", "shutdown.linger", show(end.AcceptGrace), show(leastLinger)+" or more")
+	if end.AcceptGrace < minAcceptGrace {
+		c.refuse("linger-short", "shutdown.linger", show(end.AcceptGrace), show(minAcceptGrace)+" or more")
 	}
-	if end.AcceptGrace+end.DeadlineMargin > killAfter {
+	if end.AcceptGrace+end.DeadlineMargin > killDelay {
 		key := "shutdown.linger"
-		if !c.given(key) {
+		if !c.setsAny(key) {
 			key = "shutdown.spare"
 		}
-		c.refuse("shutdown-past-kill", key, show(end.AcceptGrace)+" + "+show(end.DeadlineMargin), show(killAfter)+" together at most")
+		c.refuse("shutdown-past-kill", key, show(end.AcceptGrace)+" + "+show(end.DeadlineMargin), show(killDelay)+" together at most")
 	}
 }
 
-func (c *checker) callers() {
+func (c *checker) checkCallers() {
 	k, show := c.settings.Callers, config.FormatDuration
-	if c.platform != nil && k.IdleTimeout < leastIdle {
-		c.refuse("idle-short", "callers.idle_time", show(k.IdleTimeout), show(leastIdle)+" or more")
+	if c.platform != nil && k.IdleTimeout < minIdleTimeout {
+		c.refuse("idle-short", "callers.idle_time", show(k.IdleTimeout), show(minIdleTimeout)+" or more")
 	}
-	if k.HeadTimeout+k.BodyTimeout > endCallers {
-		c.warn("slow-callers", "callers.head_time", show(k.HeadTimeout)+" + "+show(k.BodyTimeout), show(endCallers)+" together")
+	if k.HeadTimeout+k.BodyTimeout > maxSlowCallerTime {
+		c.warn("slow-callers", "callers.head_time", show(k.HeadTimeout)+" + "+show(k.BodyTimeout), show(maxSlowCallerTime)+" together")
 	}
-	if connect := c.merged.ConnectTimeout(); c.settings.Probe.Timeout < connect && c.given("probe.time", "endpoints.connect_time") {
+	if connect := c.merged.ConnectTimeout(); c.settings.Probe.Timeout < connect && c.setsAny("probe.time", "endpoints.connect_time") {
 		c.warn("probe-under-connect", "probe.time", show(c.settings.Probe.Timeout), show(connect)+" or more")
 	}
 }
 
-// streams checks bodies that flow: their bounds beside one another, and their time.
-func (c *checker) streams() {
+// checkStreams checks bodies that flow: their bounds beside one another, and their time.
+func (c *checker) checkStreams() {
 	s := &c.settings.Streams
 	size := func(v config.Size) string { return v.String() }
 	for _, b := range []struct {
@@ -480,9 +480,9 @@
 	}
 }
 
-// flowing is what bodies that flow may hold: those of requests by their number, and an answer's
+// maxStreamBytes is what bodies that flow may hold: those of requests by their number, and an answer's
 // buffer for each caller.
-func (c *checker) flowing() float64 {
+func (c *checker) maxStreamBytes() float64 {
 	s := &c.settings.Streams
 	held := 0.0
 	if s.RequestsEnabled() {
@@ -497,14 +497,14 @@
 	return held
 }
 
-// room checks descriptors and memory at the worst.
-func (c *checker) room() {
+// checkCapacity checks descriptors and memory at the worst.
+func (c *checker) checkCapacity() {
 	s, m := c.settings, c.merged
 	callers, endpoints := m.MaxCallerConnections(), m.MaxEndpointConnections()
 	if sum := callers + endpoints + m.MaxBodyFiles() + config.ReservedSockets; sum > m.Limits.Sockets {
 		key := "callers.connections"
 		for _, k := range []string{"endpoints.connections", "limits.sockets", "streams.open", "streams.file"} {
-			if !c.given(key) {
+			if !c.setsAny(key) {
 				key = k
 			}
 		}
@@ -514,17 +514,17 @@
 	}
 	memory := float64(m.Limits.MemoryMB) * (1 << 20)
 	held := float64(callers) * float64(s.Callers.MaxRequestHead+s.Callers.MaxRequestBody+s.Endpoints.MaxResponseBody)
-	flowing := c.flowing()
-	all := held + flowing + float64(callers+endpoints)*perConnection + float64(endpoints)*float64(s.Endpoints.MaxResponseHead+s.Endpoints.MaxResponseBody)
+	flowing := c.maxStreamBytes()
+	all := held + flowing + float64(callers+endpoints)*perConnectionBytes + float64(endpoints)*float64(s.Endpoints.MaxResponseHead+s.Endpoints.MaxResponseBody)
 	found := func(v float64) string { return config.Size(math.Round(v/(1<<20))*(1<<20)).String() + " at the worst" }
 	allowed := config.Size(memory).String()
 	keys := []string{"callers.max_body", "endpoints.max_answer", "callers.connections", "callers.max_head", "limits.memory", "limits.sockets"}
-	if i := slices.IndexFunc(keys, func(k string) bool { return c.given(k) }); held > memory && i >= 0 {
+	if i := slices.IndexFunc(keys, func(k string) bool { return c.setsAny(k) }); held > memory && i >= 0 {
 		c.refuse("memory", keys[i], found(held), allowed)
 	} else if flowing > memory {
 		key := "streams.open"
 		for _, k := range []string{"streams.memory_all", "streams.files_all", "streams.window", "streams.max_body", "streams.max_answer"} {
-			if !c.given(key) {
+			if !c.setsAny(key) {
 				key = k
 			}
 		}
