--- a/cmd/drumctl/config.go
+++ b/cmd/drumctl/config.go
@@ -14,9 +14,9 @@
 	"barleydrum.example/barleydrum/internal/config"
 )
 
-// read reads files for the checker. A file that can't be read is a finding of its, not an
+// readFiles reads files for the checker. A file that can't be read is a finding of its, not an
 // error of ours.
-func read(names []string) []check.File {
+func readFiles(names []string) []check.File {
 	var out []check.File
 	seen := make(map[string]bool)
 	for _, name := range names {
@@ -30,17 +30,17 @@
 	return out
 }
 
-// verdict is what check says as JSON.
-type verdict struct {
+// checkReport is what check says as JSON.
+type checkReport struct {
 	Files    int              `json:"files"`
 	Refused  int              `json:"refused"`
 	Warnings int              `json:"warnings"`
 	Findings []config.Finding `json:"findings"`
 }
 
-// say prints findings and their count, and returns errRefused if one of them refuses.
-func say(w io.Writer, as output, files int, findings []config.Finding) error {
-	v := verdict{Files: files, Findings: findings}
+// printFindings prints findings and their count, and returns errRefused if one of them refuses.
+func printFindings(w io.Writer, as outputFormat, files int, findings []config.Finding) error {
+	v := checkReport{Files: files, Findings: findings}
 	if findings == nil {
 		v.Findings = []config.Finding{}
 	}
@@ -68,7 +68,7 @@
 }
 
 func checkCommand() *cobra.Command {
-	var as output
+	var as outputFormat
 	c := &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check one file, or a whole deployment at once",
@@ -81,16 +81,16 @@
 		Example: "  drumctl config check order-front.toml\n  drumctl config check order-front.toml run/*.json",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			files := read(args)
-			return say(c.OutOrStdout(), as, len(files), check.Deployment(files))
+			files := readFiles(args)
+			return printFindings(c.OutOrStdout(), as, len(files), check.Deployment(files))
 		},
 	}
-	as.flag(c)
+	as.addFlag(c)
 	return c
 }
 
 func explainCommand() *cobra.Command {
-	var as output
+	var as outputFormat
 	c := &cobra.Command{
 		Use:   "explain FILE...",
 		Short: "Tell the worst that follows from a configuration, for each class",
@@ -99,10 +99,10 @@
 check; one that is refused is not explained.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			files := read(args)
+			files := readFiles(args)
 			all, findings := check.Explain(files)
 			if config.HasRefusal(findings) {
-				return say(c.OutOrStdout(), as, len(files), findings)
+				return printFindings(c.OutOrStdout(), as, len(files), findings)
 			}
 			if as == "json" {
 				return writeJSON(c.OutOrStdout(), all)
@@ -116,12 +116,12 @@
 			return nil
 		},
 	}
-	as.flag(c)
+	as.addFlag(c)
 	return c
 }
 
 func diffCommand() *cobra.Command {
-	var as output
+	var as outputFormat
 	var code bool
 	c := &cobra.Command{
 		Use:   "diff A B",
@@ -131,7 +131,7 @@
 configurations; neither is checked for more than that it can be read.`,
 		Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			files := read(args)
+			files := readFiles(args)
 			if len(files) < 2 { // a file and itself
 				files = append(files, files[0])
 			}
@@ -147,7 +147,7 @@
 				}
 			}
 			if len(findings) > 0 {
-				return say(c.OutOrStdout(), as, len(files), findings)
+				return printFindings(c.OutOrStdout(), as, len(files), findings)
 			}
 			changes := config.Diff(values[0], values[1])
 			if as == "json" {
@@ -172,7 +172,7 @@
 			return nil
 		},
 	}
-	as.flag(c)
+	as.addFlag(c)
 	c.Flags().BoolVar(&code, "exit-code", false, "exit with 1 if something differs")
 	return c
 }
@@ -211,8 +211,8 @@
 	return c
 }
 
-// write writes a file that must not stand yet, unless force is set, whole or not at all.
-func write(name string, text []byte, force bool) error {
+// writeFile writes a file that must not stand yet, unless force is set, whole or not at all.
+func writeFile(name string, text []byte, force bool) error {
 	if !force {
 		if _, err := os.Lstat(name); err == nil {
 			return fmt.Errorf("%s: exists; --force replaces it", name)
@@ -231,18 +231,18 @@
 // What suited chooses by: the fleet's own defaults, and the least time for a connection that
 // a busy network needs, where the classes' times leave room for two attempts of it.
 const (
-	usualConnect  = 250 * time.Millisecond
-	usualProbe    = 250 * time.Millisecond
-	leastConnect  = 25 * time.Millisecond
-	usualAttempts = 6
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultProbeTimeout   = 250 * time.Millisecond
+	minConnectTimeout     = 25 * time.Millisecond
+	defaultMaxAttempts    = 6
 )
 
-// suited chooses what the descriptions of classes leave out and a general default would not
+// fillClassDefaults chooses what the descriptions of classes leave out and a general default would not
 // fit: how long a connection and a probe may take, by the class in the greatest hurry, and for
 // each class how many attempts then fit, and until when one may begin that still finds its key.
 // It returns the general part, and the parts of the classes with what they lacked.
-func suited(s *config.Settings, classes, parts []string) (general string, out []string) {
-	connect, probe := usualConnect, usualProbe
+func fillClassDefaults(s *config.Settings, classes, parts []string) (general string, out []string) {
+	connect, probe := defaultConnectTimeout, defaultProbeTimeout
 	left := func(k *config.Class) time.Duration {
 		return k.TargetLatency - 2*min(s.Callers.ResponseMargin, k.TargetLatency/10)
 	}
@@ -250,7 +250,7 @@
 		if k.TargetLatency == 0 {
 			continue // for check to refuse, or the platform's
 		}
-		fits := max(left(k)/usualAttempts, min(leastConnect, left(k)/2))
+		fits := max(left(k)/defaultMaxAttempts, min(minConnectTimeout, left(k)/2))
 		if k.MaxAttempts > 0 {
 			fits = left(k) / time.Duration(k.MaxAttempts)
 		}
@@ -258,17 +258,17 @@
 	}
 	connect = max(connect.Truncate(time.Millisecond), time.Millisecond)
 	probe = max(probe.Truncate(time.Millisecond), connect)
-	if connect < usualConnect {
+	if connect < defaultConnectTimeout {
 		general += fmt.Sprintf("[endpoints]\nconnect_time = %q\n", connect)
 	}
-	if probe < usualProbe {
+	if probe < defaultProbeTimeout {
 		general += fmt.Sprintf("[probe]\ntime = %q\n", probe)
 	}
 	for i, part := range parts {
 		name, _, _ := strings.Cut(classes[i], ",")
 		k := s.Classes[name]
 		if k != nil && k.TargetLatency > 0 {
-			if n := max(left(k)/connect, 1); k.MaxAttempts == 0 && n < usualAttempts {
+			if n := max(left(k)/connect, 1); k.MaxAttempts == 0 && n < defaultMaxAttempts {
 				part += fmt.Sprintf("attempts = %d\n", n)
 			}
 			if last := k.RepeatWindow * 9 / 10; k.RetryWithin == 0 && last > 0 && last < k.TargetLatency {
@@ -280,9 +280,9 @@
 	return general, out
 }
 
-// described turns the text of a class's description, such as
+// classTOML turns the text of a class's description, such as
 // "place-order,wanted=1540ms,semantics=keyed", into lines of TOML.
-func described(text string) (string, error) {
+func classTOML(text string) (string, error) {
 	name, rest, _ := strings.Cut(text, ",")
 	if name == "" || strings.Contains(name, "=") {
 		return "", fmt.Errorf("--class %q: begins with the class's name", text)
--- a/cmd/drumctl/docs_test.go
+++ b/cmd/drumctl/docs_test.go
@@ -14,8 +14,8 @@
 	"barleydrum.example/barleydrum/internal/check"
 )
 
-// commands are the commands that a page shows, each on one line without its remark.
-func commands(t *testing.T, page string) []string {
+// documentedCommands are the commands that a page shows, each on one line without its remark.
+func documentedCommands(t *testing.T, page string) []string {
 	t.Helper()
 	text, err := os.ReadFile(page)
 	if err != nil {
@@ -34,17 +34,17 @@
 
 // What README and the operators' pages show works word for word, in their order. The first
 // command of the README was refused by the check that it shows next.
-func TestShownCommands(t *testing.T) {
+func TestDocumentedCommandsSucceed(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/operators/*.md")
 	if err != nil || len(pages) == 0 {
 		t.Fatal(pages, err)
 	}
 	ran := 0
 	for _, page := range append(pages, "../../README.md") {
-		shown := commands(t, page)
+		shown := documentedCommands(t, page)
 		t.Run(filepath.Base(page), func(t *testing.T) {
 			t.Chdir(t.TempDir())
-			prepare(t)
+			writePageFiles(t)
 			for _, line := range shown {
 				args := strings.Fields(line)
 				for i := len(args) - 1; i >= 0; i-- { // as the shell does
@@ -55,12 +55,12 @@
 				switch args[0] {
 				case "bin/drumctl":
 					ran++
-					if code, out, errs := drumctl(args[1:]...); code != 0 {
+					if code, out, errs := runDrumctl(args[1:]...); code != 0 {
 						t.Errorf("%s: exits with %d: %s%s", line, code, out, errs)
 					}
 				case "bin/barleydrum":
 					ran++
-					f := read(args[2:3])[0]
+					f := readFiles(args[2:3])[0]
 					s, bad := check.ParseSettings(f)
 					if len(bad) == 0 {
 						_, bad = check.Sidecar(nil, "", s, f.Name)
@@ -83,12 +83,12 @@
 	}
 }
 
-// prepare makes the files that pages take for there: two versions of a file, and a platform's
+// writePageFiles makes the files that pages take for there: two versions of a file, and a platform's
 // configuration.
-func prepare(t *testing.T) {
+func writePageFiles(t *testing.T) {
 	t.Helper()
 	for _, name := range []string{"old.toml", "new.toml"} {
-		if code, _, errs := drumctl(append([]string{"config", "write", "order-front", "--file", name}, apps["order-front"]...)...); code != 0 {
+		if code, _, errs := runDrumctl(append([]string{"config", "write", "order-front", "--file", name}, applications["order-front"]...)...); code != 0 {
 			t.Fatal(errs)
 		}
 	}
@@ -104,7 +104,7 @@
 }
 
 // Whatever times a class is described with, what is left out is chosen so that the file passes.
-func TestWriteChoosesDefaultsThatPass(t *testing.T) {
+func TestWriteDefaultsPassCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var args []string
 		for i := range rapid.IntRange(1, 3).Draw(t, "classes") {
@@ -123,7 +123,7 @@
 			args = append(args, "--class", class)
 		}
 		for _, where := range [][]string{nil, {"--listen", "127.0.0.1:9000", "--discovery", "127.0.0.1:8500"}} {
-			if code, _, errs := drumctl(append(append([]string{"config", "write", "x"}, args...), where...)...); code != 0 {
+			if code, _, errs := runDrumctl(append(append([]string{"config", "write", "x"}, args...), where...)...); code != 0 {
 				t.Fatalf("%s: %s", args, errs)
 			}
 		}
--- a/cmd/drumctl/main.go
+++ b/cmd/drumctl/main.go
@@ -19,7 +19,7 @@
 
 // run runs a command line and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
-	c := root()
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(out)
 	c.SetErr(errs)
@@ -34,7 +34,7 @@
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "drumctl",
 		Short:         "Write, check, explain and compare barleydrum's configuration",
@@ -54,22 +54,22 @@
 	return c
 }
 
-// output is the flag --format.
-type output string
+// outputFormat is the flag --format.
+type outputFormat string
 
-func (o *output) String() string { return string(*o) }
-func (o *output) Type() string   { return "text|json" }
+func (o *outputFormat) String() string { return string(*o) }
+func (o *outputFormat) Type() string   { return "text|json" }
 
-func (o *output) Set(text string) error {
+func (o *outputFormat) Set(text string) error {
 	if text != "text" && text != "json" {
 		return fmt.Errorf("%q: text or json", text)
 	}
-	*o = output(text)
+	*o = outputFormat(text)
 	return nil
 }
 
-// flag adds --format to a command.
-func (o *output) flag(c *cobra.Command) {
+// addFlag adds --format to a command.
+func (o *outputFormat) addFlag(c *cobra.Command) {
 	*o = "text"
 	c.Flags().Var(o, "format", "form of the output: text for people, json for machines")
 }
--- a/cmd/drumctl/main_test.go
+++ b/cmd/drumctl/main_test.go
@@ -10,15 +10,15 @@
 	"barleydrum.example/barleydrum/internal/check"
 )
 
-// drumctl runs a command line.
-func drumctl(args ...string) (code int, out, errs string) {
+// runDrumctl runs a command line.
+func runDrumctl(args ...string) (code int, out, errs string) {
 	var o, e strings.Builder
 	code = run(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-// apps are the descriptions of the three applications of the users' wish.
-var apps = map[string][]string{
+// applications are the descriptions of the three applications of the users' wish.
+var applications = map[string][]string{
 	"order-front": {
 		"--calls", "order-check", "--listen", "127.0.0.1:9000", "--discovery", "127.0.0.1:8500", "--zone", "campus-east",
 		"--zones", "campus-east,campus-west", "--sidecars", "2",
@@ -36,26 +36,26 @@
 
 // A file is accepted as it is written, for each of the applications and for all together, and
 // reading it has the effect that was described.
-func TestWriteIsAccepted(t *testing.T) {
+func TestWrittenFilesPassCheck(t *testing.T) {
 	dir := t.TempDir()
 	all := []string{"config", "check"}
-	for app, flags := range apps {
+	for app, flags := range applications {
 		name := filepath.Join(dir, app+".toml")
-		if code, _, errs := drumctl(append([]string{"config", "write", app, "--file", name}, flags...)...); code != 0 {
+		if code, _, errs := runDrumctl(append([]string{"config", "write", app, "--file", name}, flags...)...); code != 0 {
 			t.Fatalf("%s: %d %s", app, code, errs)
 		}
-		if code, _, errs := drumctl("config", "write", app, "--file", name); code != 2 || !strings.Contains(errs, "exists") {
+		if code, _, errs := runDrumctl("config", "write", app, "--file", name); code != 2 || !strings.Contains(errs, "exists") {
 			t.Errorf("%s, again: %d %s", app, code, errs)
 		}
-		if code, out, _ := drumctl("config", "check", name); code != 0 || !strings.Contains(out, "0 refused, 0 warnings") {
+		if code, out, _ := runDrumctl("config", "check", name); code != 0 || !strings.Contains(out, "0 refused, 0 warnings") {
 			t.Errorf("%s: %d %s", app, code, out)
 		}
 		all = append(all, name)
 	}
-	if code, out, _ := drumctl(all...); code != 0 || !strings.HasPrefix(out, "3 checked: 0 refused") {
+	if code, out, _ := runDrumctl(all...); code != 0 || !strings.HasPrefix(out, "3 checked: 0 refused") {
 		t.Errorf("together: %d %s", code, out)
 	}
-	_, out, _ := drumctl("config", "explain", filepath.Join(dir, "run-booking.toml"))
+	_, out, _ := runDrumctl("config", "explain", filepath.Join(dir, "run-booking.toml"))
 	for _, want := range []string{
 		"class place-order, unsafe", "3 at most, none of them after one that may have run; never two out together",
 		"by 800ms at the latest (wanted within 800ms, the client waits 2s)", "no attempt has run", "class look-up, safe",
@@ -64,7 +64,7 @@
 			t.Errorf("explain lacks %q:\n%s", want, out)
 		}
 	}
-	_, out, _ = drumctl("config", "explain", "--format", "json", filepath.Join(dir, "order-check.toml"))
+	_, out, _ = runDrumctl("config", "explain", "--format", "json", filepath.Join(dir, "order-check.toml"))
 	var all2 []check.Explanation
 	if err := json.Unmarshal([]byte(out), &all2); err != nil || len(all2) != 1 || len(all2[0].Classes) != 1 {
 		t.Fatalf("%v: %s", err, out)
@@ -76,14 +76,14 @@
 }
 
 // What check would refuse is not written.
-func TestWriteRefuses(t *testing.T) {
+func TestWriteRejectsInvalidClasses(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "x.toml")
 	for class, want := range map[string]string{
 		"pay,wanted=1s,deadline=2s,semantics=unsafe,retries=1": "unsafe-retried", "pay,wanted=1s": "missing-key",
 		"pay,wanted=1s,deadline=2s,semantics=safe,patience=1s": "unknown-key", "pay,wanted=1540": "out-of-range",
 		"pay,wanted=1540ms,deadline=2s,semantics=keyed,scope=all,repeat-window=10s,retry-within=1541ms": "retry-past-wanted",
 	} {
-		code, _, errs := drumctl("config", "write", "pay", "--listen", "127.0.0.1:1", "--discovery", "127.0.0.1:2", "--class", class, "--file", name)
+		code, _, errs := runDrumctl("config", "write", "pay", "--listen", "127.0.0.1:1", "--discovery", "127.0.0.1:2", "--class", class, "--file", name)
 		if code != 1 || !strings.Contains(errs, want) {
 			t.Errorf("%s: %d %s", class, code, errs)
 		}
@@ -115,19 +115,19 @@
 		{2, []string{"config", "check", "--format", "yaml", good}}, {2, []string{"config", "diff", good}}, {2, []string{"nonsense"}},
 		{2, []string{"config", "write", "x", "--class", "=1"}}, {2, []string{"config", "write", "x", "--class", "a,b"}},
 	} {
-		if code, out, errs := drumctl(c.args...); code != c.want || code == 2 && errs == "" {
+		if code, out, errs := runDrumctl(c.args...); code != c.want || code == 2 && errs == "" {
 			t.Errorf("%v: %d, want %d\n%s%s", c.args, code, c.want, out, errs)
 		}
 	}
-	code, out, _ := drumctl("config", "check", "--format", "json", bad, none)
-	var v verdict
+	code, out, _ := runDrumctl("config", "check", "--format", "json", bad, none)
+	var v checkReport
 	if err := json.Unmarshal([]byte(out), &v); err != nil || code != 1 || v.Files != 2 || v.Refused != 2 || v.Findings[0].Key != "application.nam" || v.Findings[0].Line != 3 {
 		t.Errorf("%d %v %s", code, err, out)
 	}
 }
 
 // Diff tells of effect: units, order and comments make none.
-func TestDiff(t *testing.T) {
+func TestDiffComparesEffect(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		name = filepath.Join(dir, name)
@@ -139,28 +139,28 @@
 	a := write("a.toml", "schema = 1\n[application]\nname = \"x\"\n[probe]\ntime = \"250ms\"\n[class.a]\nwanted = \"1s\"\nretries = 1\n")
 	b := write("b.toml", "# the same\nclass.a = { retries = 1, wanted = \"1000ms\" }\nschema = 1\napplication.name = \"x\"\n")
 	c := write("c.toml", "schema = 1\n[application]\nname = \"x\"\n[class.a]\nwanted = \"2s\"\nretries = 2\n")
-	if code, out, errs := drumctl("config", "diff", "--exit-code", a, b); code != 0 || out != "" {
+	if code, out, errs := runDrumctl("config", "diff", "--exit-code", a, b); code != 0 || out != "" {
 		t.Errorf("%d %s%s", code, out, errs)
 	}
-	code, out, _ := drumctl("config", "diff", "--exit-code", a, c)
+	code, out, _ := runDrumctl("config", "diff", "--exit-code", a, c)
 	if want := "class.a.retries: 1 -> 2 (at SIGHUP)\nclass.a.wanted: \"1s\" -> \"2s\" (at a restart)\n"; code != 1 || out != want {
 		t.Errorf("%d %s", code, out)
 	}
 	p := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "limits": {"sockets": 512},
 "settings": {"classes": [{"name": "a", "goalTimeNs": 1000000, "hardLimitNs": 2000000, "semantics": "safe"}]}}`
 	j, k := write("j.json", p), write("k.json", strings.NewReplacer("512", "256", "safe", "unsafe", `"seed": "1"`, `"seed": "2"`).Replace(p))
-	_, out, _ = drumctl("config", "diff", j, k)
+	_, out, _ = runDrumctl("config", "diff", j, k)
 	if want := "Limits.Sockets: 512 -> 256 (at a restart)\nSettings.Classes[a].Semantics: (not set) -> unsafe (at a restart)\n"; out != want {
 		t.Errorf("%s", out)
 	}
-	if code, _, errs := drumctl("config", "diff", a, j); code != 2 || !strings.Contains(errs, "the other a platform") {
+	if code, _, errs := runDrumctl("config", "diff", a, j); code != 2 || !strings.Contains(errs, "the other a platform") {
 		t.Errorf("%d %s", code, errs)
 	}
 }
 
 // The reference page and the template are what the program's schema says. After a change to
 // the schema or the rules, write them anew as the pages tell.
-func TestPagesAreTheSchemas(t *testing.T) {
+func TestReferencePagesAreUpToDate(t *testing.T) {
 	for name, args := range map[string][]string{
 		"../../docs/operators/settings.md": {"config", "reference"}, "../../deploy/settings.toml": {"config", "reference", "--template"},
 	} {
@@ -168,11 +168,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, out, _ := drumctl(args...); out != string(page) {
+		if _, out, _ := runDrumctl(args...); out != string(page) {
 			t.Errorf("%s differs from what drumctl %s prints", name, strings.Join(args, " "))
 		}
 	}
-	if code, out, _ := drumctl("config", "check", "../../deploy/settings.toml"); code != 0 {
+	if code, out, _ := runDrumctl("config", "check", "../../deploy/settings.toml"); code != 0 {
 		t.Errorf("the template is refused: %s", out)
 	}
 }
--- a/cmd/drumctl/write.go
+++ b/cmd/drumctl/write.go
@@ -61,7 +61,7 @@
 					fmt.Fprintf(&b, "number = %d\n", number)
 				}
 			}
-			more, err := settings(sets)
+			more, err := settingsTOML(sets)
 			if err != nil {
 				return err
 			}
@@ -69,7 +69,7 @@
 			parts := make([]string, len(classes))
 			for i, class := range classes {
 				var err error
-				if parts[i], err = described(class); err != nil {
+				if parts[i], err = classTOML(class); err != nil {
 					return err
 				}
 			}
@@ -77,7 +77,7 @@
 			s, findings := config.ParseSettings("", []byte(b.String()+strings.Join(parts, "")))
 			if len(findings) == 0 {
 				var chosen string
-				chosen, parts = suited(s, classes, parts)
+				chosen, parts = fillClassDefaults(s, classes, parts)
 				b.WriteString(chosen)
 			}
 			b.WriteString(strings.Join(parts, ""))
@@ -91,13 +91,13 @@
 				for i := range findings { // lines of a text that nobody has seen
 					findings[i].Position = config.Position{}
 				}
-				return say(c.ErrOrStderr(), "text", 1, findings)
+				return printFindings(c.ErrOrStderr(), "text", 1, findings)
 			}
 			if file == "" {
 				_, err := c.OutOrStdout().Write(config.FormatSettings(s))
 				return err
 			}
-			return write(file, config.FormatSettings(s), force)
+			return writeFile(file, config.FormatSettings(s), force)
 		},
 	}
 	f := c.Flags()
@@ -110,7 +110,7 @@
 	f.IntVar(&sidecars, "sidecars", 0, "how many sidecars send to the tier")
 	f.IntVar(&number, "number", 0, "this sidecar's number among them, from 0")
 	f.StringArrayVar(&classes, "class", nil, "a class, as NAME,KEY=VALUE,...; once for each")
-	f.StringArrayVar(&sets, "set", nil, "a further key, as PART.KEY=VALUE; once for each. Parts: "+strings.Join(settable, ", "))
+	f.StringArrayVar(&sets, "set", nil, "a further key, as PART.KEY=VALUE; once for each. Parts: "+strings.Join(settableTables, ", "))
 	f.StringVarP(&file, "file", "f", "", "the file to write (default standard output)")
 	f.BoolVar(&force, "force", false, "replace the file")
 	return c
@@ -124,17 +124,17 @@
 	return strings.Join(quoted, ", ")
 }
 
-// settable are the parts whose keys --set takes: no other flag writes into them.
-var settable = []string{"callers", "streams", "discovery", "shutdown", "limits"}
+// settableTables are the parts whose keys --set takes: no other flag writes into them.
+var settableTables = []string{"callers", "streams", "discovery", "shutdown", "limits"}
 
-// settings turns texts PART.KEY=VALUE into parts of TOML.
-func settings(sets []string) (string, error) {
+// settingsTOML turns texts PART.KEY=VALUE into parts of TOML.
+func settingsTOML(sets []string) (string, error) {
 	parts := make(map[string]string)
 	for _, text := range sets {
 		path, value, ok := strings.Cut(text, "=")
 		part, _, dotted := strings.Cut(path, ".")
-		if !ok || !dotted || !slices.Contains(settable, part) {
-			return "", fmt.Errorf("--set %q: not PART.KEY=VALUE with a part of %s", text, strings.Join(settable, ", "))
+		if !ok || !dotted || !slices.Contains(settableTables, part) {
+			return "", fmt.Errorf("--set %q: not PART.KEY=VALUE with a part of %s", text, strings.Join(settableTables, ", "))
 		}
 		keys := config.Keys()
 		i := slices.IndexFunc(keys, func(k config.Key) bool { return k.Path == path && !k.IsTable })
@@ -152,7 +152,7 @@
 		parts[part] += fmt.Sprintf("%s = %s\n", strings.TrimPrefix(path, part+"."), value)
 	}
 	var b strings.Builder
-	for _, part := range settable {
+	for _, part := range settableTables {
 		if parts[part] != "" {
 			fmt.Fprintf(&b, "[%s]\n%s", part, parts[part])
 		}
