--- a/cmd/drumctl/main_test.go
+++ b/cmd/drumctl/main_test.go
@@ -57,7 +57,7 @@
 	}
 	_, out, _ := runDrumctl("config", "explain", filepath.Join(dir, "run-booking.toml"))
 	for _, want := range []string{
-		"class place-order, unsafe", "3 at most, none of them after one that may have run; never two out together",
+		"class place-order, unsafe", "3 at most, none of them after an attempt that may have run; never two in flight together",
 		"by 800ms at the latest (wanted within 800ms, the client waits 2s)", "no attempt has run", "class look-up, safe",
 	} {
 		if !strings.Contains(out, want) {
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -10,20 +10,21 @@
 	"barleydrum.example/barleydrum/internal/config"
 )
 
-// File is a file's text under the name that findings call it by.
+// File is a configuration file to check.
 type File struct {
-	Name string
+	Name string // as findings print it
 	Text []byte
-	Err  error // of reading it
+	Err  error // error from reading the file; Text is then ignored
 }
 
-// IsPlatform tells whether a text is a platform's configuration: JSON begins with a brace,
-// and no operators' file can.
+// IsPlatform reports whether text is a platform's configuration rather than an operators' file.
+// A platform's configuration is JSON and begins with a brace; TOML can't begin with one.
 func IsPlatform(text []byte) bool {
 	return bytes.HasPrefix(bytes.TrimLeft(text, " \t\r\n"), []byte("{"))
 }
 
-// ParsePlatform reads a platform's configuration, with what is wrong with it as a finding.
+// ParsePlatform parses a platform's configuration. If it can't be parsed, the result is nil and
+// one finding says why.
 func ParsePlatform(f File) (*config.Platform, []config.Finding) {
 	if f.Err != nil {
 		return nil, []config.Finding{unreadableFinding(f)}
@@ -32,34 +33,37 @@
 	if err == nil {
 		return p, nil
 	}
-	at := config.Finding{Rule: config.RuleInvalidPlatform, Level: config.LevelRefused, File: f.Name, Found: err.Error()}
+	finding := config.Finding{Rule: config.RuleInvalidPlatform, Level: config.LevelRefused, File: f.Name, Found: err.Error()}
 	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &syntax):
-		at.Rule, at.Position = config.RuleSyntax, positionAt(f.Text, syntax.Offset)
-	case errors.As(err, &kind):
-		at.Rule, at.Key, at.Found, at.Allowed = config.RuleWrongType, kind.Field, "a "+kind.Value, "a "+kind.Type.String()
-		at.Position = positionAt(f.Text, kind.Offset)
+		finding.Rule, finding.Position = config.RuleSyntax, positionAt(f.Text, syntax.Offset)
+	case errors.As(err, &wrongType):
+		finding.Rule, finding.Key, finding.Found, finding.Allowed = config.RuleWrongType, wrongType.Field, "a "+wrongType.Value, "a "+wrongType.Type.String()
+		finding.Position = positionAt(f.Text, wrongType.Offset)
 	default:
 		if key, found, ok := strings.Cut(err.Error(), ": "); ok {
-			at.Key, at.Found = key, found
+			finding.Key, finding.Found = key, found
 		}
 	}
-	return nil, []config.Finding{at}
+	return nil, []config.Finding{finding}
 }
 
+// unreadableFinding returns the finding for a file that could not be read.
 func unreadableFinding(f File) config.Finding {
 	return config.Finding{Rule: config.RuleUnreadable, Level: config.LevelRefused, File: f.Name, Found: f.Err.Error()}
 }
 
+// positionAt returns the line and column of the last byte that encoding/json had read when it
+// failed. offset is the number of bytes read.
 func positionAt(text []byte, offset int64) config.Position {
 	before := text[:min(max(int(offset)-1, 0), len(text))]
 	line := bytes.Count(before, []byte("\n"))
 	return config.Position{Line: line + 1, Column: len(before) - bytes.LastIndexByte(before, '\n')}
 }
 
-// ParseSettings reads an operators' file.
+// ParseSettings parses an operators' file. The settings are usable only if there are no findings.
 func ParseSettings(f File) (*config.Settings, []config.Finding) {
 	if f.Err != nil {
 		return nil, []config.Finding{unreadableFinding(f)}
@@ -67,9 +71,10 @@
 	return config.ParseSettings(f.Name, f.Text)
 }
 
-// Sidecar checks what one sidecar runs with: a platform's configuration, an operators' file,
-// or both; the one left out is nil. Alone, a file must say all that a platform would. The
-// names are the files'. It returns what the sidecar is to run with, nil if that is refused.
+// Sidecar checks the configuration of one sidecar: a platform's configuration p, an operators'
+// file s, or both; the missing one is nil. Without a platform's configuration, the file must set
+// everything that a platform would. platformFile and settingsFile are the names printed in
+// findings. Sidecar returns the merged configuration, or nil if a finding refuses it.
 func Sidecar(p *config.Platform, platformFile string, s *config.Settings, settingsFile string) (*config.Config, []config.Finding) {
 	c := newChecker(p, platformFile, s, settingsFile)
 	c.standalone = p == nil
@@ -81,13 +86,14 @@
 	return c.merged, c.report.findings
 }
 
-// Deployment checks files of both kinds together: each operators' file beside every platform's
-// configuration that sends to its tier, each platform's that has no such file alone, and all
-// of them for what they claim and how their tiers call each other.
+// Deployment checks the files of a whole deployment. Each operators' file is checked together
+// with every platform's configuration that sends to its tier, and a platform's configuration
+// without such a file is checked alone. All of them together are checked for shared listen
+// addresses, tiers that call each other in a cycle, and sidecar counts and numbers.
 func Deployment(files []File) []config.Finding {
 	var all report
-	checked, bad := pairFiles(files)
-	all.add(bad...)
+	checked, parseFindings := pairFiles(files)
+	all.add(parseFindings...)
 	for _, c := range checked {
 		c.run()
 		all.add(c.report.findings...)
@@ -96,14 +102,15 @@
 	return all.findings
 }
 
-// crossCheck checks what only shows with all sidecars side by side.
+// crossCheck adds the findings that need all sidecars of the deployment.
 func (r *report) crossCheck(checked []*checker) {
 	r.checkListenAddresses(checked)
 	r.checkTierCycles(checked)
 	r.checkSidecarCounts(checked)
 }
 
-// pairFiles reads files and puts those together that a sidecar would run with.
+// pairFiles parses files and returns a checker for each combination that a sidecar would run
+// with, and the findings of parsing. Warnings of pairing are in the checkers' reports.
 func pairFiles(files []File) (checked []*checker, findings []config.Finding) {
 	var all report
 	var platforms, settings []*checker
@@ -122,27 +129,27 @@
 			settings = append(settings, newChecker(nil, "", s, f.Name))
 		}
 	}
-	for _, own := range settings {
+	for _, s := range settings {
 		matched := false
 		for _, p := range platforms {
 			tier := p.platform.Tier()
-			if own.settings.Application.Tier != tier && tier != "" && own.settings.Application.Tier != "" {
+			if s.settings.Application.Tier != tier && tier != "" && s.settings.Application.Tier != "" {
 				continue
 			}
 			matched, p.paired = true, true
-			checked = append(checked, newChecker(p.platform, p.platformFile, own.settings, own.settingsFile))
+			checked = append(checked, newChecker(p.platform, p.platformFile, s.settings, s.settingsFile))
 		}
 		if matched {
 			continue
 		}
-		switch own.standalone = own.isStandalone(); {
-		case own.standalone:
+		switch s.standalone = s.isStandalone(); {
+		case s.standalone:
 		case len(platforms) > 0:
-			own.warn("no-platform-match", "application.tier", quote(own.settings.Application.Tier), "a tier that a platform's configuration here sends to")
+			s.warn("no-platform-match", "application.tier", quote(s.settings.Application.Tier), "the tier of a platform's configuration among the checked files")
 		default:
-			own.warn("needs-platform", "application.listen", "nothing", "HOST:PORT, or a platform's configuration beside the file")
+			s.warn("needs-platform", "application.listen", "nothing", "HOST:PORT, or check the file together with a platform's configuration")
 		}
-		checked = append(checked, own)
+		checked = append(checked, s)
 	}
 	for _, p := range platforms {
 		if !p.paired {
@@ -152,12 +159,13 @@
 	return checked, all.findings
 }
 
-// report gathers findings; the same is said once.
+// report collects findings without duplicates. The zero value is ready for use.
 type report struct {
 	findings []config.Finding
 	seen     map[config.Finding]bool
 }
 
+// add appends the findings that the report does not have yet.
 func (r *report) add(findings ...config.Finding) {
 	if r.seen == nil {
 		r.seen = make(map[config.Finding]bool)
@@ -172,16 +180,17 @@
 
 // checker checks one sidecar's configuration.
 type checker struct {
-	platform     *config.Platform // nil for none
-	platformFile string
-	settings     *config.Settings // the defaults for none
-	settingsFile string           // empty for none
-	merged       *config.Config
-	standalone   bool // the file must say all that a platform would
-	paired       bool // a file goes with this platform's configuration
+	platform     *config.Platform // nil if there is none
+	platformFile string           // name of the platform's configuration in findings
+	settings     *config.Settings // the defaults if there is no operators' file
+	settingsFile string           // empty if there is no operators' file
+	merged       *config.Config   // platform and settings as the sidecar would run with them
+	standalone   bool             // the operators' file must set everything that a platform would
+	paired       bool             // an operators' file is checked together with this platform
 	report       report
 }
 
+// newChecker returns a checker for p and s, one of which may be nil.
 func newChecker(p *config.Platform, platformFile string, s *config.Settings, settingsFile string) *checker {
 	if s == nil {
 		s, settingsFile = config.DefaultSettings(), ""
@@ -191,12 +200,13 @@
 	}
 }
 
-// isStandalone tells whether an operators' file means to be run with alone.
+// isStandalone reports whether the operators' file is meant to be used without a platform's
+// configuration.
 func (c *checker) isStandalone() bool {
 	return c.settings.Application.ListenAddress != "" || c.settings.Application.DiscoveryAddress != ""
 }
 
-// setsAny tells whether the operators' file gives a key.
+// setsAny reports whether the operators' file sets any of the keys.
 func (c *checker) setsAny(keys ...string) bool {
 	for _, key := range keys {
 		if _, ok := c.settings.KeyPosition(key); ok {
@@ -206,9 +216,10 @@
 	return false
 }
 
-// refuse adds a finding of a rule on a key of the operators' file, or of the platform's
-// configuration where the former does not give it. mend, if any, goes before the rule's own.
-func (c *checker) refuse(id, key, found, allowed string, mend ...string) {
+// refuse adds a finding of the rule id for key. The finding names the operators' file, or the
+// platform's configuration if the operators' file does not set the key. fix, if given, replaces
+// the rule's own. refuse panics if there is no rule id.
+func (c *checker) refuse(id, key, found, allowed string, fix ...string) {
 	r, ok := RuleByID(id)
 	if !ok {
 		panic("check: no rule " + id)
@@ -216,17 +227,18 @@
 	f := config.Finding{
 		Rule: id, Level: r.Level, File: c.settingsFile, Key: key, Found: found, Allowed: allowed, Reason: r.Reason, Fix: r.Fix,
 	}
-	if len(mend) > 0 {
-		f.Fix = mend[0]
+	if len(fix) > 0 {
+		f.Fix = fix[0]
 	}
-	at, given := c.settings.KeyPosition(key)
-	if f.Position = at; !given && c.platformFile != "" {
+	position, isSet := c.settings.KeyPosition(key)
+	if f.Position = position; !isSet && c.platformFile != "" {
 		f.File = c.platformFile
 	}
 	c.report.add(f)
 }
 
-// warn is refuse for a rule that warns; the rule's level says which.
+// warn calls refuse. It marks calls for rules whose level is a warning.
 func (c *checker) warn(id, key, found, allowed string) { c.refuse(id, key, found, allowed) }
 
+// quote returns text as findings print it, in double quotes.
 func quote(text string) string { return fmt.Sprintf("%q", text) }
--- a/internal/check/sidecar.go
+++ b/internal/check/sidecar.go
@@ -13,26 +13,27 @@
 	"barleydrum.example/barleydrum/internal/config"
 )
 
-// Figures of the rules (BRIEF, "Figures of the rules") and of the platform (PROTOCOL,
+// Limits from the rules (BRIEF, "Figures of the rules") and from the platform (PROTOCOL,
 // "Figures" and "Callers to sidecars").
 const (
-	maxDrainGrace     = 500 * time.Millisecond // where no platform gives one
-	minAcceptGrace    = 400 * time.Millisecond // connections go on coming for so long after SIGTERM
-	killDelay         = 700 * time.Millisecond // SIGKILL comes so long after the longest deadline
-	minWarmupTime     = 100 * time.Millisecond // no process warms up sooner
-	minIdleTimeout    = 2 * time.Second        // an idle connection may be closed after it
-	maxSlowCallerTime = 3 * time.Second        // a caller that sends nothing whole is ended within it
+	maxDrainGrace     = 500 * time.Millisecond // where no platform sets one
+	minAcceptGrace    = 400 * time.Millisecond // callers open connections for this long after SIGTERM
+	killDelay         = 700 * time.Millisecond // from the longest deadline to SIGKILL
+	minWarmupTime     = 100 * time.Millisecond // no process warms up faster
+	minIdleTimeout    = 2 * time.Second        // an idle connection may be closed after this time
+	maxSlowCallerTime = 3 * time.Second        // a caller that sends no complete request is disconnected within this time
 )
 
-// Memory that a connection takes beside what its settings bound: a goroutine's stack and the
-// buffers of its reads and writes, with room for a hedge's.
+// perConnectionBytes is the memory that a connection needs besides what its settings limit: a
+// goroutine's stack and the buffers of its reads and writes, with room for those of a hedge.
 const perConnectionBytes = 24 << 10
 
+// run makes all checks of a single sidecar and adds their findings to the report.
 func (c *checker) run() {
 	if c.standalone {
 		c.checkRequiredKeys()
 		if config.HasRefusal(c.report.findings) {
-			return // what is left out has no value to check
+			return // the other checks need the missing values
 		}
 	}
 	if c.platform != nil {
@@ -57,38 +58,39 @@
 	}
 }
 
-// checkRequiredKeys reports what a file that is run with alone leaves out.
+// checkRequiredKeys reports keys that are missing from a file that is used without a platform.
 func (c *checker) checkRequiredKeys() {
-	need := func(key, found, allowed string) {
+	require := func(key, found, allowed string) {
 		if found == "" {
-			c.refuse(config.RuleMissingKey, key, "nothing", allowed, "a file that runs without a platform's configuration says all")
+			c.refuse(config.RuleMissingKey, key, "nothing", allowed, "set the key: a file without a platform's configuration must be complete")
 		}
 	}
-	a := c.settings.Application
-	need("application.tier", a.Tier, "a name")
-	need("application.listen", a.ListenAddress, "HOST:PORT")
-	need("application.discovery", a.DiscoveryAddress, "HOST:PORT")
+	application := c.settings.Application
+	require("application.tier", application.Tier, "a name")
+	require("application.listen", application.ListenAddress, "HOST:PORT")
+	require("application.discovery", application.DiscoveryAddress, "HOST:PORT")
 	if len(c.settings.Classes) == 0 {
-		need("class.NAME", "", "a class at the least")
+		require("class.NAME", "", "at least one class")
 	}
 	for _, name := range c.sortedClassNames() {
-		k, at := c.settings.Classes[name], config.ClassKey(name)
+		k, prefix := c.settings.Classes[name], config.ClassKey(name)
 		if k.TargetLatency == 0 {
-			need(at+".wanted", "", "a time")
+			require(prefix+".wanted", "", "a time")
 		}
 		if k.Deadline == 0 {
-			need(at+".deadline", "", "a time")
+			require(prefix+".deadline", "", "a time")
 		}
-		need(at+".semantics", k.Semantics, "safe, keyed or unsafe")
+		require(prefix+".semantics", k.Semantics, "safe, keyed or unsafe")
 		if k.Semantics == "keyed" {
-			need(at+".scope", k.Scope, "all, zone or cell")
+			require(prefix+".scope", k.Scope, "all, zone or cell")
 			if k.RepeatWindow == 0 {
-				need(at+".repeat_window", "", "a time")
+				require(prefix+".repeat_window", "", "a time")
 			}
 		}
 	}
 }
 
+// sortedClassNames returns the names of the classes in the operators' file, in order.
 func (c *checker) sortedClassNames() []string {
 	var names []string
 	for name := range c.settings.Classes {
@@ -98,153 +100,156 @@
 	return names
 }
 
-// checkIdentity reports where the file and the platform say different things of what the sidecar is.
+// checkIdentity reports keys of the file that describe another sidecar than the platform's
+// configuration does.
 func (c *checker) checkIdentity() {
 	p, s := c.platform, c.settings
-	same := func(key, file, platform string) {
+	requireSame := func(key, file, platform string) {
 		if c.setsAny(key) && file != platform {
 			c.refuse("platform-differs", key, quote(file), quote(platform)+", as "+c.platformFile+" says")
 		}
 	}
-	same("application.listen", s.Application.ListenAddress, p.ListenAddress)
-	same("application.discovery", s.Application.DiscoveryAddress, p.DiscoveryAddress)
+	requireSame("application.listen", s.Application.ListenAddress, p.ListenAddress)
+	requireSame("application.discovery", s.Application.DiscoveryAddress, p.DiscoveryAddress)
 	if p.Tier() != "" {
-		same("application.tier", s.Application.Tier, p.Tier())
+		requireSame("application.tier", s.Application.Tier, p.Tier())
 	}
 	if i := p.BalancerConfig.Zone; i >= 0 && i < len(p.Zones) {
-		same("fleet.zone", s.Fleet.Zone, p.Zones[i])
+		requireSame("fleet.zone", s.Fleet.Zone, p.Zones[i])
 	}
-	same("fleet.zones", strings.Join(s.Fleet.Zones, ", "), strings.Join(p.Zones, ", "))
-	same("fleet.number", fmt.Sprint(s.Fleet.SidecarIndex), fmt.Sprint(p.BalancerConfig.SidecarIndex))
-	list := "push"
+	requireSame("fleet.zones", strings.Join(s.Fleet.Zones, ", "), strings.Join(p.Zones, ", "))
+	requireSame("fleet.number", fmt.Sprint(s.Fleet.SidecarIndex), fmt.Sprint(p.BalancerConfig.SidecarIndex))
+	discoveryMode := "push"
 	if p.BalancerConfig.MustSubscribe {
-		list = "ask"
+		discoveryMode = "ask"
 	}
-	same("fleet.list", s.Fleet.DiscoveryMode, list)
-	same("fleet.reports", s.Fleet.LoadReporting, config.ReportingName(p.BalancerConfig.Reporting))
+	requireSame("fleet.list", s.Fleet.DiscoveryMode, discoveryMode)
+	requireSame("fleet.reports", s.Fleet.LoadReporting, config.ReportingName(p.BalancerConfig.Reporting))
 	if len(s.Callers.ExtraListenAddresses) > 0 {
 		c.refuse("listen-extra", "callers.also_listen", strings.Join(s.Callers.ExtraListenAddresses, ", "), "none")
 	}
 }
 
-// checkNotLooser reports where the file promises more than the platform.
+// checkNotLooser reports values of the file that are less strict than the platform's. 0 as a
+// platform's value means that the platform sets no upper limit.
 func (c *checker) checkNotLooser() {
-	p, s, m := c.platform, c.settings, c.platform.BalancerConfig
-	over := func(id, key string, file, platform float64, show func(float64) string) {
+	p, s, balancer := c.platform, c.settings, c.platform.BalancerConfig
+	requireAtMost := func(id, key string, file, platform float64, show func(float64) string) {
 		if c.setsAny(key) && platform > 0 && file > platform {
 			c.refuse(id, key, show(file), show(platform)+" at most, as "+c.platformFile+" says")
 		}
 	}
-	under := func(id, key string, file, platform float64, show func(float64) string) {
+	requireAtLeast := func(id, key string, file, platform float64, show func(float64) string) {
 		if c.setsAny(key) && file < platform {
-			c.refuse(id, key, show(file), show(platform)+" at the least, as "+c.platformFile+" says")
+			c.refuse(id, key, show(file), show(platform)+" at least, as "+c.platformFile+" says")
 		}
 	}
 	number := func(v float64) string { return fmt.Sprintf("%g", v) }
 	duration := func(v float64) string { return config.FormatDuration(time.Duration(v)) }
 	size := func(v float64) string { return config.Size(v).String() }
-	over("looser-limit", "limits.cores", s.Limits.Cores, p.Limits.Cores, number)
-	over("looser-limit", "limits.memory", float64(s.Limits.Memory), float64(p.Limits.MemoryMB<<20), size)
-	over("looser-limit", "limits.sockets", float64(s.Limits.Sockets), float64(p.Limits.Sockets), number)
-	over("looser-limit", "fleet.attempts", float64(s.Fleet.MaxAttempts), float64(m.Limits.MaxAttempts), number)
-	over("looser-limit", "endpoints.connect_time", float64(s.Endpoints.ConnectTimeout), float64(m.Limits.ConnectTimeout), duration)
-	over("looser-limit", "endpoints.keep_alive", float64(s.Endpoints.KeepAliveTimeout), float64(m.Limits.KeepAlive), duration)
-	over("looser-limit", "fleet.max_retry_after", float64(s.Fleet.MaxRetryAfter), float64(m.Limits.MaxRetryAfter), duration)
-	if s.Fleet.Hedging != nil && *s.Fleet.Hedging && !m.Limits.Hedging {
+	requireAtMost("looser-limit", "limits.cores", s.Limits.Cores, p.Limits.Cores, number)
+	requireAtMost("looser-limit", "limits.memory", float64(s.Limits.Memory), float64(p.Limits.MemoryMB<<20), size)
+	requireAtMost("looser-limit", "limits.sockets", float64(s.Limits.Sockets), float64(p.Limits.Sockets), number)
+	requireAtMost("looser-limit", "fleet.attempts", float64(s.Fleet.MaxAttempts), float64(balancer.Limits.MaxAttempts), number)
+	requireAtMost("looser-limit", "endpoints.connect_time", float64(s.Endpoints.ConnectTimeout), float64(balancer.Limits.ConnectTimeout), duration)
+	requireAtMost("looser-limit", "endpoints.keep_alive", float64(s.Endpoints.KeepAliveTimeout), float64(balancer.Limits.KeepAlive), duration)
+	requireAtMost("looser-limit", "fleet.max_retry_after", float64(s.Fleet.MaxRetryAfter), float64(balancer.Limits.MaxRetryAfter), duration)
+	if s.Fleet.Hedging != nil && *s.Fleet.Hedging && !balancer.Limits.Hedging {
 		c.refuse("looser-limit", "fleet.second_copies", "true", "false, as "+c.platformFile+" says")
 	}
-	over("looser-drain", "fleet.drain_grace", float64(s.Fleet.DrainGrace), float64(m.DrainGrace), duration)
-	over("looser-cold", "fleet.cold_share", s.Fleet.ColdCapacityShare, m.ColdCapacityShare, number)
-	over("looser-cold", "fleet.fall_multiple", s.Fleet.OverloadMultiple, m.ColdOverloadMultiple, number)
-	over("looser-cold", "fleet.fall_time", float64(s.Fleet.OverloadTime), float64(m.ColdOverloadTime), duration)
-	under("looser-cold", "fleet.cold_time", float64(s.Fleet.WarmupTime), float64(m.WarmupTime), duration)
-	under("looser-cold", "fleet.sidecars", float64(s.Fleet.SidecarCount), float64(m.SidecarCount), number)
+	requireAtMost("looser-drain", "fleet.drain_grace", float64(s.Fleet.DrainGrace), float64(balancer.DrainGrace), duration)
+	requireAtMost("looser-cold", "fleet.cold_share", s.Fleet.ColdCapacityShare, balancer.ColdCapacityShare, number)
+	requireAtMost("looser-cold", "fleet.fall_multiple", s.Fleet.OverloadMultiple, balancer.ColdOverloadMultiple, number)
+	requireAtMost("looser-cold", "fleet.fall_time", float64(s.Fleet.OverloadTime), float64(balancer.ColdOverloadTime), duration)
+	requireAtLeast("looser-cold", "fleet.cold_time", float64(s.Fleet.WarmupTime), float64(balancer.WarmupTime), duration)
+	requireAtLeast("looser-cold", "fleet.sidecars", float64(s.Fleet.SidecarCount), float64(balancer.SidecarCount), number)
 	for _, name := range c.sortedClassNames() {
 		i, ok := p.ClassIndex[name]
 		if !ok {
 			continue
 		}
-		k, of, at := s.Classes[name], m.Classes[i], config.ClassKey(name)
-		over("looser-time", at+".wanted", float64(k.TargetLatency), float64(of.TargetLatency), duration)
-		over("looser-time", at+".deadline", float64(k.Deadline), float64(of.Deadline), duration)
-		if k.LateValueShare != nil && *k.LateValueShare > of.LateValueShare {
-			c.refuse("looser-time", at+".late_worth", number(*k.LateValueShare), number(of.LateValueShare)+" at most, as "+c.platformFile+" says")
+		k, platformClass, prefix := s.Classes[name], balancer.Classes[i], config.ClassKey(name)
+		requireAtMost("looser-time", prefix+".wanted", float64(k.TargetLatency), float64(platformClass.TargetLatency), duration)
+		requireAtMost("looser-time", prefix+".deadline", float64(k.Deadline), float64(platformClass.Deadline), duration)
+		if k.LateValueShare != nil && *k.LateValueShare > platformClass.LateValueShare {
+			c.refuse("looser-time", prefix+".late_worth", number(*k.LateValueShare), number(platformClass.LateValueShare)+" at most, as "+c.platformFile+" says")
 		}
-		if k.Semantics != "" && config.SemanticsByName(k.Semantics) < of.Semantics {
-			c.refuse("looser-semantics", at+".semantics", quote(k.Semantics), quote(config.SemanticsName(of.Semantics))+" or stricter")
+		if k.Semantics != "" && config.SemanticsByName(k.Semantics) < platformClass.Semantics {
+			c.refuse("looser-semantics", prefix+".semantics", quote(k.Semantics), quote(config.SemanticsName(platformClass.Semantics))+" or stricter")
 		}
-		if of.Semantics != balance.Keyed {
+		if platformClass.Semantics != balance.Keyed {
 			continue
 		}
-		if k.Scope != "" && config.ScopeByName(k.Scope) < of.Scope {
-			c.refuse("looser-scope", at+".scope", quote(k.Scope), quote(config.ScopeName(of.Scope))+" or narrower")
+		if k.Scope != "" && config.ScopeByName(k.Scope) < platformClass.Scope {
+			c.refuse("looser-scope", prefix+".scope", quote(k.Scope), quote(config.ScopeName(platformClass.Scope))+" or narrower")
 		}
-		over("looser-window", at+".repeat_window", float64(k.RepeatWindow), float64(of.RepeatWindow), duration)
+		requireAtMost("looser-window", prefix+".repeat_window", float64(k.RepeatWindow), float64(platformClass.RepeatWindow), duration)
 	}
 }
 
-// checkNames reports what a platform's configuration names that isn't there, and names that stand
-// for two things. The program would take the first zone for one that there isn't, and the
-// last of two endpoints with one name for both.
+// checkNames reports zones and tiers that do not exist, and names that are empty or used twice.
+// The sidecar itself would use the first zone in place of an unknown one, and would use the last
+// of two endpoints with the same name for both.
 func (c *checker) checkNames() {
 	p := c.platform
 	if p == nil {
-		if z := c.settings.Fleet.Zone; z != "" && len(c.settings.Fleet.Zones) > 0 && !slices.Contains(c.settings.Fleet.Zones, z) {
-			c.refuse("zone-unknown", "fleet.zone", quote(z), "one of fleet.zones")
+		if zone := c.settings.Fleet.Zone; zone != "" && len(c.settings.Fleet.Zones) > 0 && !slices.Contains(c.settings.Fleet.Zones, zone) {
+			c.refuse("zone-unknown", "fleet.zone", quote(zone), "one of fleet.zones")
 		}
 		return
 	}
-	m := p.BalancerConfig
-	if n := len(p.Zones); n > 0 && (m.Zone < 0 || m.Zone >= n) {
-		c.refuse("zone-unknown", "settings.zone", fmt.Sprint(m.Zone), fmt.Sprintf("0 to %d, an index of settings.zones", n-1))
+	balancer := p.BalancerConfig
+	if n := len(p.Zones); n > 0 && (balancer.Zone < 0 || balancer.Zone >= n) {
+		c.refuse("zone-unknown", "settings.zone", fmt.Sprint(balancer.Zone), fmt.Sprintf("0 to %d, an index of settings.zones", n-1))
 	}
-	if n := len(p.Tiers); n > 0 && (m.Tier < 0 || m.Tier >= n) {
-		c.refuse("tier-unknown", "settings.tier", fmt.Sprint(m.Tier), fmt.Sprintf("0 to %d, an index of settings.layers", n-1))
+	if n := len(p.Tiers); n > 0 && (balancer.Tier < 0 || balancer.Tier >= n) {
+		c.refuse("tier-unknown", "settings.tier", fmt.Sprint(balancer.Tier), fmt.Sprintf("0 to %d, an index of settings.layers", n-1))
 	}
 	c.checkUnique("settings.zones", p.Zones)
 	c.checkUnique("settings.layers", p.Tiers)
-	tenants := make([]string, len(m.Tenants))
-	for i, t := range m.Tenants {
+	tenants := make([]string, len(balancer.Tenants))
+	for i, t := range balancer.Tenants {
 		tenants[i] = t.Name
 	}
 	c.checkUnique("settings.tenants", tenants)
-	ids := make([]string, len(p.KnownEndpoints.Instances))
-	for i, in := range p.KnownEndpoints.Instances {
-		ids[i] = in.ID
-		if len(p.Zones) > 0 && in.Zone != "" && !slices.Contains(p.Zones, in.Zone) {
-			c.refuse("zone-unknown", fmt.Sprintf("known.instances[%d].zone", i), quote(in.Zone), "one of settings.zones")
+	endpointIDs := make([]string, len(p.KnownEndpoints.Instances))
+	for i, endpoint := range p.KnownEndpoints.Instances {
+		endpointIDs[i] = endpoint.ID
+		if len(p.Zones) > 0 && endpoint.Zone != "" && !slices.Contains(p.Zones, endpoint.Zone) {
+			c.refuse("zone-unknown", fmt.Sprintf("known.instances[%d].zone", i), quote(endpoint.Zone), "one of settings.zones")
 		}
 	}
-	c.checkUnique("known.instances", ids)
+	c.checkUnique("known.instances", endpointIDs)
 }
 
-// checkUnique reports names of a list that are empty or stand in it twice.
+// checkUnique reports names of a list that are empty or occur twice.
 func (c *checker) checkUnique(key string, names []string) {
 	seen := make(map[string]bool)
 	for i, name := range names {
 		if seen[name] || name == "" {
-			c.refuse("name-twice", fmt.Sprintf("%s[%d]", key, i), quote(name), "a name that is not empty and stands there once")
+			c.refuse("name-twice", fmt.Sprintf("%s[%d]", key, i), quote(name), "a name that is not empty and occurs once")
 		}
 		seen[name] = true
 	}
 }
 
-// checkClassNames reports names that stand for no class, or nearly for another.
+// checkClassNames reports classes of the file that the platform does not have, and names that
+// differ from another class's only in case.
 func (c *checker) checkClassNames() {
-	folded := make(map[string]string)
+	nameByLowerCase := make(map[string]string)
 	if c.platform != nil {
 		for _, k := range c.platform.BalancerConfig.Classes {
-			if other, ok := folded[strings.ToLower(k.Name)]; ok {
-				c.refuse("class-case", "settings.classes", quote(k.Name), "a name apart from "+quote(other))
+			if other, ok := nameByLowerCase[strings.ToLower(k.Name)]; ok {
+				c.refuse("class-case", "settings.classes", quote(k.Name), "a name other than "+quote(other))
 			}
-			folded[strings.ToLower(k.Name)] = k.Name
+			nameByLowerCase[strings.ToLower(k.Name)] = k.Name
 		}
 	}
 	for _, name := range c.sortedClassNames() {
-		other, ok := folded[strings.ToLower(name)]
+		other, ok := nameByLowerCase[strings.ToLower(name)]
 		switch {
 		case ok && other != name:
-			c.refuse("class-case", config.ClassKey(name), quote(name), "a name apart from "+quote(other), "did you mean "+other+"?")
+			c.refuse("class-case", config.ClassKey(name), quote(name), "a name other than "+quote(other), "did you mean "+other+"?")
 		case !ok && c.platform != nil:
 			var known []string
 			for _, k := range c.platform.BalancerConfig.Classes {
@@ -253,41 +258,41 @@
 			c.refuse("class-unknown", config.ClassKey(name), quote(name), strings.Join(known, ", "))
 		}
 		if !ok {
-			folded[strings.ToLower(name)] = name
+			nameByLowerCase[strings.ToLower(name)] = name
 		}
 	}
 }
 
-// checkClass checks one class as it is in effect. A value of 0 is not known here: the file is
-// checked without its platform.
+// checkClass checks one class as the sidecar would use it. A value of 0 is unknown, because the
+// file is checked without its platform's configuration.
 func (c *checker) checkClass(k balance.Class) {
-	at := config.ClassKey(k.Name)
+	prefix := config.ClassKey(k.Name)
 	file := c.settings.Classes[k.Name]
 	if file == nil {
 		file = new(config.Class)
 	}
 	if k.Semantics == balance.Unsafe {
 		if file.MaxRetries != nil && *file.MaxRetries > 0 {
-			c.refuse("unsafe-retried", at+".retries", fmt.Sprint(*file.MaxRetries), "0")
+			c.refuse("unsafe-retried", prefix+".retries", fmt.Sprint(*file.MaxRetries), "0")
 		}
 		if file.Hedging != nil && *file.Hedging {
-			c.refuse("unsafe-copied", at+".second_copies", "true", "false")
+			c.refuse("unsafe-copied", prefix+".second_copies", "true", "false")
 		}
 	}
-	c.checkTimes(at, k, file)
+	c.checkTimes(prefix, k, file)
 	if k.Semantics == balance.Keyed {
-		c.checkRepeatWindow(at, k)
+		c.checkRepeatWindow(prefix, k)
 	}
 	attempts := c.maxAttempts(k)
 	if file.MaxRetries != nil && attempts > 0 && *file.MaxRetries >= attempts {
-		c.warn("retries-over-attempts", at+".retries", fmt.Sprint(*file.MaxRetries), fmt.Sprintf("%d at most", attempts-1))
+		c.warn("retries-over-attempts", prefix+".retries", fmt.Sprint(*file.MaxRetries), fmt.Sprintf("%d at most", attempts-1))
 	}
 	if file.Hedging != nil && *file.Hedging && attempts == 1 {
-		c.warn("copies-over-attempts", at+".second_copies", "true", "false with one attempt")
+		c.warn("copies-over-attempts", prefix+".second_copies", "true", "false with one attempt")
 	}
 }
 
-// maxAttempts is the most attempts of a class, 0 for no bound.
+// maxAttempts returns the largest number of attempts of a request of class k; 0 means no limit.
 func (c *checker) maxAttempts(k balance.Class) int {
 	n := c.merged.BalancerConfig.Limits.MaxAttempts
 	if k.MaxAttempts > 0 && (n == 0 || k.MaxAttempts < n) {
@@ -296,104 +301,109 @@
 	return n
 }
 
-// checkTimes checks that a class's times fit in one another.
-func (c *checker) checkTimes(at string, k balance.Class, file *config.Class) {
-	wanted, deadline := k.TargetLatency, k.Deadline
-	if i, ok := c.merged.ClassIndex[k.Name]; ok && c.platform != nil { // as they were asked for
-		wanted = cmp.Or(file.TargetLatency, c.platform.BalancerConfig.Classes[i].TargetLatency)
+// checkTimes checks that a class's times are consistent with each other and with the connect, probe
+// and margin settings. prefix is the key of the class.
+func (c *checker) checkTimes(prefix string, k balance.Class, file *config.Class) {
+	target, deadline := k.TargetLatency, k.Deadline
+	if i, ok := c.merged.ClassIndex[k.Name]; ok && c.platform != nil { // as configured, before the merge
+		target = cmp.Or(file.TargetLatency, c.platform.BalancerConfig.Classes[i].TargetLatency)
 	} else {
-		wanted = cmp.Or(file.TargetLatency, wanted)
+		target = cmp.Or(file.TargetLatency, target)
 	}
 	show := config.FormatDuration
-	if wanted > 0 && deadline > 0 && wanted > deadline {
-		c.refuse("wanted-past-deadline", at+".wanted", show(wanted), "from 1ms to the deadline, "+show(deadline))
+	if target > 0 && deadline > 0 && target > deadline {
+		c.refuse("wanted-past-deadline", prefix+".wanted", show(target), "from 1ms to the deadline, "+show(deadline))
 	}
 	switch within := k.RetryStartWindow; {
 	case within > 0 && deadline > 0 && within > deadline:
-		c.refuse("retry-past-deadline", at+".retry_within", show(within), show(wanted)+" at most, the time that the answer is wanted within")
-	case within > 0 && wanted > 0 && within > wanted:
-		c.refuse("retry-past-wanted", at+".retry_within", show(within), show(wanted)+" at most, the time that the answer is wanted within")
+		c.refuse("retry-past-deadline", prefix+".retry_within", show(within), show(target)+" at most, the wanted time")
+	case within > 0 && target > 0 && within > target:
+		c.refuse("retry-past-wanted", prefix+".retry_within", show(within), show(target)+" at most, the wanted time")
 	}
 	if k.TargetLatency == 0 {
 		return
 	}
 	margin, connect, probe := c.settings.Callers.ResponseMargin, c.merged.ConnectTimeout(), c.settings.Probe.Timeout
-	kept := 2 * min(margin, k.TargetLatency/10)
+	margins := 2 * min(margin, k.TargetLatency/10)
 	if margin > k.TargetLatency/10 {
 		c.warn("margin-over-tenth", "callers.answer_margin", show(margin), show(k.TargetLatency/10)+" at most for class "+k.Name)
 	}
 	switch {
 	case 2*margin >= k.TargetLatency && c.setsAny("callers.answer_margin"):
-		c.refuse("margin-past-wanted", "callers.answer_margin", show(margin), "under half of "+show(k.TargetLatency)+", wanted of class "+k.Name)
-	case connect+kept >= k.TargetLatency && (c.platform != nil && c.platform.BalancerConfig.Limits.ConnectTimeout > 0 || c.setsAny("endpoints.connect_time", at+".wanted")):
-		c.refuse("connect-past-wanted", "endpoints.connect_time", show(connect), "under "+show(k.TargetLatency-kept)+" for class "+k.Name)
-	case c.setsAttemptBound(at, "attempts") && c.maxAttempts(k) > 1 && connect*time.Duration(c.maxAttempts(k))+kept > k.TargetLatency:
-		key := at + ".attempts"
+		c.refuse("margin-past-wanted", "callers.answer_margin", show(margin), "under half of "+show(k.TargetLatency)+", the wanted time of class "+k.Name)
+	case connect+margins >= k.TargetLatency && (c.platform != nil && c.platform.BalancerConfig.Limits.ConnectTimeout > 0 || c.setsAny("endpoints.connect_time", prefix+".wanted")):
+		c.refuse("connect-past-wanted", "endpoints.connect_time", show(connect), "under "+show(k.TargetLatency-margins)+" for class "+k.Name)
+	case c.setsAttemptBound(prefix, "attempts") && c.maxAttempts(k) > 1 && connect*time.Duration(c.maxAttempts(k))+margins > k.TargetLatency:
+		key := prefix + ".attempts"
 		if !c.setsAny(key) {
 			key = "fleet.attempts"
 		}
 		c.refuse("attempts-past-wanted", key, fmt.Sprintf("%d attempts of %s", c.maxAttempts(k), show(connect)),
-			fmt.Sprintf("%s together, for class %s; that is %d", show(k.TargetLatency-kept), k.Name, max((k.TargetLatency-kept)/connect, 1)))
+			fmt.Sprintf("%s in all for class %s, which is enough for %d", show(k.TargetLatency-margins), k.Name, max((k.TargetLatency-margins)/connect, 1)))
 	}
-	if probe >= k.TargetLatency && c.setsAny("probe.time", at+".wanted") {
-		c.refuse("probe-past-wanted", "probe.time", show(probe), "under "+show(k.TargetLatency)+", wanted of class "+k.Name)
+	if probe >= k.TargetLatency && c.setsAny("probe.time", prefix+".wanted") {
+		c.refuse("probe-past-wanted", "probe.time", show(probe), "under "+show(k.TargetLatency)+", the wanted time of class "+k.Name)
 	}
 	if within := k.RetryStartWindow; within > 0 && within < connect {
-		c.warn("retry-idle", at+".retry_within", show(within), show(connect)+" or more, or a shorter connect_time")
+		c.warn("retry-idle", prefix+".retry_within", show(within), show(connect)+" or more, or a shorter connect_time")
 	}
 }
 
-// setsAttemptBound tells whether the file sets a bound for a class or for all.
-func (c *checker) setsAttemptBound(at, key string) bool {
-	return c.setsAny(at+"."+key, "fleet."+key, "endpoints.connect_time", at+".wanted")
+// setsAttemptBound reports whether the file sets a key that the bound key is checked with: the key
+// itself for the class or for all classes, connect_time, or the class's wanted.
+func (c *checker) setsAttemptBound(prefix, key string) bool {
+	return c.setsAny(prefix+"."+key, "fleet."+key, "endpoints.connect_time", prefix+".wanted")
 }
 
-// LatestAttemptStart is when the last attempt of a class may begin after its request came, and whether
-// one beyond the first may.
+// LatestAttemptStart returns how long after the arrival of its request the last attempt of a class
+// may start, and whether there may be more than one attempt. attempts is the largest number of
+// attempts; 0 means no limit.
 func LatestAttemptStart(k balance.Class, attempts int) (time.Duration, bool) {
-	last := k.Deadline
+	latest := k.Deadline
 	if k.LateValueShare == 0 {
-		last = min(last, k.TargetLatency)
+		latest = min(latest, k.TargetLatency)
 	}
 	if k.RetryStartWindow > 0 {
-		last = min(last, k.RetryStartWindow)
+		latest = min(latest, k.RetryStartWindow)
 	}
-	return last, attempts != 1
+	return latest, attempts != 1
 }
 
-// checkRepeatWindow checks that a keyed class's repeats find their key remembered.
-func (c *checker) checkRepeatWindow(at string, k balance.Class) {
+// checkRepeatWindow checks that endpoints still remember the key of a keyed request when its last
+// attempt starts.
+func (c *checker) checkRepeatWindow(prefix string, k balance.Class) {
 	if k.RepeatWindow == 0 {
 		if c.standalone || c.platform != nil {
-			c.refuse("no-window", at+".repeat_window", "nothing", "a time")
+			c.refuse("no-window", prefix+".repeat_window", "nothing", "a time")
 		}
 		return
 	}
 	show := config.FormatDuration
-	last, more := LatestAttemptStart(k, c.maxAttempts(k))
-	if more && last >= k.RepeatWindow {
-		key := at + ".repeat_window"
-		if k.RetryStartWindow == last {
-			key = at + ".retry_within"
+	latest, severalAttempts := LatestAttemptStart(k, c.maxAttempts(k))
+	if severalAttempts && latest >= k.RepeatWindow {
+		key := prefix + ".repeat_window"
+		if k.RetryStartWindow == latest {
+			key = prefix + ".retry_within"
 		}
-		c.refuse("late-repeat", key, "an attempt "+show(last)+" after the request came", "under the repeat window, "+show(k.RepeatWindow))
+		c.refuse("late-repeat", key, "an attempt "+show(latest)+" after the arrival of the request", "under the repeat window, "+show(k.RepeatWindow))
 	}
 	if k.Deadline > k.RepeatWindow {
-		c.warn("client-past-window", at+".deadline", show(k.Deadline), show(k.RepeatWindow)+" at most, the repeat window")
+		c.warn("client-past-window", prefix+".deadline", show(k.Deadline), show(k.RepeatWindow)+" at most, the repeat window")
 	}
 }
 
+// checkDrains checks the grace for draining endpoints, and that discovery reports a drain within it.
 func (c *checker) checkDrains() {
-	m, show := c.merged.BalancerConfig, config.FormatDuration
-	// Where a platform gives a grace, that is the measure, see looser.
+	balancer, show := c.merged.BalancerConfig, config.FormatDuration
+	// If the platform sets a grace, checkNotLooser compares the file with it.
 	if c.platform == nil || c.platform.BalancerConfig.DrainGrace == 0 {
 		if grace := c.settings.Fleet.DrainGrace; grace > maxDrainGrace {
 			c.refuse("drain-grace", "fleet.drain_grace", show(grace), show(maxDrainGrace)+" at most")
 		}
 	}
-	w := c.settings.Discovery
-	asked := c.settings.Fleet.DiscoveryMode == "ask" || m.MustSubscribe
-	if call, most := w.PushWait+w.PushResponseTimeout+w.MinPause, cmp.Or(m.DrainGrace, maxDrainGrace); !asked && call > most &&
+	discovery := c.settings.Discovery
+	polls := c.settings.Fleet.DiscoveryMode == "ask" || balancer.MustSubscribe
+	if watch, limit := discovery.PushWait+discovery.PushResponseTimeout+discovery.MinPause, cmp.Or(balancer.DrainGrace, maxDrainGrace); !polls && watch > limit &&
 		c.setsAny("discovery.push_wait", "discovery.push_answer", "discovery.pause", "fleet.drain_grace") {
 		key := "discovery.push_wait"
 		for _, k := range []string{"discovery.push_answer", "discovery.pause", "fleet.drain_grace"} {
@@ -401,135 +411,141 @@
 				key = k
 			}
 		}
-		c.refuse("drain-unheard", key, show(w.PushWait)+" + "+show(w.PushResponseTimeout)+" + "+show(w.MinPause), show(most)+" together at most")
+		c.refuse("drain-unheard", key, show(discovery.PushWait)+" + "+show(discovery.PushResponseTimeout)+" + "+show(discovery.MinPause), show(limit)+" at most in all")
 	}
 }
 
+// checkColdStart checks the warm-up time and the sidecar's number among the sidecars of its tier.
 func (c *checker) checkColdStart() {
-	m := c.merged.BalancerConfig
-	if at := c.settings.Fleet.WarmupTime; c.standalone && at > 0 && at < minWarmupTime && m.ColdCapacityShare < 1 {
-		c.refuse("cold-instant", "fleet.cold_time", config.FormatDuration(at), fmt.Sprintf("%s or more with cold_share %g", config.FormatDuration(minWarmupTime), m.ColdCapacityShare))
+	balancer := c.merged.BalancerConfig
+	if warmup := c.settings.Fleet.WarmupTime; c.standalone && warmup > 0 && warmup < minWarmupTime && balancer.ColdCapacityShare < 1 {
+		c.refuse("cold-instant", "fleet.cold_time", config.FormatDuration(warmup), fmt.Sprintf("%s or more with cold_share %g", config.FormatDuration(minWarmupTime), balancer.ColdCapacityShare))
 	}
-	if m.SidecarIndex >= m.SidecarCount && (c.standalone || c.platform != nil) && m.SidecarCount > 0 {
-		c.refuse("sidecar-number", "fleet.number", fmt.Sprint(m.SidecarIndex), fmt.Sprintf("0 to %d", m.SidecarCount-1))
+	if balancer.SidecarIndex >= balancer.SidecarCount && (c.standalone || c.platform != nil) && balancer.SidecarCount > 0 {
+		c.refuse("sidecar-number", "fleet.number", fmt.Sprint(balancer.SidecarIndex), fmt.Sprintf("0 to %d", balancer.SidecarCount-1))
 	}
 }
 
-// checkShutdown checks the end against the platform's; another installation sets its own.
+// checkShutdown checks the times of the shutdown against the platform's. An installation without a
+// platform chooses its own.
 func (c *checker) checkShutdown() {
-	end, show := c.settings.Shutdown, config.FormatDuration
+	shutdown, show := c.settings.Shutdown, config.FormatDuration
 	if c.platform == nil {
 		return
 	}
-	if end.AcceptGrace < minAcceptGrace {
-		c.refuse("linger-short", "shutdown.linger", show(end.AcceptGrace), show(minAcceptGrace)+" or more")
+	if shutdown.AcceptGrace < minAcceptGrace {
+		c.refuse("linger-short", "shutdown.linger", show(shutdown.AcceptGrace), show(minAcceptGrace)+" or more")
 	}
-	if end.AcceptGrace+end.DeadlineMargin > killDelay {
+	if shutdown.AcceptGrace+shutdown.DeadlineMargin > killDelay {
 		key := "shutdown.linger"
 		if !c.setsAny(key) {
 			key = "shutdown.spare"
 		}
-		c.refuse("shutdown-past-kill", key, show(end.AcceptGrace)+" + "+show(end.DeadlineMargin), show(killDelay)+" together at most")
+		c.refuse("shutdown-past-kill", key, show(shutdown.AcceptGrace)+" + "+show(shutdown.DeadlineMargin), show(killDelay)+" at most in all")
 	}
 }
 
+// checkCallers checks how long callers' connections are held, and the time of probes.
 func (c *checker) checkCallers() {
-	k, show := c.settings.Callers, config.FormatDuration
-	if c.platform != nil && k.IdleTimeout < minIdleTimeout {
-		c.refuse("idle-short", "callers.idle_time", show(k.IdleTimeout), show(minIdleTimeout)+" or more")
+	callers, show := c.settings.Callers, config.FormatDuration
+	if c.platform != nil && callers.IdleTimeout < minIdleTimeout {
+		c.refuse("idle-short", "callers.idle_time", show(callers.IdleTimeout), show(minIdleTimeout)+" or more")
 	}
-	if k.HeadTimeout+k.BodyTimeout > maxSlowCallerTime {
-		c.warn("slow-callers", "callers.head_time", show(k.HeadTimeout)+" + "+show(k.BodyTimeout), show(maxSlowCallerTime)+" together")
+	if callers.HeadTimeout+callers.BodyTimeout > maxSlowCallerTime {
+		c.warn("slow-callers", "callers.head_time", show(callers.HeadTimeout)+" + "+show(callers.BodyTimeout), show(maxSlowCallerTime)+" at most in all")
 	}
 	if connect := c.merged.ConnectTimeout(); c.settings.Probe.Timeout < connect && c.setsAny("probe.time", "endpoints.connect_time") {
 		c.warn("probe-under-connect", "probe.time", show(c.settings.Probe.Timeout), show(connect)+" or more")
 	}
 }
 
-// checkStreams checks bodies that flow: their bounds beside one another, and their time.
+// checkStreams checks that the limits of streamed bodies are consistent with each other and with
+// those of bodies held in memory.
 func (c *checker) checkStreams() {
 	s := &c.settings.Streams
 	size := func(v config.Size) string { return v.String() }
 	for _, b := range []struct {
-		key, heldKey string
-		most, held   config.Size
+		key, bufferedKey string
+		limit, buffered  config.Size
 	}{
 		{"streams.max_body", "callers.max_body", s.MaxRequestBody, c.settings.Callers.MaxRequestBody},
 		{"streams.max_answer", "endpoints.max_answer", s.MaxResponseBody, c.settings.Endpoints.MaxResponseBody},
 	} {
-		if b.most == 0 {
+		if b.limit == 0 {
 			continue
 		}
 		if c.platform != nil {
-			c.refuse("streams-platform", b.key, size(b.most), "0, beside a platform's configuration")
+			c.refuse("streams-platform", b.key, size(b.limit), "0 with a platform's configuration")
 		}
-		if b.most < b.held {
-			c.refuse("streams-short", b.key, size(b.most), size(b.held)+" or more, which "+b.heldKey+" is")
+		if b.limit < b.buffered {
+			c.refuse("streams-short", b.key, size(b.limit), size(b.buffered)+" or more ("+b.bufferedKey+")")
 		}
 	}
 	for _, b := range []struct {
-		key, allKey string
-		one, all    config.Size
+		key, totalKey  string
+		perBody, total config.Size
 	}{{"streams.memory", "streams.memory_all", s.MaxMemoryPerBody, s.MaxMemoryTotal}, {"streams.file", "streams.files_all", s.MaxFilePerBody, s.MaxFilesTotal}} {
-		if b.one > 0 && b.all < b.one-min(s.Window, b.one) {
-			c.refuse("streams-kept", b.key, size(b.one), size(b.all)+" at most, which "+b.allKey+" is")
+		if b.perBody > 0 && b.total < b.perBody-min(s.Window, b.perBody) {
+			c.refuse("streams-kept", b.key, size(b.perBody), size(b.total)+" at most ("+b.totalKey+")")
 		}
 	}
-	if most := c.merged.MaxCallerConnections(); s.RequestsEnabled() && s.MaxOpenRequests > most {
-		c.refuse("streams-open", "streams.open", fmt.Sprint(s.MaxOpenRequests), fmt.Sprintf("%d at most, the connections of callers", most))
+	if connections := c.merged.MaxCallerConnections(); s.RequestsEnabled() && s.MaxOpenRequests > connections {
+		c.refuse("streams-open", "streams.open", fmt.Sprint(s.MaxOpenRequests), fmt.Sprintf("%d at most, the connections of callers", connections))
 	}
 }
 
-// maxStreamBytes is what bodies that flow may hold: those of requests by their number, and an answer's
-// buffer for each caller.
+// maxStreamBytes returns the memory that streamed bodies may use at most: the buffers and retained
+// parts of the requests that may be open, and a response's buffer for each caller's connection.
 func (c *checker) maxStreamBytes() float64 {
 	s := &c.settings.Streams
-	held := 0.0
+	total := 0.0
 	if s.RequestsEnabled() {
-		held += float64(s.MaxOpenRequests)*float64(s.BodyLimits().MaxBufferBytes()) + float64(s.MaxMemoryTotal)
+		total += float64(s.MaxOpenRequests)*float64(s.BodyLimits().MaxBufferBytes()) + float64(s.MaxMemoryTotal)
 		if s.RAMDisk != nil && *s.RAMDisk {
-			held += float64(s.MaxFilesTotal)
+			total += float64(s.MaxFilesTotal)
 		}
 	}
 	if s.MaxResponseBody > 0 {
-		held += float64(c.merged.MaxCallerConnections()) * float64(max(s.ResponseCommitThreshold, body.BlockSize))
+		total += float64(c.merged.MaxCallerConnections()) * float64(max(s.ResponseCommitThreshold, body.BlockSize))
 	}
-	return held
+	return total
 }
 
-// checkCapacity checks descriptors and memory at the worst.
+// checkCapacity checks the file descriptors and the memory needed in the worst case.
 func (c *checker) checkCapacity() {
-	s, m := c.settings, c.merged
-	callers, endpoints := m.MaxCallerConnections(), m.MaxEndpointConnections()
-	if sum := callers + endpoints + m.MaxBodyFiles() + config.ReservedSockets; sum > m.Limits.Sockets {
+	s, merged := c.settings, c.merged
+	callers, endpoints := merged.MaxCallerConnections(), merged.MaxEndpointConnections()
+	if descriptors := callers + endpoints + merged.MaxBodyFiles() + config.ReservedSockets; descriptors > merged.Limits.Sockets {
 		key := "callers.connections"
 		for _, k := range []string{"endpoints.connections", "limits.sockets", "streams.open", "streams.file"} {
 			if !c.setsAny(key) {
 				key = k
 			}
 		}
-		c.refuse("descriptors", key, fmt.Sprintf("%d for callers, %d for endpoints, %d for files and %d in reserve", callers, endpoints, m.MaxBodyFiles(), config.ReservedSockets),
-			fmt.Sprintf("%d together", m.Limits.Sockets))
-		return // what so many would hold says nothing
+		c.refuse("descriptors", key, fmt.Sprintf("%d for callers, %d for endpoints, %d for files and %d in reserve", callers, endpoints, merged.MaxBodyFiles(), config.ReservedSockets),
+			fmt.Sprintf("%d in all", merged.Limits.Sockets))
+		return // the memory of so many connections doesn't matter
 	}
-	memory := float64(m.Limits.MemoryMB) * (1 << 20)
-	held := float64(callers) * float64(s.Callers.MaxRequestHead+s.Callers.MaxRequestBody+s.Endpoints.MaxResponseBody)
-	flowing := c.maxStreamBytes()
-	all := held + flowing + float64(callers+endpoints)*perConnectionBytes + float64(endpoints)*float64(s.Endpoints.MaxResponseHead+s.Endpoints.MaxResponseBody)
-	found := func(v float64) string { return config.Size(math.Round(v/(1<<20))*(1<<20)).String() + " at the worst" }
-	allowed := config.Size(memory).String()
+	memoryBytes := float64(merged.Limits.MemoryMB) * (1 << 20)
+	bufferedBytes := float64(callers) * float64(s.Callers.MaxRequestHead+s.Callers.MaxRequestBody+s.Endpoints.MaxResponseBody)
+	streamBytes := c.maxStreamBytes()
+	worstCaseBytes := bufferedBytes + streamBytes + float64(callers+endpoints)*perConnectionBytes + float64(endpoints)*float64(s.Endpoints.MaxResponseHead+s.Endpoints.MaxResponseBody)
+	found := func(v float64) string {
+		return config.Size(math.Round(v/(1<<20))*(1<<20)).String() + " in the worst case"
+	}
+	allowed := config.Size(memoryBytes).String()
 	keys := []string{"callers.max_body", "endpoints.max_answer", "callers.connections", "callers.max_head", "limits.memory", "limits.sockets"}
-	if i := slices.IndexFunc(keys, func(k string) bool { return c.setsAny(k) }); held > memory && i >= 0 {
-		c.refuse("memory", keys[i], found(held), allowed)
-	} else if flowing > memory {
+	if i := slices.IndexFunc(keys, func(k string) bool { return c.setsAny(k) }); bufferedBytes > memoryBytes && i >= 0 {
+		c.refuse("memory", keys[i], found(bufferedBytes), allowed)
+	} else if streamBytes > memoryBytes {
 		key := "streams.open"
 		for _, k := range []string{"streams.memory_all", "streams.files_all", "streams.window", "streams.max_body", "streams.max_answer"} {
 			if !c.setsAny(key) {
 				key = k
 			}
 		}
-		c.refuse("streams-memory", key, found(flowing), allowed)
-	} else if all > memory {
-		c.warn("memory-tight", "limits.memory", found(all), allowed)
+		c.refuse("streams-memory", key, found(streamBytes), allowed)
+	} else if worstCaseBytes > memoryBytes {
+		c.warn("memory-tight", "limits.memory", found(worstCaseBytes), allowed)
 	}
 }
