--- a/cmd/drumctl/config.go
+++ b/cmd/drumctl/config.go
@@ -14,10 +14,10 @@
 	"barleydrum.example/barleydrum/internal/config"
 )
 
-// readFiles reads files for the checker. A file that can't be read is a finding of its, not an
-// error of ours.
+// readFiles reads files for the checker, each name once. The checker reports a file that can't be
+// read, so readFiles does not return an error.
 func readFiles(names []string) []check.File {
-	var out []check.File
+	var files []check.File
 	seen := make(map[string]bool)
 	for _, name := range names {
 		if seen[name] {
@@ -25,12 +25,12 @@
 		}
 		seen[name] = true
 		text, err := config.ReadFile(name, config.MaxPlatformBytes)
-		out = append(out, check.File{Name: name, Text: text, Err: err})
+		files = append(files, check.File{Name: name, Text: text, Err: err})
 	}
-	return out
+	return files
 }
 
-// checkReport is what check says as JSON.
+// checkReport is the output of check as JSON.
 type checkReport struct {
 	Files    int              `json:"files"`
 	Refused  int              `json:"refused"`
@@ -38,76 +38,79 @@
 	Findings []config.Finding `json:"findings"`
 }
 
-// printFindings prints findings and their count, and returns errRefused if one of them refuses.
-func printFindings(w io.Writer, as outputFormat, files int, findings []config.Finding) error {
-	v := checkReport{Files: files, Findings: findings}
+// printFindings prints the findings and their counts, and returns errRefused if one of them refuses
+// its file. files is the number of files checked.
+func printFindings(w io.Writer, format outputFormat, files int, findings []config.Finding) error {
+	report := checkReport{Files: files, Findings: findings}
 	if findings == nil {
-		v.Findings = []config.Finding{}
+		report.Findings = []config.Finding{}
 	}
 	for _, f := range findings {
 		if f.Level == config.LevelRefused {
-			v.Refused++
+			report.Refused++
 		} else {
-			v.Warnings++
+			report.Warnings++
 		}
 	}
-	if as == "json" {
-		if err := writeJSON(w, v); err != nil {
+	if format == "json" {
+		if err := writeJSON(w, report); err != nil {
 			return err
 		}
 	} else {
 		for _, f := range findings {
 			fmt.Fprintln(w, f)
 		}
-		fmt.Fprintf(w, "%d checked: %d refused, %d warnings\n", v.Files, v.Refused, v.Warnings)
+		fmt.Fprintf(w, "%d checked: %d refused, %d warnings\n", report.Files, report.Refused, report.Warnings)
 	}
-	if v.Refused > 0 {
+	if report.Refused > 0 {
 		return errRefused
 	}
 	return nil
 }
 
+// checkCommand returns the command config check.
 func checkCommand() *cobra.Command {
-	var as outputFormat
+	var format outputFormat
 	c := &cobra.Command{
 		Use:   "check FILE...",
 		Short: "Check one file, or a whole deployment at once",
 		Long: `Check operators' files (TOML) and platforms' configurations (the JSON of PROXY_CONFIG).
 
-An operators' file is checked beside every platform's configuration that sends to its tier, as
-the program checks the two at its start; with none, by itself. All files together are checked
-for addresses that two listeners claim, tiers that call each other in a circle, and sidecars
-that are miscounted.`,
+An operators' file is checked together with every platform's configuration that sends to its
+tier, as barleydrum does when it starts. If there is none, the file is checked alone. All files
+together are checked for addresses that two listeners use, tiers that call each other in a
+circle, and wrong numbers of sidecars.`,
 		Example: "  drumctl config check order-front.toml\n  drumctl config check order-front.toml run/*.json",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			files := readFiles(args)
-			return printFindings(c.OutOrStdout(), as, len(files), check.Deployment(files))
+			return printFindings(c.OutOrStdout(), format, len(files), check.Deployment(files))
 		},
 	}
-	as.addFlag(c)
+	format.addFlag(c)
 	return c
 }
 
+// explainCommand returns the command config explain.
 func explainCommand() *cobra.Command {
-	var as outputFormat
+	var format outputFormat
 	c := &cobra.Command{
 		Use:   "explain FILE...",
-		Short: "Tell the worst that follows from a configuration, for each class",
-		Long: `Tell for each class how many attempts a request may have, over what time, when the last may
-begin, where it may go, and what a refusal and a failure promise. Files are put together as by
-check; one that is refused is not explained.`,
+		Short: "Describe the worst case of a configuration, for each class",
+		Long: `Describe for each class how many attempts a request may have and over what time, when the last
+one may begin, which endpoints it may go to, and what a refusal and a failure promise. Files are
+combined as by check. Nothing is explained if a file is refused.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			files := readFiles(args)
-			all, findings := check.Explain(files)
+			explanations, findings := check.Explain(files)
 			if config.HasRefusal(findings) {
-				return printFindings(c.OutOrStdout(), as, len(files), findings)
+				return printFindings(c.OutOrStdout(), format, len(files), findings)
 			}
-			if as == "json" {
-				return writeJSON(c.OutOrStdout(), all)
+			if format == "json" {
+				return writeJSON(c.OutOrStdout(), explanations)
 			}
-			for i, x := range all {
+			for i, x := range explanations {
 				if i > 0 {
 					fmt.Fprintln(c.OutOrStdout())
 				}
@@ -116,19 +119,20 @@
 			return nil
 		},
 	}
-	as.addFlag(c)
+	format.addFlag(c)
 	return c
 }
 
+// diffCommand returns the command config diff.
 func diffCommand() *cobra.Command {
-	var as outputFormat
-	var code bool
+	var format outputFormat
+	var exitCode bool
 	c := &cobra.Command{
 		Use:   "diff A B",
-		Short: "Tell what differs in effect between two files of a kind",
-		Long: `Tell what differs in effect, not in text: order, comments, units and values that say what
-leaving them out means make no difference. Both files are operators' files, or both platforms'
-configurations; neither is checked for more than that it can be read.`,
+		Short: "Show what differs in effect between two files of the same kind",
+		Long: `Show what differs in effect, not in text. Order, comments, units and values equal to the default
+make no difference. Both files are operators' files, or both are platforms' configurations. They
+are parsed, but not checked any further.`,
 		Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			files := readFiles(args)
@@ -147,10 +151,10 @@
 				}
 			}
 			if len(findings) > 0 {
-				return printFindings(c.OutOrStdout(), as, len(files), findings)
+				return printFindings(c.OutOrStdout(), format, len(files), findings)
 			}
 			changes := config.Diff(values[0], values[1])
-			if as == "json" {
+			if format == "json" {
 				if changes == nil {
 					changes = []config.Change{}
 				}
@@ -159,24 +163,25 @@
 				}
 			} else {
 				for _, change := range changes {
-					when := "at a restart"
+					effective := "at a restart"
 					if change.Reloadable {
-						when = "at SIGHUP"
+						effective = "at SIGHUP"
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s (%s)\n", change, when)
+					fmt.Fprintf(c.OutOrStdout(), "%s (%s)\n", change, effective)
 				}
 			}
-			if code && len(changes) > 0 {
+			if exitCode && len(changes) > 0 {
 				return errRefused
 			}
 			return nil
 		},
 	}
-	as.addFlag(c)
-	c.Flags().BoolVar(&code, "exit-code", false, "exit with 1 if something differs")
+	format.addFlag(c)
+	c.Flags().BoolVar(&exitCode, "exit-code", false, "exit with 1 if something differs")
 	return c
 }
 
+// valuesOf parses a file of either kind and returns its values, or the findings if it can't be parsed.
 func valuesOf(f check.File) ([]config.Value, []config.Finding) {
 	if f.Err == nil && check.IsPlatform(f.Text) {
 		p, bad := check.ParsePlatform(f)
@@ -192,6 +197,7 @@
 	return s.Values(), nil
 }
 
+// referenceCommand returns the command config reference.
 func referenceCommand() *cobra.Command {
 	var template bool
 	c := &cobra.Command{
@@ -211,50 +217,51 @@
 	return c
 }
 
-// writeFile writes a file that must not stand yet, unless force is set, whole or not at all.
+// writeFile writes text to the file name. It fails if the file exists, unless force is set. The file
+// appears complete or not at all, because it is renamed from name + ".part".
 func writeFile(name string, text []byte, force bool) error {
 	if !force {
 		if _, err := os.Lstat(name); err == nil {
-			return fmt.Errorf("%s: exists; --force replaces it", name)
+			return fmt.Errorf("%s: file exists; use --force to replace it", name)
 		}
 	}
-	part := name + ".part"
-	if err := os.WriteFile(part, text, 0o644); err != nil {
+	partName := name + ".part"
+	if err := os.WriteFile(partName, text, 0o644); err != nil {
 		return err
 	}
-	if err := os.Rename(part, name); err != nil {
-		return errors.Join(err, os.Remove(part))
+	if err := os.Rename(partName, name); err != nil {
+		return errors.Join(err, os.Remove(partName))
 	}
 	return nil
 }
 
-// What suited chooses by: the fleet's own defaults, and the least time for a connection that
-// a busy network needs, where the classes' times leave room for two attempts of it.
+// Values that fillClassDefaults uses.
 const (
-	defaultConnectTimeout = 250 * time.Millisecond
-	defaultProbeTimeout   = 250 * time.Millisecond
-	minConnectTimeout     = 25 * time.Millisecond
-	defaultMaxAttempts    = 6
+	defaultConnectTimeout = 250 * time.Millisecond // default of endpoints.connect_time
+	defaultProbeTimeout   = 250 * time.Millisecond // default of probe.time
+	minConnectTimeout     = 25 * time.Millisecond  // needed on a busy network; used where a class's time allows two such attempts
+	defaultMaxAttempts    = 6                      // default of fleet.attempts
 )
 
-// fillClassDefaults chooses what the descriptions of classes leave out and a general default would not
-// fit: how long a connection and a probe may take, by the class in the greatest hurry, and for
-// each class how many attempts then fit, and until when one may begin that still finds its key.
-// It returns the general part, and the parts of the classes with what they lacked.
-func fillClassDefaults(s *config.Settings, classes, parts []string) (general string, out []string) {
+// fillClassDefaults chooses values that the class descriptions leave out and for which the general
+// defaults may not fit. These are the connect and probe timeouts, which the class with the shortest
+// times decides, and for each class the number of attempts that fit then and the latest start of an
+// attempt whose key endpoints still remember. tables[i] is the TOML table of classes[i]. It returns the TOML
+// of the general settings, and the tables with the chosen keys added.
+func fillClassDefaults(s *config.Settings, classes, tables []string) (general string, filledTables []string) {
 	connect, probe := defaultConnectTimeout, defaultProbeTimeout
-	left := func(k *config.Class) time.Duration {
+	available := func(k *config.Class) time.Duration {
 		return k.TargetLatency - 2*min(s.Callers.ResponseMargin, k.TargetLatency/10)
 	}
 	for _, k := range s.Classes {
 		if k.TargetLatency == 0 {
-			continue // for check to refuse, or the platform's
+			continue // check refuses this, or the platform sets it
 		}
-		fits := max(left(k)/defaultMaxAttempts, min(minConnectTimeout, left(k)/2))
+		fitting := max(available(k)/defaultMaxAttempts, min(minConnectTimeout, available(k)/2))
 		if k.MaxAttempts > 0 {
-			fits = left(k) / time.Duration(k.MaxAttempts)
+			fitting = available(k) / time.Duration(k.MaxAttempts)
 		}
-		connect, probe = min(connect, fits), min(probe, k.TargetLatency/2)
+		connect, probe = min(connect, fitting), min(probe, k.TargetLatency/2)
 	}
 	connect = max(connect.Truncate(time.Millisecond), time.Millisecond)
 	probe = max(probe.Truncate(time.Millisecond), connect)
@@ -264,38 +271,38 @@
 	if probe < defaultProbeTimeout {
 		general += fmt.Sprintf("[probe]\ntime = %q\n", probe)
 	}
-	for i, part := range parts {
+	for i, table := range tables {
 		name, _, _ := strings.Cut(classes[i], ",")
 		k := s.Classes[name]
 		if k != nil && k.TargetLatency > 0 {
-			if n := max(left(k)/connect, 1); k.MaxAttempts == 0 && n < defaultMaxAttempts {
-				part += fmt.Sprintf("attempts = %d\n", n)
+			if n := max(available(k)/connect, 1); k.MaxAttempts == 0 && n < defaultMaxAttempts {
+				table += fmt.Sprintf("attempts = %d\n", n)
 			}
-			if last := k.RepeatWindow * 9 / 10; k.RetryWithin == 0 && last > 0 && last < k.TargetLatency {
-				part += fmt.Sprintf("retry_within = %q\n", last.Truncate(time.Millisecond))
+			if latest := k.RepeatWindow * 9 / 10; k.RetryWithin == 0 && latest > 0 && latest < k.TargetLatency {
+				table += fmt.Sprintf("retry_within = %q\n", latest.Truncate(time.Millisecond))
 			}
 		}
-		out = append(out, part)
+		filledTables = append(filledTables, table)
 	}
-	return general, out
+	return general, filledTables
 }
 
-// classTOML turns the text of a class's description, such as
-// "place-order,wanted=1540ms,semantics=keyed", into lines of TOML.
+// classTOML converts the description of a class, such as
+// "place-order,wanted=1540ms,semantics=keyed", to a TOML table.
 func classTOML(text string) (string, error) {
 	name, rest, _ := strings.Cut(text, ",")
 	if name == "" || strings.Contains(name, "=") {
-		return "", fmt.Errorf("--class %q: begins with the class's name", text)
+		return "", fmt.Errorf("--class %q: does not begin with a class name", text)
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "[class.%q]\n", name)
-	for _, part := range strings.Split(rest, ",") {
-		if part == "" {
+	for _, field := range strings.Split(rest, ",") {
+		if field == "" {
 			continue
 		}
-		key, value, ok := strings.Cut(part, "=")
+		key, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return "", fmt.Errorf("--class %q: %q is not KEY=VALUE", text, part)
+			return "", fmt.Errorf("--class %q: %q is not KEY=VALUE", text, field)
 		}
 		key = strings.ReplaceAll(strings.TrimSpace(key), "-", "_")
 		switch value = strings.TrimSpace(value); key {
--- a/cmd/drumctl/main.go
+++ b/cmd/drumctl/main.go
@@ -1,5 +1,6 @@
 // Command drumctl writes, checks, explains and compares the configuration of barleydrum. It
-// exits with 0 if all is good, 1 if something is refused, 2 if it was called wrongly.
+// exits with 0 on success, 1 if a configuration is refused or, with diff --exit-code, differs, and 2
+// on a wrong command line or another error.
 package main
 
 import (
@@ -14,10 +15,11 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// errRefused says that a configuration is refused; what for has been said.
+// errRefused makes run return 1. Its findings or differences have been printed already.
 var errRefused = errors.New("refused")
 
-// run runs a command line and returns the exit code.
+// run executes a command line and returns the exit code. Errors other than errRefused are printed
+// to errs.
 func run(args []string, out, errs io.Writer) int {
 	c := rootCommand()
 	c.SetArgs(args)
@@ -34,6 +36,7 @@
 	}
 }
 
+// rootCommand returns the command drumctl with its subcommands.
 func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "drumctl",
@@ -43,18 +46,18 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	config := &cobra.Command{
+	configCommand := &cobra.Command{
 		Use:   "config",
 		Short: "The operators' file and the platform's configuration",
 		Args:  cobra.NoArgs,
 		RunE:  func(c *cobra.Command, _ []string) error { return c.Help() },
 	}
-	config.AddCommand(checkCommand(), explainCommand(), diffCommand(), writeCommand(), referenceCommand())
-	c.AddCommand(config)
+	configCommand.AddCommand(checkCommand(), explainCommand(), diffCommand(), writeCommand(), referenceCommand())
+	c.AddCommand(configCommand)
 	return c
 }
 
-// outputFormat is the flag --format.
+// outputFormat is the value of the flag --format: text or json. It implements pflag.Value.
 type outputFormat string
 
 func (o *outputFormat) String() string { return string(*o) }
@@ -62,18 +65,19 @@
 
 func (o *outputFormat) Set(text string) error {
 	if text != "text" && text != "json" {
-		return fmt.Errorf("%q: text or json", text)
+		return fmt.Errorf("%q: neither text nor json", text)
 	}
 	*o = outputFormat(text)
 	return nil
 }
 
-// addFlag adds --format to a command.
+// addFlag adds --format to a command, with text as its default.
 func (o *outputFormat) addFlag(c *cobra.Command) {
 	*o = "text"
 	c.Flags().Var(o, "format", "form of the output: text for people, json for machines")
 }
 
+// writeJSON writes v as indented JSON.
 func writeJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/cmd/drumctl/write.go
+++ b/cmd/drumctl/write.go
@@ -11,6 +11,7 @@
 	"barleydrum.example/barleydrum/internal/config"
 )
 
+// writeCommand returns the command config write.
 func writeCommand() *cobra.Command {
 	var tier, listen, discovery, zone, file string
 	var calls, zones, classes, sets []string
@@ -18,14 +19,14 @@
 	var force bool
 	c := &cobra.Command{
 		Use:   "write APP",
-		Short: "Write a commented file for one application from a short description",
+		Short: "Write a commented operators' file for one application from a short description",
 		Long: `Write an operators' file for the application APP, with a comment on each key.
 
 A class is described as NAME,KEY=VALUE,... with the keys of [class.NAME]. With --listen and
---discovery the file says all that a sidecar needs; without them it is for use beside a
-platform's configuration. Where they are left out, connect_time, probe.time, and a class's
-attempts and retry_within are chosen so that they fit in the classes' times. What check would
-refuse is not written.`,
+--discovery the file has everything that a sidecar needs; without them it is for use with a
+platform's configuration. If connect_time, probe.time, or a class's attempts or retry_within are
+left out, they are chosen so that they fit in the classes' times. A file that check would refuse
+is not written.`,
 		Example: `  drumctl config write order-front --calls order-check \
       --listen 127.0.0.1:9000 --discovery 127.0.0.1:8500 \
       --class place-order,wanted=1540ms,deadline=3850ms,semantics=keyed,scope=all,repeat-window=10s`,
@@ -36,24 +37,24 @@
 			if tier == "" {
 				tier = args[0]
 			}
-			text := func(key, value string) {
+			stringValue := func(key, value string) {
 				if value != "" {
 					fmt.Fprintf(&b, "%s = %q\n", key, value)
 				}
 			}
-			list := func(key string, values []string) {
+			stringList := func(key string, values []string) {
 				if len(values) > 0 {
 					fmt.Fprintf(&b, "%s = [%s]\n", key, quoteAll(values))
 				}
 			}
-			text("tier", tier)
-			list("calls", calls)
-			text("listen", listen)
-			text("discovery", discovery)
+			stringValue("tier", tier)
+			stringList("calls", calls)
+			stringValue("listen", listen)
+			stringValue("discovery", discovery)
 			if zone != "" || len(zones) > 0 || sidecars > 0 || number > 0 {
 				b.WriteString("[fleet]\n")
-				text("zone", zone)
-				list("zones", zones)
+				stringValue("zone", zone)
+				stringList("zones", zones)
 				if sidecars > 0 {
 					fmt.Fprintf(&b, "sidecars = %d\n", sidecars)
 				}
@@ -61,26 +62,26 @@
 					fmt.Fprintf(&b, "number = %d\n", number)
 				}
 			}
-			more, err := settingsTOML(sets)
+			setTables, err := settingsTOML(sets)
 			if err != nil {
 				return err
 			}
-			b.WriteString(more)
-			parts := make([]string, len(classes))
+			b.WriteString(setTables)
+			classTables := make([]string, len(classes))
 			for i, class := range classes {
 				var err error
-				if parts[i], err = classTOML(class); err != nil {
+				if classTables[i], err = classTOML(class); err != nil {
 					return err
 				}
 			}
-			// What was left out is chosen by the times that the classes were given.
-			s, findings := config.ParseSettings("", []byte(b.String()+strings.Join(parts, "")))
+			// Values that were left out are chosen to fit the classes' times.
+			s, findings := config.ParseSettings("", []byte(b.String()+strings.Join(classTables, "")))
 			if len(findings) == 0 {
-				var chosen string
-				chosen, parts = fillClassDefaults(s, classes, parts)
-				b.WriteString(chosen)
+				var defaults string
+				defaults, classTables = fillClassDefaults(s, classes, classTables)
+				b.WriteString(defaults)
 			}
-			b.WriteString(strings.Join(parts, ""))
+			b.WriteString(strings.Join(classTables, ""))
 			if len(findings) == 0 {
 				s, findings = config.ParseSettings("", []byte(b.String()))
 			}
@@ -88,7 +89,7 @@
 				findings = check.Deployment([]check.File{{Text: []byte(b.String())}})
 			}
 			if config.HasRefusal(findings) {
-				for i := range findings { // lines of a text that nobody has seen
+				for i := range findings { // the user has not seen the generated text, so its lines mean nothing
 					findings[i].Position = config.Position{}
 				}
 				return printFindings(c.ErrOrStderr(), "text", 1, findings)
@@ -103,19 +104,20 @@
 	f := c.Flags()
 	f.StringVar(&tier, "tier", "", "the tier whose endpoints the sidecar sends to (default APP)")
 	f.StringSliceVar(&calls, "calls", nil, "the tiers that this tier's endpoints call")
-	f.StringVar(&listen, "listen", "", "where callers connect, HOST:PORT")
-	f.StringVar(&discovery, "discovery", "", "where discovery is, HOST:PORT")
-	f.StringVar(&zone, "zone", "", "the server room")
-	f.StringSliceVar(&zones, "zones", nil, "all server rooms")
-	f.IntVar(&sidecars, "sidecars", 0, "how many sidecars send to the tier")
-	f.IntVar(&number, "number", 0, "this sidecar's number among them, from 0")
-	f.StringArrayVar(&classes, "class", nil, "a class, as NAME,KEY=VALUE,...; once for each")
-	f.StringArrayVar(&sets, "set", nil, "a further key, as PART.KEY=VALUE; once for each. Parts: "+strings.Join(settableTables, ", "))
+	f.StringVar(&listen, "listen", "", "the address on which the sidecar serves callers, HOST:PORT")
+	f.StringVar(&discovery, "discovery", "", "the address of discovery, HOST:PORT")
+	f.StringVar(&zone, "zone", "", "the zone that the sidecar is in")
+	f.StringSliceVar(&zones, "zones", nil, "all zones")
+	f.IntVar(&sidecars, "sidecars", 0, "the number of sidecars that send to the tier")
+	f.IntVar(&number, "number", 0, "this sidecar's number among them, starting from 0")
+	f.StringArrayVar(&classes, "class", nil, "a class, as NAME,KEY=VALUE,...; repeat the flag for further classes")
+	f.StringArrayVar(&sets, "set", nil, "a further key, as PART.KEY=VALUE; repeat the flag for further keys. Parts: "+strings.Join(settableTables, ", "))
 	f.StringVarP(&file, "file", "f", "", "the file to write (default standard output)")
-	f.BoolVar(&force, "force", false, "replace the file")
+	f.BoolVar(&force, "force", false, "replace an existing file")
 	return c
 }
 
+// quoteAll returns the values in double quotes, separated by commas.
 func quoteAll(values []string) string {
 	quoted := make([]string, len(values))
 	for i, v := range values {
@@ -124,22 +126,23 @@
 	return strings.Join(quoted, ", ")
 }
 
-// settableTables are the parts whose keys --set takes: no other flag writes into them.
+// settableTables are the parts whose keys --set accepts. No other flag writes to these parts, so no
+// table is written twice.
 var settableTables = []string{"callers", "streams", "discovery", "shutdown", "limits"}
 
-// settingsTOML turns texts PART.KEY=VALUE into parts of TOML.
-func settingsTOML(sets []string) (string, error) {
-	parts := make(map[string]string)
-	for _, text := range sets {
-		path, value, ok := strings.Cut(text, "=")
-		part, _, dotted := strings.Cut(path, ".")
-		if !ok || !dotted || !slices.Contains(settableTables, part) {
-			return "", fmt.Errorf("--set %q: not PART.KEY=VALUE with a part of %s", text, strings.Join(settableTables, ", "))
+// settingsTOML converts assignments of the form PART.KEY=VALUE to TOML tables.
+func settingsTOML(assignments []string) (string, error) {
+	tables := make(map[string]string)
+	for _, assignment := range assignments {
+		path, value, ok := strings.Cut(assignment, "=")
+		table, _, dotted := strings.Cut(path, ".")
+		if !ok || !dotted || !slices.Contains(settableTables, table) {
+			return "", fmt.Errorf("--set %q: not PART.KEY=VALUE with one of the parts %s", assignment, strings.Join(settableTables, ", "))
 		}
 		keys := config.Keys()
 		i := slices.IndexFunc(keys, func(k config.Key) bool { return k.Path == path && !k.IsTable })
 		if i < 0 {
-			return "", fmt.Errorf("--set %q: there is no key %s; see drumctl config reference", text, path)
+			return "", fmt.Errorf("--set %q: unknown key %s; see drumctl config reference", assignment, path)
 		}
 		switch keys[i].Type {
 		case "a whole number", "a number", "true or false":
@@ -149,12 +152,12 @@
 				value = "[" + value + "]"
 			}
 		}
-		parts[part] += fmt.Sprintf("%s = %s\n", strings.TrimPrefix(path, part+"."), value)
+		tables[table] += fmt.Sprintf("%s = %s\n", strings.TrimPrefix(path, table+"."), value)
 	}
 	var b strings.Builder
-	for _, part := range settableTables {
-		if parts[part] != "" {
-			fmt.Fprintf(&b, "[%s]\n%s", part, parts[part])
+	for _, table := range settableTables {
+		if tables[table] != "" {
+			fmt.Fprintf(&b, "[%s]\n%s", table, tables[table])
 		}
 	}
 	return b.String(), nil
