--- a/cmd/drumctl/docs_test.go
+++ b/cmd/drumctl/docs_test.go
@@ -14,32 +14,34 @@
 	"barleydrum.example/barleydrum/internal/check"
 )
 
-// documentedCommands are the commands that a page shows, each on one line without its remark.
+// documentedCommands returns the commands that a page shows, with continued lines joined and without
+// comments.
 func documentedCommands(t *testing.T, page string) []string {
 	t.Helper()
 	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out []string
+	var found []string
 	for line := range strings.Lines(strings.ReplaceAll(string(text), "\\\n", " ")) {
-		line, shown := strings.CutPrefix(line, "    ")
+		line, isIndented := strings.CutPrefix(line, "    ")
 		line, _, _ = strings.Cut(strings.TrimSpace(line), "  #")
-		if shown && (strings.HasPrefix(line, "bin/") || strings.HasPrefix(line, "go run ")) {
-			out = append(out, strings.TrimSpace(line))
+		if isIndented && (strings.HasPrefix(line, "bin/") || strings.HasPrefix(line, "go run ")) {
+			found = append(found, strings.TrimSpace(line))
 		}
 	}
-	return out
+	return found
 }
 
-// What README and the operators' pages show works word for word, in their order. The first
-// command of the README was refused by the check that it shows next.
+// TestDocumentedCommandsSucceed guards against commands in the README and the operators' pages that do
+// not work as shown and in their order. The README's first command once wrote a file that the check
+// shown next refused.
 func TestDocumentedCommandsSucceed(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/operators/*.md")
 	if err != nil || len(pages) == 0 {
 		t.Fatal(pages, err)
 	}
-	ran := 0
+	commandCount := 0
 	for _, page := range append(pages, "../../README.md") {
 		shown := documentedCommands(t, page)
 		t.Run(filepath.Base(page), func(t *testing.T) {
@@ -47,19 +49,19 @@
 			writePageFiles(t)
 			for _, line := range shown {
 				args := strings.Fields(line)
-				for i := len(args) - 1; i >= 0; i-- { // as the shell does
+				for i := len(args) - 1; i >= 0; i-- { // expand patterns as a shell does
 					if names, _ := filepath.Glob(args[i]); strings.Contains(args[i], "*") {
 						args = slices.Replace(args, i, i+1, names...)
 					}
 				}
 				switch args[0] {
 				case "bin/drumctl":
-					ran++
+					commandCount++
 					if code, out, errs := runDrumctl(args[1:]...); code != 0 {
 						t.Errorf("%s: exits with %d: %s%s", line, code, out, errs)
 					}
 				case "bin/barleydrum":
-					ran++
+					commandCount++
 					f := readFiles(args[2:3])[0]
 					s, bad := check.ParseSettings(f)
 					if len(bad) == 0 {
@@ -68,7 +70,7 @@
 					if args[1] != "-settings" || len(bad) > 0 {
 						t.Errorf("%s: %v", line, bad)
 					}
-				case "go": // internal/lab has tests of its own
+				case "go": // internal/lab has its own tests
 					if args[2] != "./cmd/lab" {
 						t.Errorf("%s: is not tested", line)
 					}
@@ -78,13 +80,13 @@
 			}
 		})
 	}
-	if ran < 8 {
-		t.Errorf("%d commands ran: the pages show more", ran)
+	if commandCount < 8 {
+		t.Errorf("%d commands ran: the pages show more", commandCount)
 	}
 }
 
-// writePageFiles makes the files that pages take for there: two versions of a file, and a platform's
-// configuration.
+// writePageFiles writes the files that the pages refer to: two versions of an operators' file, and a
+// platform's configuration.
 func writePageFiles(t *testing.T) {
 	t.Helper()
 	for _, name := range []string{"old.toml", "new.toml"} {
@@ -103,13 +105,14 @@
 	}
 }
 
-// Whatever times a class is described with, what is left out is chosen so that the file passes.
+// TestWriteDefaultsPassCheck guards against chosen values that do not fit a class's times: for any
+// times in the description, config write must write a file that passes check.
 func TestWriteDefaultsPassCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var args []string
 		for i := range rapid.IntRange(1, 3).Draw(t, "classes") {
 			wanted := time.Duration(rapid.IntRange(10, 60_000).Draw(t, "wanted")) * time.Millisecond
-			deadline := wanted * time.Duration(rapid.IntRange(1, 4).Draw(t, "patience"))
+			deadline := wanted * time.Duration(rapid.IntRange(1, 4).Draw(t, "deadline multiple"))
 			class := fmt.Sprintf("c%d,wanted=%s,deadline=%s,semantics=", i, wanted, deadline)
 			switch rapid.IntRange(0, 2).Draw(t, "semantics") {
 			case 0:
@@ -122,8 +125,8 @@
 			}
 			args = append(args, "--class", class)
 		}
-		for _, where := range [][]string{nil, {"--listen", "127.0.0.1:9000", "--discovery", "127.0.0.1:8500"}} {
-			if code, _, errs := runDrumctl(append(append([]string{"config", "write", "x"}, args...), where...)...); code != 0 {
+		for _, addressFlags := range [][]string{nil, {"--listen", "127.0.0.1:9000", "--discovery", "127.0.0.1:8500"}} {
+			if code, _, errs := runDrumctl(append(append([]string{"config", "write", "x"}, args...), addressFlags...)...); code != 0 {
 				t.Fatalf("%s: %s", args, errs)
 			}
 		}
--- a/cmd/drumctl/main_test.go
+++ b/cmd/drumctl/main_test.go
@@ -10,14 +10,14 @@
 	"barleydrum.example/barleydrum/internal/check"
 )
 
-// runDrumctl runs a command line.
+// runDrumctl runs drumctl with args and returns its exit code and output.
 func runDrumctl(args ...string) (code int, out, errs string) {
-	var o, e strings.Builder
-	code = run(args, &o, &e)
-	return code, o.String(), e.String()
+	var stdout, stderr strings.Builder
+	code = run(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
-// applications are the descriptions of the three applications of the users' wish.
+// applications has the flags of config write that describe the operators' three applications.
 var applications = map[string][]string{
 	"order-front": {
 		"--calls", "order-check", "--listen", "127.0.0.1:9000", "--discovery", "127.0.0.1:8500", "--zone", "campus-east",
@@ -34,11 +34,11 @@
 	},
 }
 
-// A file is accepted as it is written, for each of the applications and for all together, and
-// reading it has the effect that was described.
+// TestWrittenFilesPassCheck guards against config write producing files that check refuses, alone or
+// together, or that have another effect than the description.
 func TestWrittenFilesPassCheck(t *testing.T) {
 	dir := t.TempDir()
-	all := []string{"config", "check"}
+	checkAll := []string{"config", "check"}
 	for app, flags := range applications {
 		name := filepath.Join(dir, app+".toml")
 		if code, _, errs := runDrumctl(append([]string{"config", "write", app, "--file", name}, flags...)...); code != 0 {
@@ -50,9 +50,9 @@
 		if code, out, _ := runDrumctl("config", "check", name); code != 0 || !strings.Contains(out, "0 refused, 0 warnings") {
 			t.Errorf("%s: %d %s", app, code, out)
 		}
-		all = append(all, name)
+		checkAll = append(checkAll, name)
 	}
-	if code, out, _ := runDrumctl(all...); code != 0 || !strings.HasPrefix(out, "3 checked: 0 refused") {
+	if code, out, _ := runDrumctl(checkAll...); code != 0 || !strings.HasPrefix(out, "3 checked: 0 refused") {
 		t.Errorf("together: %d %s", code, out)
 	}
 	_, out, _ := runDrumctl("config", "explain", filepath.Join(dir, "run-booking.toml"))
@@ -65,17 +65,17 @@
 		}
 	}
 	_, out, _ = runDrumctl("config", "explain", "--format", "json", filepath.Join(dir, "order-check.toml"))
-	var all2 []check.Explanation
-	if err := json.Unmarshal([]byte(out), &all2); err != nil || len(all2) != 1 || len(all2[0].Classes) != 1 {
+	var explanations []check.Explanation
+	if err := json.Unmarshal([]byte(out), &explanations); err != nil || len(explanations) != 1 || len(explanations[0].Classes) != 1 {
 		t.Fatalf("%v: %s", err, out)
 	}
-	if k := all2[0].Classes[0]; k.MaxAttempts != 4 || k.MaxRetries != 1 || k.Scope != "zone" || !k.Hedging || !strings.Contains(k.EligibleEndpoints, "endpoints of its zone") ||
+	if k := explanations[0].Classes[0]; k.MaxAttempts != 4 || k.MaxRetries != 1 || k.Scope != "zone" || !k.Hedging || !strings.Contains(k.EligibleEndpoints, "endpoints of its zone") ||
 		k.LatestAttemptStart.Milliseconds() != 1200 {
 		t.Errorf("%+v", k)
 	}
 }
 
-// What check would refuse is not written.
+// TestWriteRejectsInvalidClasses guards against config write producing a file that check refuses.
 func TestWriteRejectsInvalidClasses(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "x.toml")
 	for class, want := range map[string]string{
@@ -93,6 +93,8 @@
 	}
 }
 
+// TestExitCodes guards against scripts that mistake a refused configuration for a wrong command line,
+// or either for success.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	bad, good := filepath.Join(dir, "bad.toml"), filepath.Join(dir, "good.toml")
@@ -101,13 +103,13 @@
 			t.Fatal(err)
 		}
 	}
-	none := filepath.Join(dir, "none.toml")
+	missing := filepath.Join(dir, "none.toml")
 	for _, c := range []struct {
 		want int
 		args []string
 	}{
 		{0, []string{}}, {0, []string{"--help"}}, {0, []string{"config"}}, {0, []string{"completion", "bash"}},
-		{0, []string{"config", "check", good}}, {1, []string{"config", "check", bad}}, {1, []string{"config", "check", none}},
+		{0, []string{"config", "check", good}}, {1, []string{"config", "check", bad}}, {1, []string{"config", "check", missing}},
 		{1, []string{"config", "check", dir}}, {1, []string{"config", "check", good, bad}},
 		{0, []string{"config", "explain", good}}, {1, []string{"config", "explain", bad}},
 		{0, []string{"config", "diff", good, good}}, {1, []string{"config", "diff", good, bad}},
@@ -119,14 +121,15 @@
 			t.Errorf("%v: %d, want %d\n%s%s", c.args, code, c.want, out, errs)
 		}
 	}
-	code, out, _ := runDrumctl("config", "check", "--format", "json", bad, none)
-	var v checkReport
-	if err := json.Unmarshal([]byte(out), &v); err != nil || code != 1 || v.Files != 2 || v.Refused != 2 || v.Findings[0].Key != "application.nam" || v.Findings[0].Line != 3 {
+	code, out, _ := runDrumctl("config", "check", "--format", "json", bad, missing)
+	var report checkReport
+	if err := json.Unmarshal([]byte(out), &report); err != nil || code != 1 || report.Files != 2 || report.Refused != 2 || report.Findings[0].Key != "application.nam" || report.Findings[0].Line != 3 {
 		t.Errorf("%d %v %s", code, err, out)
 	}
 }
 
-// Diff tells of effect: units, order and comments make none.
+// TestDiffComparesEffect guards against differences that have no effect: units, order and comments
+// must not be shown.
 func TestDiffComparesEffect(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -146,20 +149,20 @@
 	if want := "class.a.retries: 1 -> 2 (at SIGHUP)\nclass.a.wanted: \"1s\" -> \"2s\" (at a restart)\n"; code != 1 || out != want {
 		t.Errorf("%d %s", code, out)
 	}
-	p := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "limits": {"sockets": 512},
+	platform := `{"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "limits": {"sockets": 512},
 "settings": {"classes": [{"name": "a", "goalTimeNs": 1000000, "hardLimitNs": 2000000, "semantics": "safe"}]}}`
-	j, k := write("j.json", p), write("k.json", strings.NewReplacer("512", "256", "safe", "unsafe", `"seed": "1"`, `"seed": "2"`).Replace(p))
-	_, out, _ = runDrumctl("config", "diff", j, k)
+	platformA, platformB := write("j.json", platform), write("k.json", strings.NewReplacer("512", "256", "safe", "unsafe", `"seed": "1"`, `"seed": "2"`).Replace(platform))
+	_, out, _ = runDrumctl("config", "diff", platformA, platformB)
 	if want := "Limits.Sockets: 512 -> 256 (at a restart)\nSettings.Classes[a].Semantics: (not set) -> unsafe (at a restart)\n"; out != want {
 		t.Errorf("%s", out)
 	}
-	if code, _, errs := runDrumctl("config", "diff", a, j); code != 2 || !strings.Contains(errs, "the other a platform") {
+	if code, _, errs := runDrumctl("config", "diff", a, platformA); code != 2 || !strings.Contains(errs, "the other a platform") {
 		t.Errorf("%d %s", code, errs)
 	}
 }
 
-// The reference page and the template are what the program's schema says. After a change to
-// the schema or the rules, write them anew as the pages tell.
+// TestReferencePagesAreUpToDate guards against a reference page or template that differs from the
+// schema and the rules. After a change to either, print both files anew with the commands below.
 func TestReferencePagesAreUpToDate(t *testing.T) {
 	for name, args := range map[string][]string{
 		"../../docs/operators/settings.md": {"config", "reference"}, "../../deploy/settings.toml": {"config", "reference", "--template"},
