--- a/cmd/drumctl/config.go
+++ b/cmd/drumctl/config.go
@@ -79,7 +79,7 @@
 An operators' file is checked together with every platform's configuration that sends to its
 tier, as barleydrum does when it starts. If there is none, the file is checked alone. All files
 together are checked for addresses that two listeners use, tiers that call each other in a
-circle, and wrong numbers of sidecars.`,
+circle, and sidecars whose count or numbers are wrong.`,
 		Example: "  drumctl config check order-front.toml\n  drumctl config check order-front.toml run/*.json",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/drumctl/docs_test.go
+++ b/cmd/drumctl/docs_test.go
@@ -34,8 +34,8 @@
 }
 
 // TestDocumentedCommandsSucceed guards against commands in the README and the operators' pages that do
-// not work as shown and in their order. The README's first command once wrote a file that the check
-// shown next refused.
+// not work as shown and in their order, such as a command that writes a file which the check shown
+// next refuses.
 func TestDocumentedCommandsSucceed(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/operators/*.md")
 	if err != nil || len(pages) == 0 {
--- a/internal/check/explain.go
+++ b/internal/check/explain.go
@@ -12,7 +12,7 @@
 
 // Explanation describes the worst case that a sidecar's configuration allows.
 type Explanation struct {
-	Files                  []string           `json:"files"` // the files that the sidecar runs with
+	Files                  []string           `json:"files"` // names of the files that the sidecar runs with
 	Application            string             `json:"application"`
 	Tier                   string             `json:"tier"`   // empty if no file names it
 	ListenAddresses        []string           `json:"listen"` // HOST:PORT each
--- a/internal/check/rules.go
+++ b/internal/check/rules.go
@@ -31,7 +31,7 @@
 var Rules = []Rule{
 	{config.RuleUnreadable, config.LevelRefused, validFile, "The file can't be read: it is missing, not a regular file, too long, or keeps changing while it is read.", "", "name a regular file, and replace it only by renaming a new one over it"},
 	{config.RuleSyntax, config.LevelRefused, validFile, "The file is not valid TOML or JSON.", "", ""},
-	{config.RuleUnknownKey, config.LevelRefused, validFile, "This version has no such key or part.", "", ""},
+	{config.RuleUnknownKey, config.LevelRefused, validFile, "The file has a key or part that this version of the program does not have.", "", ""},
 	{config.RuleWrongType, config.LevelRefused, validFile, "A value has the wrong type for its key.", "", ""},
 	{config.RuleDuplicate, config.LevelRefused, validFile, "A key, a part or an element of a list is given twice.", "", ""},
 	{config.RuleOutOfRange, config.LevelRefused, validFile, "A value is not among those allowed.", "", ""},
@@ -123,7 +123,7 @@
 		"one of them is meant for another sidecar", "leave the key out, or correct it"},
 	{"sidecar-number", config.LevelRefused, consistentDeployment, "A sidecar's number is out of range, or another sidecar has it.",
 		"sidecars with the same number send to the same endpoints", "number the sidecars from 0, and use each number once"},
-	{"zone-unknown", config.LevelRefused, consistentDeployment, "A zone is not in the list of zones.",
+	{"zone-unknown", config.LevelRefused, consistentDeployment, "A configuration names a zone that is not in the list of zones.",
 		"the sidecar would assume a wrong zone for itself or an endpoint", "name one of the zones"},
 	{"tier-unknown", config.LevelRefused, consistentDeployment, "A sidecar sends to a tier that is not in the list of tiers.",
 		"the endpoints of such a tier are unknown", "number the tiers from 0, in the order of settings.layers"},
--- a/internal/check/sidecar.go
+++ b/internal/check/sidecar.go
@@ -324,22 +324,22 @@
 		return
 	}
 	margin, connect, probe := c.settings.Callers.ResponseMargin, c.merged.ConnectTimeout(), c.settings.Probe.Timeout
-	margins := 2 * min(margin, k.TargetLatency/10)
+	bothMargins := 2 * min(margin, k.TargetLatency/10)
 	if margin > k.TargetLatency/10 {
 		c.warn("margin-over-tenth", "callers.answer_margin", show(margin), show(k.TargetLatency/10)+" at most for class "+k.Name)
 	}
 	switch {
 	case 2*margin >= k.TargetLatency && c.setsAny("callers.answer_margin"):
 		c.refuse("margin-past-wanted", "callers.answer_margin", show(margin), "under half of "+show(k.TargetLatency)+", the wanted time of class "+k.Name)
-	case connect+margins >= k.TargetLatency && (c.platform != nil && c.platform.BalancerConfig.Limits.ConnectTimeout > 0 || c.setsAny("endpoints.connect_time", prefix+".wanted")):
-		c.refuse("connect-past-wanted", "endpoints.connect_time", show(connect), "under "+show(k.TargetLatency-margins)+" for class "+k.Name)
-	case c.setsAttemptBound(prefix, "attempts") && c.maxAttempts(k) > 1 && connect*time.Duration(c.maxAttempts(k))+margins > k.TargetLatency:
+	case connect+bothMargins >= k.TargetLatency && (c.platform != nil && c.platform.BalancerConfig.Limits.ConnectTimeout > 0 || c.setsAny("endpoints.connect_time", prefix+".wanted")):
+		c.refuse("connect-past-wanted", "endpoints.connect_time", show(connect), "under "+show(k.TargetLatency-bothMargins)+" for class "+k.Name)
+	case c.setsAttemptBound(prefix, "attempts") && c.maxAttempts(k) > 1 && connect*time.Duration(c.maxAttempts(k))+bothMargins > k.TargetLatency:
 		key := prefix + ".attempts"
 		if !c.setsAny(key) {
 			key = "fleet.attempts"
 		}
 		c.refuse("attempts-past-wanted", key, fmt.Sprintf("%d attempts of %s", c.maxAttempts(k), show(connect)),
-			fmt.Sprintf("%s in all for class %s, which is enough for %d", show(k.TargetLatency-margins), k.Name, max((k.TargetLatency-margins)/connect, 1)))
+			fmt.Sprintf("%s in all for class %s, which is enough for %d", show(k.TargetLatency-bothMargins), k.Name, max((k.TargetLatency-bothMargins)/connect, 1)))
 	}
 	if probe >= k.TargetLatency && c.setsAny("probe.time", prefix+".wanted") {
 		c.refuse("probe-past-wanted", "probe.time", show(probe), "under "+show(k.TargetLatency)+", the wanted time of class "+k.Name)
@@ -524,7 +524,7 @@
 		}
 		c.refuse("descriptors", key, fmt.Sprintf("%d for callers, %d for endpoints, %d for files and %d in reserve", callers, endpoints, merged.MaxBodyFiles(), config.ReservedSockets),
 			fmt.Sprintf("%d in all", merged.Limits.Sockets))
-		return // the memory of so many connections doesn't matter
+		return // no memory check, because so many connections can't be opened
 	}
 	memoryBytes := float64(merged.Limits.MemoryMB) * (1 << 20)
 	bufferedBytes := float64(callers) * float64(s.Callers.MaxRequestHead+s.Callers.MaxRequestBody+s.Endpoints.MaxResponseBody)
