--- a/cmd/drumctl/docs_test.go
+++ b/cmd/drumctl/docs_test.go
@@ -14,53 +14,55 @@
 	"barleydrum.example/barleydrum/internal/check"
 )
 
-// commands are the commands that a page shows, each on one line without its remark.
-func commands(t *testing.T, page string) []string {
+// documentedCommands returns the commands that a page shows, with continued lines joined and without
+// comments.
+func documentedCommands(t *testing.T, page string) []string {
 	t.Helper()
 	text, err := os.ReadFile(page)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out []string
+	var found []string
 	for line := range strings.Lines(strings.ReplaceAll(string(text), "\\\n", " ")) {
-		line, shown := strings.CutPrefix(line, "    ")
+		line, isIndented := strings.CutPrefix(line, "    ")
 		line, _, _ = strings.Cut(strings.TrimSpace(line), "  #")
-		if shown && (strings.HasPrefix(line, "bin/") || strings.HasPrefix(line, "go run ")) {
-			out = append(out, strings.TrimSpace(line))
+		if isIndented && (strings.HasPrefix(line, "bin/") || strings.HasPrefix(line, "go run ")) {
+			found = append(found, strings.TrimSpace(line))
 		}
 	}
-	return out
+	return found
 }
 
-// What README and the operators' pages show works word for word, in their order. The first
-// command of the README was refused by the check that it shows next.
-func TestShownCommands(t *testing.T) {
+// TestDocumentedCommandsSucceed guards against commands in the README and the operators' pages that do
+// not work as shown and in their order, such as a command that writes a file which the check shown
+// next refuses.
+func TestDocumentedCommandsSucceed(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/operators/*.md")
 	if err != nil || len(pages) == 0 {
 		t.Fatal(pages, err)
 	}
-	ran := 0
+	commandCount := 0
 	for _, page := range append(pages, "../../README.md") {
-		shown := commands(t, page)
+		shown := documentedCommands(t, page)
 		t.Run(filepath.Base(page), func(t *testing.T) {
 			t.Chdir(t.TempDir())
-			prepare(t)
+			writePageFiles(t)
 			for _, line := range shown {
 				args := strings.Fields(line)
-				for i := len(args) - 1; i >= 0; i-- { // as the shell does
+				for i := len(args) - 1; i >= 0; i-- { // expand patterns as a shell does
 					if names, _ := filepath.Glob(args[i]); strings.Contains(args[i], "*") {
 						args = slices.Replace(args, i, i+1, names...)
 					}
 				}
 				switch args[0] {
 				case "bin/drumctl":
-					ran++
-					if code, out, errs := drumctl(args[1:]...); code != 0 {
+					commandCount++
+					if code, out, errs := runDrumctl(args[1:]...); code != 0 {
 						t.Errorf("%s: exits with %d: %s%s", line, code, out, errs)
 					}
 				case "bin/barleydrum":
-					ran++
-					f := read(args[2:3])[0]
+					commandCount++
+					f := readFiles(args[2:3])[0]
 					s, bad := check.ParseSettings(f)
 					if len(bad) == 0 {
 						_, bad = check.Sidecar(nil, "", s, f.Name)
@@ -68,7 +70,7 @@
 					if args[1] != "-settings" || len(bad) > 0 {
 						t.Errorf("%s: %v", line, bad)
 					}
-				case "go": // internal/lab has tests of its own
+				case "go": // internal/lab has its own tests
 					if args[2] != "./cmd/lab" {
 						t.Errorf("%s: is not tested", line)
 					}
@@ -78,17 +80,17 @@
 			}
 		})
 	}
-	if ran < 8 {
-		t.Errorf("%d commands ran: the pages show more", ran)
+	if commandCount < 8 {
+		t.Errorf("%d commands ran: the pages show more", commandCount)
 	}
 }
 
-// prepare makes the files that pages take for there: two versions of a file, and a platform's
-// configuration.
-func prepare(t *testing.T) {
+// writePageFiles writes the files that the pages refer to: two versions of an operators' file, and a
+// platform's configuration.
+func writePageFiles(t *testing.T) {
 	t.Helper()
 	for _, name := range []string{"old.toml", "new.toml"} {
-		if code, _, errs := drumctl(append([]string{"config", "write", "order-front", "--file", name}, apps["order-front"]...)...); code != 0 {
+		if code, _, errs := runDrumctl(append([]string{"config", "write", "order-front", "--file", name}, applications["order-front"]...)...); code != 0 {
 			t.Fatal(errs)
 		}
 	}
@@ -103,13 +105,14 @@
 	}
 }
 
-// Whatever times a class is described with, what is left out is chosen so that the file passes.
-func TestWriteChoosesDefaultsThatPass(t *testing.T) {
+// TestWriteDefaultsPassCheck guards against chosen values that do not fit a class's times: for any
+// times in the description, config write must write a file that passes check.
+func TestWriteDefaultsPassCheck(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var args []string
 		for i := range rapid.IntRange(1, 3).Draw(t, "classes") {
 			wanted := time.Duration(rapid.IntRange(10, 60_000).Draw(t, "wanted")) * time.Millisecond
-			deadline := wanted * time.Duration(rapid.IntRange(1, 4).Draw(t, "patience"))
+			deadline := wanted * time.Duration(rapid.IntRange(1, 4).Draw(t, "deadline multiple"))
 			class := fmt.Sprintf("c%d,wanted=%s,deadline=%s,semantics=", i, wanted, deadline)
 			switch rapid.IntRange(0, 2).Draw(t, "semantics") {
 			case 0:
@@ -122,8 +125,8 @@
 			}
 			args = append(args, "--class", class)
 		}
-		for _, where := range [][]string{nil, {"--listen", "127.0.0.1:9000", "--discovery", "127.0.0.1:8500"}} {
-			if code, _, errs := drumctl(append(append([]string{"config", "write", "x"}, args...), where...)...); code != 0 {
+		for _, addressFlags := range [][]string{nil, {"--listen", "127.0.0.1:9000", "--discovery", "127.0.0.1:8500"}} {
+			if code, _, errs := runDrumctl(append(append([]string{"config", "write", "x"}, args...), addressFlags...)...); code != 0 {
 				t.Fatalf("%s: %s", args, errs)
 			}
 		}
