--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -27,64 +27,64 @@
 
 // Body is the body of one request. One goroutine writes it, any number read it.
 type Body struct {
-	store *Store
-	l     Limits
-	lost  func()
-
-	mu        sync.Mutex
-	changed   sync.Cond
-	end       int64 // bytes that have been written
-	whole     bool
-	err       error // why it broke off
-	unread    error // why its file can't be read
-	told      bool  // lost was called for that
-	closed    bool
-	hadReader bool // it has had a reader
-	readers   []*Reader
-	trailers  []byte
+	store         *Store
+	limits        Limits
+	onUnavailable func()
+
+	mu              sync.Mutex
+	changed         sync.Cond
+	endOffset       int64 // bytes that have been written
+	complete        bool
+	err             error // why it broke off
+	readErr         error // why its file can't be read
+	readErrNotified bool  // lost was called for that
+	closed          bool
+	hadReader       bool // it has had a reader
+	readers         []*Reader
+	trailers        []byte
 
 	// What is held: memory from 0 on, and behind that the file. Once it is not kept there is no file.
-	retained         bool
-	retentionStopped bool // it was not kept because nobody wants it again
-	memory           run
-	taken            int64 // of Store.held.Memory
-	file             File
-	filed            int64
+	retained           bool
+	retentionStopped   bool // it was not kept because nobody wants it again
+	memory             segment
+	countedMemoryBytes int64 // of Store.held.Memory
+	file               File
+	fileBytes          int64
 
 	// What has come last, where it is in a file or not kept: the reader that is ahead has it from here.
-	recent run
-	room   []byte // what Room returned last
+	recent   segment
+	reserved []byte // what Room returned last
 }
 
-// run is a stretch of a body in memory.
-type run struct {
-	first  int64 // where it begins
-	blocks []*[BlockSize]byte
+// segment is a stretch of a body in memory.
+type segment struct {
+	startOffset int64 // where it begins
+	blocks      []*[BlockSize]byte
 }
 
-// tail is what is free behind the stretch, which ends at end.
-func (r *run) tail(end int64) []byte {
+// freeTail is what is free behind the stretch, which ends at end.
+func (r *segment) freeTail(end int64) []byte {
 	if len(r.blocks) == 0 {
 		return nil
 	}
-	return r.blocks[len(r.blocks)-1][BlockSize-(r.end()-end):]
+	return r.blocks[len(r.blocks)-1][BlockSize-(r.endOffset()-end):]
 }
 
-// end is where the last block ends.
-func (r *run) end() int64 { return r.first + int64(len(r.blocks))*BlockSize }
+// endOffset is where the last block ends.
+func (r *segment) endOffset() int64 { return r.startOffset + int64(len(r.blocks))*BlockSize }
 
-// at is what of one block begins at an offset, which is inside of the stretch. It ends at end.
-func (r *run) at(from, end int64) []byte {
-	i := from - r.first
+// blockAt is what of one block begins at an offset, which is inside of the stretch. It ends at end.
+func (r *segment) blockAt(from, end int64) []byte {
+	i := from - r.startOffset
 	return r.blocks[i/BlockSize][i%BlockSize : min(BlockSize, i%BlockSize+end-from)]
 }
 
 // New opens a body. lost is called, with nothing locked, as soon as a body that was kept is
 // found to be kept no longer. Close is owed.
 func (s *Store) New(l Limits, lost func()) *Body {
-	b := &Body{store: s, l: l, lost: lost, retained: true}
+	b := &Body{store: s, limits: l, onUnavailable: lost, retained: true}
 	b.changed.L = &b.mu
-	s.note(func(h *Stats) { h.OpenBodies++ })
+	s.updateStats(func(h *Stats) { h.OpenBodies++ })
 	return b
 }
 
@@ -92,7 +92,7 @@
 // tells how many are used. It fails once nobody wants the body any more.
 func (b *Body) Reserve(most int) ([]byte, error) {
 	b.mu.Lock()
-	for !b.closed && b.end-b.ahead() >= int64(b.l.WindowBytes) {
+	for !b.closed && b.endOffset-b.maxReadOffset() >= int64(b.limits.WindowBytes) {
 		b.changed.Wait()
 	}
 	if b.closed {
@@ -100,53 +100,53 @@
 		return nil, ErrClosed
 	}
 	was := b.retained
-	room := b.space()
+	room := b.allocate()
 	lost := was && !b.retained && !b.retentionStopped
-	room = room[:min(most, int(int64(b.l.WindowBytes)-(b.end-b.ahead())), len(room))]
-	b.room = room
+	room = room[:min(most, int(int64(b.limits.WindowBytes)-(b.endOffset-b.maxReadOffset())), len(room))]
+	b.reserved = room
 	b.mu.Unlock()
-	if lost && b.lost != nil {
-		b.lost()
+	if lost && b.onUnavailable != nil {
+		b.onUnavailable()
 	}
 	return room, nil
 }
 
-// space finds where the next bytes go. A body that finds none is kept no longer.
-func (b *Body) space() []byte {
+// allocate finds where the next bytes go. A body that finds none is kept no longer.
+func (b *Body) allocate() []byte {
 	if b.retained && b.retentionStopped {
-		b.lose()
+		b.discard()
 	}
 	if b.retained && b.file == nil {
-		if tail := b.memory.tail(b.end); len(tail) > 0 {
+		if tail := b.memory.freeTail(b.endOffset); len(tail) > 0 {
 			return tail
 		}
 		held := int64(len(b.memory.blocks)) * BlockSize
 		switch {
-		case held < int64(b.l.WindowBytes):
-			return b.grow(&b.memory)
-		case held+BlockSize <= b.l.MemoryBytes && b.store.take(&b.store.held.MemoryBytes, BlockSize, b.l.TotalMemoryBytes):
-			b.taken += BlockSize
-			return b.grow(&b.memory)
-		case b.l.FileBytes > 0:
-			if f, err := b.store.open(); err == nil {
+		case held < int64(b.limits.WindowBytes):
+			return b.appendBlock(&b.memory)
+		case held+BlockSize <= b.limits.MemoryBytes && b.store.addWithin(&b.store.stats.MemoryBytes, BlockSize, b.limits.TotalMemoryBytes):
+			b.countedMemoryBytes += BlockSize
+			return b.appendBlock(&b.memory)
+		case b.limits.FileBytes > 0:
+			if f, err := b.store.openFile(); err == nil {
 				b.file = f
-				b.recent.first = b.end
-				b.store.note(func(h *Stats) { h.OpenFiles++ })
+				b.recent.startOffset = b.endOffset
+				b.store.updateStats(func(h *Stats) { h.OpenFiles++ })
 			} else {
-				b.store.note(func(h *Stats) { h.FileErrors++ })
+				b.store.updateStats(func(h *Stats) { h.FileErrors++ })
 			}
 		}
 	}
-	left := b.l.FileBytes - b.filed
+	left := b.limits.FileBytes - b.fileBytes
 	if b.retained && (b.file == nil || left <= 0) {
-		b.lose()
+		b.discard()
 	}
-	if r := &b.recent; len(r.blocks) > 0 && len(b.readers) == 1 && b.readers[0].off == b.end {
-		r.blocks, r.first = r.blocks[:1], b.end // all has been read: begin again, to read as much as can be at once
+	if r := &b.recent; len(r.blocks) > 0 && len(b.readers) == 1 && b.readers[0].offset == b.endOffset {
+		r.blocks, r.startOffset = r.blocks[:1], b.endOffset // all has been read: begin again, to read as much as can be at once
 	}
-	room := b.recent.tail(b.end)
+	room := b.recent.freeTail(b.endOffset)
 	if len(room) == 0 {
-		room = b.grow(&b.recent)
+		room = b.appendBlock(&b.recent)
 	}
 	if b.file != nil && int64(len(room)) > left {
 		room = room[:left]
@@ -154,8 +154,8 @@
 	return room
 }
 
-func (b *Body) grow(r *run) []byte {
-	k := b.store.block()
+func (b *Body) appendBlock(r *segment) []byte {
+	k := b.store.getBlock()
 	r.blocks = append(r.blocks, k)
 	return k[:]
 }
@@ -169,15 +169,15 @@
 	}
 	lost := false
 	if b.file != nil {
-		lost = b.spill(b.room[:n])
+		lost = b.spill(b.reserved[:n])
 	} else {
-		b.end += int64(n)
+		b.endOffset += int64(n)
 	}
-	b.room = nil
+	b.reserved = nil
 	b.changed.Broadcast()
 	b.mu.Unlock()
-	if lost && b.lost != nil {
-		b.lost()
+	if lost && b.onUnavailable != nil {
+		b.onUnavailable()
 	}
 	return nil
 }
@@ -185,50 +185,50 @@
 // spill writes bytes to the file. If they don't all go in, the body is kept no longer; they are among
 // what has come last.
 func (b *Body) spill(p []byte) (lost bool) {
-	from := b.end
-	b.end += int64(len(p))
-	if b.store.take(&b.store.held.FileBytes, int64(len(p)), b.l.TotalFileBytes) {
-		b.filed += int64(len(p))
-		if n, err := b.file.WriteAt(p, from-b.memory.end()); err == nil && n == len(p) {
+	from := b.endOffset
+	b.endOffset += int64(len(p))
+	if b.store.addWithin(&b.store.stats.FileBytes, int64(len(p)), b.limits.TotalFileBytes) {
+		b.fileBytes += int64(len(p))
+		if n, err := b.file.WriteAt(p, from-b.memory.endOffset()); err == nil && n == len(p) {
 			return false
 		}
-		b.store.note(func(h *Stats) { h.FileErrors++ })
+		b.store.updateStats(func(h *Stats) { h.FileErrors++ })
 	}
-	b.lose()
+	b.discard()
 	return true
 }
 
-// lose keeps the body no longer: the reader that is ahead goes on from what has come last, the rest
+// discard keeps the body no longer: the reader that is ahead goes on from what has come last, the rest
 // is dropped, and whoever is farther behind is told.
-func (b *Body) lose() {
+func (b *Body) discard() {
 	if b.file == nil { // what has come last is at the end of memory
-		b.recent, b.memory = b.memory, run{}
-		b.pass(len(b.readers) == 1)
+		b.recent, b.memory = b.memory, segment{}
+		b.trimRecent(len(b.readers) == 1)
 	}
 	b.retained = false
 	if !b.retentionStopped {
-		b.store.note(func(h *Stats) { h.DiscardedBodies++ })
+		b.store.updateStats(func(h *Stats) { h.DiscardedBodies++ })
 	}
 	b.memory.blocks = nil // not to the pool: a reader may be looking at one
-	b.drop()
+	b.releaseStorage()
 }
 
-// pass drops what of the last bytes the reader that is ahead has passed.
-func (b *Body) pass(again bool) {
-	for len(b.recent.blocks) > 0 && b.ahead()-b.recent.first >= BlockSize {
+// trimRecent drops what of the last bytes the reader that is ahead has passed.
+func (b *Body) trimRecent(again bool) {
+	for len(b.recent.blocks) > 0 && b.maxReadOffset()-b.recent.startOffset >= BlockSize {
 		if again {
 			b.store.blocks.Put(b.recent.blocks[0])
 		}
 		b.recent.blocks = slices.Delete(b.recent.blocks, 0, 1)
-		b.recent.first += BlockSize
+		b.recent.startOffset += BlockSize
 	}
 }
 
-// drop gives back what is counted: memory beyond the window, and the file.
-func (b *Body) drop() {
-	file, taken, filed := b.file, b.taken, b.filed
-	b.file, b.taken, b.filed = nil, 0, 0
-	b.store.note(func(h *Stats) {
+// releaseStorage gives back what is counted: memory beyond the window, and the file.
+func (b *Body) releaseStorage() {
+	file, taken, filed := b.file, b.countedMemoryBytes, b.fileBytes
+	b.file, b.countedMemoryBytes, b.fileBytes = nil, 0, 0
+	b.store.updateStats(func(h *Stats) {
 		h.MemoryBytes -= taken
 		h.FileBytes -= filed
 		if file != nil {
@@ -240,11 +240,11 @@
 	}
 }
 
-// ahead is how far the reader has come that is ahead.
-func (b *Body) ahead() int64 {
+// maxReadOffset is how far the reader has come that is ahead.
+func (b *Body) maxReadOffset() int64 {
 	most := int64(0)
 	for _, r := range b.readers {
-		most = max(most, r.off)
+		most = max(most, r.offset)
 	}
 	return most
 }
@@ -253,7 +253,7 @@
 func (b *Body) Complete(trailers []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.whole, b.trailers = true, trailers
+	b.complete, b.trailers = true, trailers
 	b.changed.Broadcast()
 }
 
@@ -265,7 +265,7 @@
 }
 
 func (b *Body) fail(err error) {
-	if b.err == nil && !b.whole {
+	if b.err == nil && !b.complete {
 		b.err = err
 	}
 	b.changed.Broadcast()
@@ -279,8 +279,8 @@
 		return
 	}
 	b.retentionStopped = true
-	if b.room == nil && b.end-b.ahead() <= int64(b.l.WindowBytes) { // else as the next bytes come, or at the end
-		b.lose()
+	if b.reserved == nil && b.endOffset-b.maxReadOffset() <= int64(b.limits.WindowBytes) { // else as the next bytes come, or at the end
+		b.discard()
 		b.changed.Broadcast()
 	}
 }
@@ -293,8 +293,8 @@
 		return
 	}
 	b.closed, b.retained, b.memory.blocks, b.recent.blocks = true, false, nil, nil
-	b.drop()
-	b.store.note(func(h *Stats) { h.OpenBodies-- })
+	b.releaseStorage()
+	b.store.updateStats(func(h *Stats) { h.OpenBodies-- })
 	b.changed.Broadcast()
 }
 
@@ -305,7 +305,7 @@
 	switch {
 	case !b.retained || b.err != nil:
 		return Unavailable
-	case b.whole:
+	case b.complete:
 		return Retained
 	}
 	return Receiving
@@ -323,8 +323,8 @@
 
 // Reader reads a body from its begin, at its own pace. One goroutine uses it, but for Stop.
 type Reader struct {
-	b       *Body
-	off     int64
+	body    *Body
+	offset  int64
 	stopped atomic.Bool
 	buf     *[BlockSize]byte // for what is in the file
 }
@@ -342,7 +342,7 @@
 	case !b.retained:
 		return nil, ErrDiscarded
 	}
-	r := &Reader{b: b}
+	r := &Reader{body: b}
 	b.readers = append(b.readers, r)
 	b.hadReader = true
 	b.changed.Broadcast()
@@ -352,20 +352,20 @@
 // Next waits for more of the body and returns it, io.EOF at its end. What it returns is valid
 // until Advance.
 func (r *Reader) Next() ([]byte, error) {
-	b := r.b
+	b := r.body
 	b.mu.Lock()
 	p, err := r.next()
-	lost := err != nil && err == b.unread && !b.told
-	b.told = b.told || lost
+	lost := err != nil && err == b.readErr && !b.readErrNotified
+	b.readErrNotified = b.readErrNotified || lost
 	b.mu.Unlock()
-	if lost && b.lost != nil {
-		b.lost()
+	if lost && b.onUnavailable != nil {
+		b.onUnavailable()
 	}
 	return p, err
 }
 
 func (r *Reader) next() ([]byte, error) {
-	b := r.b
+	b := r.body
 	for {
 		switch {
 		case r.stopped.Load():
@@ -374,35 +374,35 @@
 			return nil, ErrClosed
 		case b.err != nil:
 			return nil, b.err
-		case r.off < b.end:
-			return b.read(r)
-		case b.whole:
+		case r.offset < b.endOffset:
+			return b.dataFor(r)
+		case b.complete:
 			return nil, io.EOF
 		}
 		b.changed.Wait()
 	}
 }
 
-// read returns what is there of the body for a reader.
-func (b *Body) read(r *Reader) ([]byte, error) {
+// dataFor returns what is there of the body for a reader.
+func (b *Body) dataFor(r *Reader) ([]byte, error) {
 	recent := b.file != nil || !b.retained
 	switch {
-	case recent && r.off >= b.recent.first:
-		return b.recent.at(r.off, b.end), nil
+	case recent && r.offset >= b.recent.startOffset:
+		return b.recent.blockAt(r.offset, b.endOffset), nil
 	case !b.retained: // another was ahead
 		return nil, ErrDiscarded
 	case b.file == nil:
-		return b.memory.at(r.off, b.end), nil
-	case r.off < b.memory.end():
-		return b.memory.at(r.off, b.memory.end()), nil
+		return b.memory.blockAt(r.offset, b.endOffset), nil
+	case r.offset < b.memory.endOffset():
+		return b.memory.blockAt(r.offset, b.memory.endOffset()), nil
 	}
 	if r.buf == nil {
-		r.buf = b.store.block()
+		r.buf = b.store.getBlock()
 	}
-	p := r.buf[:min(BlockSize, b.recent.first-r.off)]
-	if _, err := b.file.ReadAt(p, r.off-b.memory.end()); err != nil {
-		b.store.note(func(h *Stats) { h.FileErrors++ })
-		b.err, b.unread = err, err // also where it is whole: what can't be read again is not kept
+	p := r.buf[:min(BlockSize, b.recent.startOffset-r.offset)]
+	if _, err := b.file.ReadAt(p, r.offset-b.memory.endOffset()); err != nil {
+		b.store.updateStats(func(h *Stats) { h.FileErrors++ })
+		b.err, b.readErr = err, err // also where it is whole: what can't be read again is not kept
 		b.changed.Broadcast()
 		return nil, err
 	}
@@ -411,28 +411,28 @@
 
 // Advance passes over n bytes of what Next returned.
 func (r *Reader) Advance(n int) {
-	b := r.b
+	b := r.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r.off += int64(n)
+	r.offset += int64(n)
 	if !b.closed && (b.file != nil || !b.retained) {
-		b.pass(len(b.readers) == 1) // else another may be looking at it
+		b.trimRecent(len(b.readers) == 1) // else another may be looking at it
 	}
 	b.changed.Broadcast()
 }
 
 // Trailers are those of a body that has been read to its end.
 func (r *Reader) Trailers() []byte {
-	r.b.mu.Lock()
-	defer r.b.mu.Unlock()
-	return r.b.trailers
+	r.body.mu.Lock()
+	defer r.body.mu.Unlock()
+	return r.body.trailers
 }
 
 // Stop has Next return ErrStopped. It does not wait, also where the body is being written to a disk
 // that is slow: whoever calls it may hold up everybody else.
 func (r *Reader) Stop() {
 	r.stopped.Store(true)
-	if b := r.b; b.mu.TryLock() {
+	if b := r.body; b.mu.TryLock() {
 		b.changed.Broadcast()
 		b.mu.Unlock()
 	} else {
@@ -446,7 +446,7 @@
 
 // Close ends reading.
 func (r *Reader) Close() {
-	b := r.b
+	b := r.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.readers = slices.DeleteFunc(b.readers, func(x *Reader) bool { return x == r })
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -14,49 +14,49 @@
 	"pgregory.net/rapid"
 )
 
-// disk is a file that fails as it is told to.
-type disk struct {
-	data     []byte
-	full     error // of writes, once room is used up
-	room     int
-	short    bool // a write that does not fit comes up short without an error
-	unread   error
-	closed   bool
-	unclosed *int
+// faultyFile is a file that fails as it is told to.
+type faultyFile struct {
+	data             []byte
+	writeErr         error // of writes, once room is used up
+	capacity         int
+	silentShortWrite bool // a write that does not fit comes up short without an error
+	readErr          error
+	closed           bool
+	openFiles        *int
 }
 
-func (d *disk) WriteAt(p []byte, off int64) (int, error) {
-	n := min(len(p), max(d.room-int(off), 0))
+func (d *faultyFile) WriteAt(p []byte, off int64) (int, error) {
+	n := min(len(p), max(d.capacity-int(off), 0))
 	d.data = append(d.data[:off], p[:n]...)
-	if n < len(p) && !d.short {
-		return n, d.full
+	if n < len(p) && !d.silentShortWrite {
+		return n, d.writeErr
 	}
 	return n, nil
 }
 
-func (d *disk) ReadAt(p []byte, off int64) (int, error) {
-	if d.unread != nil {
-		return 0, d.unread
+func (d *faultyFile) ReadAt(p []byte, off int64) (int, error) {
+	if d.readErr != nil {
+		return 0, d.readErr
 	}
 	return copy(p, d.data[off:]), nil
 }
 
-func (d *disk) Close() error {
+func (d *faultyFile) Close() error {
 	if !d.closed {
 		d.closed = true
-		*d.unclosed--
+		*d.openFiles--
 	}
 	return nil
 }
 
-func text(n int) []byte {
+func randomBytes(n int) []byte {
 	p := make([]byte, n)
 	rand.NewChaCha8([32]byte{byte(n), byte(n >> 8)}).Read(p)
 	return p
 }
 
-// write writes all of a body, as fast as it is taken.
-func write(b *Body, p []byte) error {
+// writeBody writes all of a body, as fast as it is taken.
+func writeBody(b *Body, p []byte) error {
 	for len(p) > 0 {
 		room, err := b.Reserve(len(p))
 		if err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func read(r *Reader) ([]byte, error) {
+func readBody(r *Reader) ([]byte, error) {
 	var out []byte
 	for {
 		p, err := r.Next()
@@ -89,10 +89,10 @@
 
 // A body that goes through memory and a file comes out of each as it went in, again and again,
 // and leaves nothing: no file, no name in the folder.
-func TestReplay(t *testing.T) {
+func TestReadersReadRetainedBodyRepeatedly(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir)
-	want := text(300_000)
+	want := randomBytes(300_000)
 	b := s.New(Limits{WindowBytes: BlockSize, MemoryBytes: 4 * BlockSize, TotalMemoryBytes: 1 << 20, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { t.Error("lost") })
 	r, err := b.Reader()
 	if err != nil {
@@ -102,11 +102,11 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		if err := write(b, want); err != nil {
+		if err := writeBody(b, want); err != nil {
 			t.Error(err)
 		}
 	}()
-	first, err := read(r)
+	first, err := readBody(r)
 	wg.Wait()
 	if err != nil || sha256.Sum256(first) != sha256.Sum256(want) || string(r.Trailers()) != "A: b\r\n" {
 		t.Errorf("first: %v, %d bytes, %q", err, len(first), r.Trailers())
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, r := range again {
-		if got, err := read(r); err != nil || !bytes.Equal(got, want) {
+		if got, err := readBody(r); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("again: %v, %d bytes", err, len(got))
 		}
 	}
@@ -141,19 +141,19 @@
 
 // The disk fails in every way while a body is kept there: the attempt that is out gets the
 // whole of it all the same, no other is let begin, and the file goes at once.
-func TestDiskFails(t *testing.T) {
-	for name, d := range map[string]disk{
-		"ENOSPC": {full: syscall.ENOSPC, room: 50_000}, "EDQUOT": {full: syscall.EDQUOT, room: 50_000},
-		"short": {short: true, room: 50_001}, "at once": {full: syscall.EIO}, "no file": {room: -1},
+func TestWriteFailureMakesBodyUnavailable(t *testing.T) {
+	for name, d := range map[string]faultyFile{
+		"ENOSPC": {writeErr: syscall.ENOSPC, capacity: 50_000}, "EDQUOT": {writeErr: syscall.EDQUOT, capacity: 50_000},
+		"short": {silentShortWrite: true, capacity: 50_001}, "at once": {writeErr: syscall.EIO}, "no file": {capacity: -1},
 	} {
 		open := 0
 		s := NewStoreWithFileOpener(func() (File, error) {
-			if d.room < 0 {
+			if d.capacity < 0 {
 				return nil, syscall.EMFILE
 			}
 			open++
 			f := d
-			f.unclosed = &open
+			f.openFiles = &open
 			return &f, nil
 		})
 		lost := 0
@@ -162,9 +162,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := text(200_000)
-		go write(b, want)
-		got, err := read(r)
+		want := randomBytes(200_000)
+		go writeBody(b, want)
+		got, err := readBody(r)
 		if err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%s: %v, %d bytes", name, err, len(got))
 		}
@@ -179,24 +179,24 @@
 }
 
 // A file that can't be read again fails its reader, and the body is not kept any more.
-func TestUnreadable(t *testing.T) {
-	d := &disk{room: 1 << 20, unclosed: new(int)}
+func TestReadFailureMakesBodyUnavailable(t *testing.T) {
+	d := &faultyFile{capacity: 1 << 20, openFiles: new(int)}
 	s := NewStoreWithFileOpener(func() (File, error) { return d, nil })
 	lost := 0
 	b := s.New(Limits{WindowBytes: BlockSize, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { lost++ })
 	r, _ := b.Reader()
-	go write(b, text(100_000))
-	if _, err := read(r); err != nil {
+	go writeBody(b, randomBytes(100_000))
+	if _, err := readBody(r); err != nil {
 		t.Fatal(err)
 	}
 	r.Close()
-	d.unread = syscall.EIO
+	d.readErr = syscall.EIO
 	again, err := b.Reader()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := read(again); !errors.Is(err, syscall.EIO) || b.State() != Unavailable || lost != 1 {
+		if _, err := readBody(again); !errors.Is(err, syscall.EIO) || b.State() != Unavailable || lost != 1 {
 			t.Errorf("%v, state %d, told %d times", err, b.State(), lost)
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // Whoever waits for the other side is woken as the body ends.
-func TestNobodyWaitsForEver(t *testing.T) {
+func TestEndOfBodyWakesWaiters(t *testing.T) {
 	s := NewStore(t.TempDir())
 	for name, end := range map[string]func(b *Body, r *Reader){
 		"close": func(b *Body, _ *Reader) { b.Close() },
@@ -228,7 +228,7 @@
 		wg.Add(2)
 		go func() {
 			defer wg.Done()
-			if err := write(b, text(5*BlockSize)); err != ErrClosed {
+			if err := writeBody(b, randomBytes(5*BlockSize)); err != ErrClosed {
 				t.Errorf("%s: the writer got %v", name, err)
 			}
 		}()
@@ -246,35 +246,35 @@
 	}
 }
 
-// stuck is a file on a disk that takes its time.
-type stuck struct {
+// blockingFile is a file on a disk that takes its time.
+type blockingFile struct {
 	File
-	began, let chan struct{}
-	once       *sync.Once
+	writeStarted, unblock chan struct{}
+	once                  *sync.Once
 }
 
-func (s stuck) WriteAt(p []byte, off int64) (int, error) {
-	s.once.Do(func() { close(s.began) })
-	<-s.let
+func (s blockingFile) WriteAt(p []byte, off int64) (int, error) {
+	s.once.Do(func() { close(s.writeStarted) })
+	<-s.unblock
 	return len(p), nil
 }
 
 // A disk that hangs holds up nobody but its own body's readers: one is stopped all the same by
 // whoever must not wait, and is told once the disk is back.
-func TestSlowDisk(t *testing.T) {
-	d := stuck{&disk{unclosed: new(int)}, make(chan struct{}), make(chan struct{}), new(sync.Once)}
+func TestReaderStopDoesNotWaitForFileWrite(t *testing.T) {
+	d := blockingFile{&faultyFile{openFiles: new(int)}, make(chan struct{}), make(chan struct{}), new(sync.Once)}
 	s := NewStoreWithFileOpener(func() (File, error) { return d, nil })
 	b := s.New(Limits{WindowBytes: BlockSize, FileBytes: BlockSize, TotalFileBytes: BlockSize}, nil)
 	r, _ := b.Reader()
-	go write(b, text(3*BlockSize))
+	go writeBody(b, randomBytes(3*BlockSize))
 	go func() {
 		for p, err := r.Next(); err == nil; p, err = r.Next() {
 			r.Advance(len(p))
 		}
 	}()
-	<-d.began
+	<-d.writeStarted
 	r.Stop() // would never return if it waited: the test times out
-	close(d.let)
+	close(d.unblock)
 	if _, err := r.Next(); err != ErrStopped {
 		t.Errorf("%v", err)
 	}
@@ -283,7 +283,7 @@
 
 // What all together keep stays within its bound: who comes too late is not kept, and passes on
 // all the same.
-func TestBoundOfAll(t *testing.T) {
+func TestTotalLimitsHold(t *testing.T) {
 	s := NewStore(t.TempDir())
 	l := Limits{WindowBytes: BlockSize, MemoryBytes: 8 * BlockSize, TotalMemoryBytes: 4 * BlockSize, FileBytes: 8 * BlockSize, TotalFileBytes: 4 * BlockSize}
 	var open []*Body
@@ -291,9 +291,9 @@
 	for range 10 {
 		b := s.New(l, nil)
 		r, _ := b.Reader()
-		want := text(7 * BlockSize)
-		go write(b, want)
-		if got, err := read(r); err != nil || !bytes.Equal(got, want) {
+		want := randomBytes(7 * BlockSize)
+		go writeBody(b, want)
+		if got, err := readBody(r); err != nil || !bytes.Equal(got, want) {
 			t.Fatal(err)
 		}
 		states[b.State()]++
@@ -315,7 +315,7 @@
 
 // A random life of bodies against a plain model: each reader reads what was written, in order,
 // or is told that it can't; a reader is let begin only while all is kept; nothing is left.
-func TestModel(t *testing.T) {
+func TestBodiesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		open := 0
 		s := NewStoreWithFileOpener(func() (File, error) {
@@ -323,8 +323,8 @@
 				return nil, syscall.EMFILE
 			}
 			open++
-			return &disk{unclosed: &open, full: syscall.ENOSPC, room: rapid.IntRange(0, 8*BlockSize).Draw(t, "room"),
-				short: rapid.Bool().Draw(t, "short")}, nil
+			return &faultyFile{openFiles: &open, writeErr: syscall.ENOSPC, capacity: rapid.IntRange(0, 8*BlockSize).Draw(t, "room"),
+				silentShortWrite: rapid.Bool().Draw(t, "short")}, nil
 		})
 		l := Limits{
 			WindowBytes: rapid.IntRange(1, 3*BlockSize).Draw(t, "window"), MemoryBytes: rapid.Int64Range(0, 6*BlockSize).Draw(t, "memory"),
@@ -366,7 +366,7 @@
 				o := pick(t)
 				ahead := int64(0)
 				for _, r := range o.readers {
-					ahead = max(ahead, r.off)
+					ahead = max(ahead, r.offset)
 				}
 				if o.whole || int64(len(o.written))-ahead >= int64(l.WindowBytes) {
 					t.Skip("it would wait")
@@ -375,7 +375,7 @@
 				if err != nil {
 					t.Skip("broken")
 				}
-				n := copy(room, text(len(room)))
+				n := copy(room, randomBytes(len(room)))
 				o.written = append(o.written, room[:n]...)
 				o.b.Commit(n)
 			},
@@ -397,19 +397,19 @@
 			},
 			"read": func(t *rapid.T) {
 				p := reader(t)
-				if p.r.off == int64(len(p.o.written)) && !p.o.whole {
+				if p.r.offset == int64(len(p.o.written)) && !p.o.whole {
 					t.Skip("it would wait")
 				}
 				got, err := p.r.Next()
 				if err != nil {
-					if len(got) > 0 || err == io.EOF && p.r.off != int64(len(p.o.written)) {
-						t.Fatalf("%v at %d of %d", err, p.r.off, len(p.o.written))
+					if len(got) > 0 || err == io.EOF && p.r.offset != int64(len(p.o.written)) {
+						t.Fatalf("%v at %d of %d", err, p.r.offset, len(p.o.written))
 					}
 					return
 				}
 				n := rapid.IntRange(0, len(got)).Draw(t, "n")
-				if !bytes.Equal(got, p.o.written[p.r.off:][:len(got)]) {
-					t.Fatalf("at %d of %d something else", p.r.off, len(p.o.written))
+				if !bytes.Equal(got, p.o.written[p.r.offset:][:len(got)]) {
+					t.Fatalf("at %d of %d something else", p.r.offset, len(p.o.written))
 				}
 				p.r.Advance(n)
 			},
@@ -443,8 +443,8 @@
 					if o.lost > 1 {
 						t.Fatalf("told %d times", o.lost)
 					}
-					if held := int64(len(o.b.memory.blocks)+len(o.b.recent.blocks)) * BlockSize; held > l.MaxBufferBytes()+o.b.taken {
-						t.Fatalf("%d bytes held, %d bound", held, l.MaxBufferBytes()+o.b.taken)
+					if held := int64(len(o.b.memory.blocks)+len(o.b.recent.blocks)) * BlockSize; held > l.MaxBufferBytes()+o.b.countedMemoryBytes {
+						t.Fatalf("%d bytes held, %d bound", held, l.MaxBufferBytes()+o.b.countedMemoryBytes)
 					}
 				}
 			},
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -49,10 +49,10 @@
 
 // Store holds the bodies of one program within their bounds together.
 type Store struct {
-	open func() (File, error)
+	openFile func() (File, error)
 
 	mu     sync.Mutex
-	held   Stats
+	stats  Stats
 	blocks sync.Pool // of *[Block]byte
 }
 
@@ -69,15 +69,15 @@
 // NewStore returns a store whose files are in a folder. They have no name there, or lose it at
 // once, so that nothing is left behind however the program ends.
 func NewStore(dir string) *Store {
-	return NewStoreWithFileOpener(func() (File, error) { return nameless(dir) })
+	return NewStoreWithFileOpener(func() (File, error) { return openUnnamed(dir) })
 }
 
 // NewStoreWithFileOpener returns a store whose files are those that open returns.
-func NewStoreWithFileOpener(open func() (File, error)) *Store { return &Store{open: open} }
+func NewStoreWithFileOpener(open func() (File, error)) *Store { return &Store{openFile: open} }
 
-// nameless opens a file without a name. Where the file system has no such thing (open(2),
+// openUnnamed opens a file without a name. Where the file system has no such thing (open(2),
 // O_TMPFILE), the name is removed as soon as the file is there.
-func nameless(dir string) (File, error) {
+func openUnnamed(dir string) (File, error) {
 	if fd, err := unix.Open(dir, unix.O_TMPFILE|unix.O_RDWR|unix.O_CLOEXEC, 0o600); err == nil {
 		return os.NewFile(uintptr(fd), dir), nil
 	}
@@ -95,18 +95,18 @@
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.stats
 }
 
-// note changes what the store holds.
-func (s *Store) note(f func(h *Stats)) {
+// updateStats changes what the store holds.
+func (s *Store) updateStats(f func(h *Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.held)
+	f(&s.stats)
 }
 
-// take adds bytes to one of the figures in held, unless it would be over the most.
-func (s *Store) take(of *int64, n, most int64) bool {
+// addWithin adds bytes to one of the figures in held, unless it would be over the most.
+func (s *Store) addWithin(of *int64, n, most int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *of+n > most {
@@ -116,7 +116,7 @@
 	return true
 }
 
-func (s *Store) block() *[BlockSize]byte {
+func (s *Store) getBlock() *[BlockSize]byte {
 	if b, ok := s.blocks.Get().(*[BlockSize]byte); ok {
 		return b
 	}
