--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -63,8 +63,8 @@
 }
 
 type completion struct {
-	attempt int
-	at      time.Duration
+	attempt     int
+	completedAt time.Duration
 }
 
 // Reset makes the gate that of a new request.
@@ -83,7 +83,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range g.completions {
-		if p.attempt != attempt && g.window > 0 && now-p.at >= g.window {
+		if p.attempt != attempt && g.window > 0 && now-p.completedAt >= g.window {
 			return false
 		}
 	}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,85 +13,85 @@
 	"barleydrum.example/barleydrum/internal/body"
 )
 
-// world plays a request against the module: probes find their endpoints idle at once, timers ring
+// harness plays a request against the module: probes find their endpoints idle at once, timers ring
 // in their order, and whatever it says of the request is noted.
-type world struct {
-	t      *testing.T
-	b      *balance.Balancer
-	now    time.Duration
-	timers []struct {
+type harness struct {
+	t        *testing.T
+	balancer *balance.Balancer
+	now      time.Duration
+	timers   []struct {
 		at time.Duration
 		t  balance.Timer
 	}
-	sent   []balance.EndpointID
-	final  string
-	probes bool // are answered
+	sentTo        []balance.EndpointID
+	outcome       string
+	answersProbes bool // are answered
 }
 
 const (
-	wanted = 10 * time.Second
-	window = 3 * time.Second // over the hedge's time, under what is wanted
+	targetLatency = 10 * time.Second
+	repeatWindow  = 3 * time.Second // over the hedge's time, under what is wanted
 )
 
-func newWorld(t *testing.T, s balance.Semantics, scope balance.Scope, inScope bool) *world {
-	w := &world{t: t, now: time.Hour, probes: true}
-	k := balance.Class{Name: "k", TargetLatency: wanted, Deadline: wanted, Value: 1, Semantics: s, Scope: scope}
+func newHarness(t *testing.T, s balance.Semantics, scope balance.Scope, inScope bool) *harness {
+	w := &harness{t: t, now: time.Hour, answersProbes: true}
+	k := balance.Class{Name: "k", TargetLatency: targetLatency, Deadline: targetLatency, Value: 1, Semantics: s, Scope: scope}
 	if s == balance.Keyed {
-		if k.RepeatWindow = window; !inScope {
+		if k.RepeatWindow = repeatWindow; !inScope {
 			k.RepeatWindow = time.Millisecond
 		}
 	}
 	var err error
-	w.b, err = balance.New(balance.Config{
+	w.balancer, err = balance.New(balance.Config{
 		SidecarCount: 1, Classes: []balance.Class{k}, Reporting: balance.ReportsInProbe,
 		Limits: balance.Limits{MaxAttempts: 6, Hedging: true, Probes: true, Cancel: true, ConnectTimeout: time.Second, KeepAlive: time.Minute},
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.list(balance.InService)
+	w.updateEndpoints(balance.InService)
 	for id := range balance.RequestID(100) { // calls are quick, so that one is hedged in time
-		w.do(w.b.RequestArrived(w.now, balance.Request{ID: 10 + id, Timeout: wanted}, nil))
-		to := w.sent[0]
+		w.apply(w.balancer.RequestArrived(w.now, balance.Request{ID: 10 + id, Timeout: targetLatency}, nil))
+		to := w.sentTo[0]
 		w.now += 100 * time.Millisecond
-		w.do(w.b.AttemptEnded(w.now, balance.Outcome{Request: 10 + id, Endpoint: to, Result: balance.OK, RequestFinished: true, Elapsed: 100 * time.Millisecond}, nil))
-		w.sent = nil
+		w.apply(w.balancer.AttemptEnded(w.now, balance.Outcome{Request: 10 + id, Endpoint: to, Result: balance.OK, RequestFinished: true, Elapsed: 100 * time.Millisecond}, nil))
+		w.sentTo = nil
 	}
 	return w
 }
 
-func (w *world) list(s balance.EndpointState) {
+func (w *harness) updateEndpoints(s balance.EndpointState) {
 	var list []balance.Endpoint
 	for id := range balance.EndpointID(4) {
 		list = append(list, balance.Endpoint{ID: id + 1, State: s, Weight: 1})
 	}
-	w.do(w.b.EndpointsUpdated(w.now, balance.ListFull, list, nil))
+	w.apply(w.balancer.EndpointsUpdated(w.now, balance.ListFull, list, nil))
 }
 
-func (w *world) do(acts []balance.Action) {
+func (w *harness) apply(acts []balance.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case balance.Send:
-			w.sent = append(w.sent, a.Endpoint)
+			w.sentTo = append(w.sentTo, a.Endpoint)
 		case balance.Shed:
-			w.final = "refuse"
+			w.outcome = "refuse"
 		case balance.Fail:
-			w.final = "fail"
+			w.outcome = "fail"
 		case balance.SetTimer:
 			w.timers = append(w.timers, struct {
 				at time.Duration
 				t  balance.Timer
 			}{w.now + a.Delay, a.Timer})
 		case balance.Probe:
-			if w.probes {
-				w.do(w.b.ProbeEnded(w.now, a.Endpoint, balance.OK, &balance.Load{Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}, nil))
+			if w.answersProbes {
+				w.apply(w.balancer.ProbeEnded(w.now, a.Endpoint, balance.OK, &balance.Load{Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}, nil))
 			}
 		}
 	}
 }
 
-// run rings what falls due within a time.
-func (w *world) run(d time.Duration) {
+// advance rings what falls due within a time.
+func (w *harness) advance(d time.Duration) {
 	for end := w.now + d; ; {
 		next := -1
 		for i, t := range w.timers {
@@ -106,33 +106,33 @@
 		t := w.timers[next]
 		w.timers = append(w.timers[:next], w.timers[next+1:]...)
 		w.now = max(w.now, t.at)
-		w.do(w.b.TimerFired(w.now, t.t, nil))
+		w.apply(w.balancer.TimerFired(w.now, t.t, nil))
 	}
 }
 
-// begin has a request begin, and its first attempt go out. The body comes to its state.
-func (w *world) begin(state body.State) {
-	w.do(w.b.RequestArrived(w.now, balance.Request{ID: 1, Timeout: wanted, BodyArriving: true}, nil))
-	if len(w.sent) != 1 {
-		w.t.Fatalf("%d attempts at first", len(w.sent))
+// startRequest has a request begin, and its first attempt go out. The body comes to its state.
+func (w *harness) startRequest(state body.State) {
+	w.apply(w.balancer.RequestArrived(w.now, balance.Request{ID: 1, Timeout: targetLatency, BodyArriving: true}, nil))
+	if len(w.sentTo) != 1 {
+		w.t.Fatalf("%d attempts at first", len(w.sentTo))
 	}
 	switch state {
 	case body.Retained:
-		w.do(w.b.BodyStateChanged(w.now, 1, balance.BodyComplete, nil))
+		w.apply(w.balancer.BodyStateChanged(w.now, 1, balance.BodyComplete, nil))
 	case body.Unavailable:
-		w.do(w.b.BodyStateChanged(w.now, 1, balance.BodyUnavailable, nil))
+		w.apply(w.balancer.BodyStateChanged(w.now, 1, balance.BodyUnavailable, nil))
 	}
 }
 
-func (w *world) end(r balance.Result) {
+func (w *harness) endFirstAttempt(r balance.Result) {
 	w.now += 10 * time.Millisecond
-	w.do(w.b.AttemptEnded(w.now, balance.Outcome{Request: 1, Endpoint: w.sent[0], Result: r, Elapsed: 10 * time.Millisecond}, nil))
+	w.apply(w.balancer.AttemptEnded(w.now, balance.Outcome{Request: 1, Endpoint: w.sentTo[0], Result: r, Elapsed: 10 * time.Millisecond}, nil))
 }
 
-var results = map[AttemptHistory]balance.Result{NotExecuted: balance.ConnectFailed, MayHaveExecuted: balance.Error}
+var resultByHistory = map[AttemptHistory]balance.Result{NotExecuted: balance.ConnectFailed, MayHaveExecuted: balance.Error}
 
 // The table holds for the module, cell by cell: what it allows happens, and nothing else does.
-func TestModuleKeepsTheTable(t *testing.T) {
+func TestBalancerMatchesTable(t *testing.T) {
 	for _, k := range []struct {
 		s       balance.Semantics
 		scope   balance.Scope
@@ -147,27 +147,27 @@
 				name := fmt.Sprintf("semantics %d, scope %d, in scope %v, body %d, past %d", k.s, k.scope, k.inScope, state, past)
 				want := Allowed(k.s, k.scope, state, past, k.inScope)
 
-				w := newWorld(t, k.s, k.scope, k.inScope)
-				w.begin(state)
-				w.end(results[past])
-				w.run(wanted / 2)
-				if got := len(w.sent) > 1; got != want.Retry {
+				w := newHarness(t, k.s, k.scope, k.inScope)
+				w.startRequest(state)
+				w.endFirstAttempt(resultByHistory[past])
+				w.advance(targetLatency / 2)
+				if got := len(w.sentTo) > 1; got != want.Retry {
 					t.Errorf("%s: again %v, want %v", name, got, want.Retry)
 				}
 
-				w = newWorld(t, k.s, k.scope, k.inScope)
-				w.begin(state)
-				w.list(balance.Removed)
-				w.end(results[past])
-				w.run(2 * wanted)
-				if got := w.final == "refuse"; got != want.Refuse || w.final == "" || len(w.sent) > 1 {
-					t.Errorf("%s: %q, refuse %v wanted", name, w.final, want.Refuse)
+				w = newHarness(t, k.s, k.scope, k.inScope)
+				w.startRequest(state)
+				w.updateEndpoints(balance.Removed)
+				w.endFirstAttempt(resultByHistory[past])
+				w.advance(2 * targetLatency)
+				if got := w.outcome == "refuse"; got != want.Refuse || w.outcome == "" || len(w.sentTo) > 1 {
+					t.Errorf("%s: %q, refuse %v wanted", name, w.outcome, want.Refuse)
 				}
 
-				w = newWorld(t, k.s, k.scope, k.inScope)
-				w.begin(state)
-				w.run(wanted * 9 / 10)
-				if got := len(w.sent) > 1; got != want.Hedge {
+				w = newHarness(t, k.s, k.scope, k.inScope)
+				w.startRequest(state)
+				w.advance(targetLatency * 9 / 10)
+				if got := len(w.sentTo) > 1; got != want.Hedge {
 					t.Errorf("%s: copy %v, want %v", name, got, want.Hedge)
 				}
 			}
@@ -176,7 +176,7 @@
 }
 
 // The page shows the table as it is.
-func TestPageShowsTheTable(t *testing.T) {
+func TestOperatorPageShowsTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/bodies.md")
 	if err != nil {
 		t.Fatal(err)
@@ -195,7 +195,7 @@
 
 // Whatever attempts become whole when, none does later than the window after another that may
 // have run; those that never ran bound nobody.
-func TestGateModel(t *testing.T) {
+func TestCompletionGateMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g CompletionGate
 		keyed := rapid.Bool().Draw(t, "keyed")
@@ -203,16 +203,16 @@
 		if keyed {
 			s = balance.Keyed
 		}
-		g.Reset(s, window)
+		g.Reset(s, repeatWindow)
 		ran := map[int]time.Duration{}
 		now := time.Hour
 		for n := range rapid.IntRange(1, 12).Draw(t, "attempts") {
-			now += time.Duration(rapid.Int64Range(0, int64(window)).Draw(t, "after"))
+			now += time.Duration(rapid.Int64Range(0, int64(repeatWindow)).Draw(t, "after"))
 			first := now
 			for _, at := range ran {
 				first = min(first, at)
 			}
-			if got, want := g.TryComplete(n, now), !keyed || now-first < window; got != want {
+			if got, want := g.TryComplete(n, now), !keyed || now-first < repeatWindow; got != want {
 				t.Fatalf("%v after the first: %v", now-first, got)
 			} else if got {
 				ran[n] = now
