--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -8,23 +8,23 @@
 	KeepTrailers bool   // the trailers are wanted
 	Trailers     []byte // those that came, whole lines, once Done
 
-	state        chunkState
-	left         uint64 // of the chunk
-	trailerBytes int    // bytes of trailers so far
+	state          decoderState
+	chunkRemaining uint64 // of the chunk
+	trailerBytes   int    // bytes of trailers so far
 }
 
-type chunkState uint8
+type decoderState uint8
 
 const (
-	chunkSize chunkState = iota
-	chunkData
-	chunkEnd
-	chunkTrailers
-	chunkDone
+	stateSizeLine decoderState = iota
+	stateData
+	stateDataEnd
+	stateTrailers
+	stateDone
 )
 
-// unhex is the value of a hexadecimal digit, -1 for any other byte.
-var unhex = func() (t [256]int8) {
+// hexValue is the value of a hexadecimal digit, -1 for any other byte.
+var hexValue = func() (t [256]int8) {
 	for c := range 256 {
 		switch {
 		case c >= '0' && c <= '9':
@@ -41,7 +41,7 @@
 }()
 
 // Done tells whether the body's end has been read.
-func (c *ChunkedDecoder) Done() bool { return c.state == chunkDone }
+func (c *ChunkedDecoder) Done() bool { return c.state == stateDone }
 
 // Decode takes bytes of the body. It returns how many it has used and the data among them, which
 // points into b; what it has not used is to come again, with more behind it. It uses nothing
@@ -51,20 +51,20 @@
 	for {
 		rest := b[n:]
 		switch c.state {
-		case chunkDone:
+		case stateDone:
 			return nil, n, nil
-		case chunkData:
+		case stateData:
 			if len(rest) == 0 {
 				return nil, n, nil
 			}
-			if uint64(len(rest)) > c.left {
-				rest = rest[:c.left]
+			if uint64(len(rest)) > c.chunkRemaining {
+				rest = rest[:c.chunkRemaining]
 			}
-			if c.left -= uint64(len(rest)); c.left == 0 {
-				c.state = chunkEnd
+			if c.chunkRemaining -= uint64(len(rest)); c.chunkRemaining == 0 {
+				c.state = stateDataEnd
 			}
 			return rest, n + len(rest), nil
-		case chunkEnd:
+		case stateDataEnd:
 			if len(rest) > 0 && rest[0] != '\r' || len(rest) > 1 && rest[1] != '\n' {
 				return nil, n, ErrMalformedChunk
 			}
@@ -72,15 +72,15 @@
 				return nil, n, nil
 			}
 			n += 2
-			c.state = chunkSize
-		case chunkSize:
-			used, err := c.size(rest)
+			c.state = stateSizeLine
+		case stateSizeLine:
+			used, err := c.decodeSizeLine(rest)
 			if err != nil || used == 0 {
 				return nil, n, err
 			}
 			n += used
-		case chunkTrailers:
-			used, err := c.trailer(rest)
+		case stateTrailers:
+			used, err := c.decodeTrailerLine(rest)
 			if err != nil || used == 0 {
 				return nil, n, err
 			}
@@ -89,13 +89,13 @@
 	}
 }
 
-// size reads a chunk's size line.
-func (c *ChunkedDecoder) size(b []byte) (int, error) {
+// decodeSizeLine reads a chunk's size line.
+func (c *ChunkedDecoder) decodeSizeLine(b []byte) (int, error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 && len(b) >= c.Limits.ChunkLineBytes || i >= c.Limits.ChunkLineBytes {
 		return 0, ErrChunkLineTooLong
 	}
-	if len(b) > 0 && unhex[b[0]] < 0 {
+	if len(b) > 0 && hexValue[b[0]] < 0 {
 		return 0, ErrMalformedChunk
 	}
 	if i < 0 {
@@ -107,50 +107,50 @@
 	line := b[:i-1]
 	var size uint64
 	digits := 0
-	for digits < len(line) && unhex[line[digits]] >= 0 {
-		size = size<<4 | uint64(unhex[line[digits]])
+	for digits < len(line) && hexValue[line[digits]] >= 0 {
+		size = size<<4 | uint64(hexValue[line[digits]])
 		digits++
 	}
 	if digits == 0 || digits > 15 {
 		return 0, ErrMalformedChunk
 	}
-	if !extensions(line[digits:]) {
+	if !validChunkExtensions(line[digits:]) {
 		return 0, ErrMalformedChunk
 	}
-	if c.left = size; size == 0 {
-		c.state = chunkTrailers
+	if c.chunkRemaining = size; size == 0 {
+		c.state = stateTrailers
 	} else {
-		c.state = chunkData
+		c.state = stateData
 	}
 	return i + 1, nil
 }
 
-// extensions checks *( BWS ";" BWS name [ BWS "=" BWS ( token / quoted-string ) ] ).
-func extensions(b []byte) bool {
+// validChunkExtensions checks *( BWS ";" BWS name [ BWS "=" BWS ( token / quoted-string ) ] ).
+func validChunkExtensions(b []byte) bool {
 	for len(b) > 0 {
-		if b = trimLeft(b); len(b) == 0 || b[0] != ';' {
+		if b = trimLeadingBlanks(b); len(b) == 0 || b[0] != ';' {
 			return false // also blanks alone: some readers take what follows for another size
 		}
-		b = trimLeft(b[1:])
+		b = trimLeadingBlanks(b[1:])
 		n := 0
-		for n < len(b) && token[b[n]] {
+		for n < len(b) && tokenBytes[b[n]] {
 			n++
 		}
 		if n == 0 {
 			return false
 		}
 		b = b[n:]
-		rest := trimLeft(b)
+		rest := trimLeadingBlanks(b)
 		if len(rest) == 0 || rest[0] != '=' {
 			continue
 		}
-		rest = trimLeft(rest[1:])
+		rest = trimLeadingBlanks(rest[1:])
 		if len(rest) > 0 && rest[0] == '"' {
-			if n = quoted(rest); n == 0 {
+			if n = quotedStringLen(rest); n == 0 {
 				return false
 			}
 		} else {
-			for n = 0; n < len(rest) && token[rest[n]]; n++ {
+			for n = 0; n < len(rest) && tokenBytes[rest[n]]; n++ {
 			}
 		}
 		if n == 0 {
@@ -161,8 +161,8 @@
 	return true
 }
 
-// quoted is the length of the quoted string that a text begins with, or 0.
-func quoted(b []byte) int {
+// quotedStringLen is the length of the quoted string that a text begins with, or 0.
+func quotedStringLen(b []byte) int {
 	for i := 1; i < len(b); i++ {
 		switch c := b[i]; {
 		case c == '"':
@@ -179,15 +179,15 @@
 	return 0
 }
 
-func trimLeft(b []byte) []byte {
-	for len(b) > 0 && blank(b[0]) {
+func trimLeadingBlanks(b []byte) []byte {
+	for len(b) > 0 && isBlank(b[0]) {
 		b = b[1:]
 	}
 	return b
 }
 
-// trailer reads a line of the trailers.
-func (c *ChunkedDecoder) trailer(b []byte) (int, error) {
+// decodeTrailerLine reads a line of the trailers.
+func (c *ChunkedDecoder) decodeTrailerLine(b []byte) (int, error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 && c.trailerBytes+len(b) >= c.Limits.TrailerBytes || c.trailerBytes+i >= c.Limits.TrailerBytes {
 		return 0, ErrTrailersTooLong
@@ -201,17 +201,17 @@
 	c.trailerBytes += i + 1
 	line := b[:i-1]
 	if len(line) == 0 {
-		c.state = chunkDone
+		c.state = stateDone
 		return i + 1, nil
 	}
-	h := head{Limits: Limits{Fields: 1}, length: -1}
-	var one [1]span
+	h := head{Limits: Limits{Fields: 1}, contentLength: -1}
+	var one [1]fieldSpan
 	h.fields = one[:0]
-	if err := h.field(0, line); err != nil {
+	if err := h.parseField(0, line); err != nil {
 		return 0, ErrInvalidTrailer
 	}
-	for _, name := range notTrailers {
-		if equalFold(line[:h.fields[0].colon], name) {
+	for _, name := range forbiddenTrailers {
+		if equalFold(line[:h.fields[0].nameEnd], name) {
 			return 0, ErrInvalidTrailer
 		}
 	}
@@ -221,9 +221,9 @@
 	return i + 1, nil
 }
 
-// notTrailers are fields that frame, route or authenticate a message: after the body they
+// forbiddenTrailers are fields that frame, route or authenticate a message: after the body they
 // would change what has been decided by then, RFC 9110, 6.5.1.
-var notTrailers = []string{
+var forbiddenTrailers = []string{
 	"Content-Length", "Transfer-Encoding", "Host", "Connection", "Trailer", "TE", "Upgrade", "Expect",
 	"Content-Encoding", "Content-Type", "Content-Range", "Authorization", "Set-Cookie",
 	"X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Idempotency-Key",
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -86,31 +86,31 @@
 // Field is a field of a head. Both point into the message.
 type Field struct{ Name, Value []byte }
 
-// span is a field by its offsets.
-type span struct{ name, colon, value, end uint32 }
+// fieldSpan is a field by its offsets.
+type fieldSpan struct{ nameStart, nameEnd, valueStart, valueEnd uint32 }
 
 // head is what requests and answers have in common.
 type head struct {
 	Limits Limits
 
-	text   []byte // of the head so far
-	start  int    // of the line that is being looked for
-	seen   int    // up to here there is no further line end
-	first  bool   // the start line has been read
-	fields []span
-
-	length      int64 // of the body by Content-Length; -1 for none
-	lengths     int
-	codings     int
-	coding      span
-	connections int  // Connection fields
-	close       bool // Connection: close
-	keep        bool // Connection: keep-alive
-	upgrade     bool // Connection: upgrade
+	text            []byte // of the head so far
+	lineStart       int    // of the line that is being looked for
+	scanned         int    // up to here there is no further line end
+	startLineParsed bool   // the start line has been read
+	fields          []fieldSpan
+
+	contentLength          int64 // of the body by Content-Length; -1 for none
+	contentLengthFields    int
+	transferEncodingFields int
+	transferEncoding       fieldSpan
+	connectionFields       int  // Connection fields
+	closeOption            bool // Connection: close
+	keepAliveOption        bool // Connection: keep-alive
+	upgradeOption          bool // Connection: upgrade
 }
 
 func (h *head) reset() {
-	*h = head{Limits: h.Limits, fields: h.fields[:0], length: -1}
+	*h = head{Limits: h.Limits, fields: h.fields[:0], contentLength: -1}
 }
 
 // Rebase says where the bytes of a head that is whole are now, of which the first may be more.
@@ -122,7 +122,7 @@
 // Field returns the field at an index.
 func (h *head) Field(i int) Field {
 	f := h.fields[i]
-	return Field{h.text[f.name:f.colon:f.colon], h.text[f.value:f.end:f.end]}
+	return Field{h.text[f.nameStart:f.nameEnd:f.nameEnd], h.text[f.valueStart:f.valueEnd:f.valueEnd]}
 }
 
 // Get returns the first value of the fields with a name, in whatever case, and how many there
@@ -130,9 +130,9 @@
 func (h *head) Get(name string) (value []byte, n int) {
 	for i := range h.fields {
 		f := &h.fields[i]
-		if int(f.colon-f.name) == len(name) && equalFold(h.text[f.name:f.colon], name) {
+		if int(f.nameEnd-f.nameStart) == len(name) && equalFold(h.text[f.nameStart:f.nameEnd], name) {
 			if n++; n == 1 {
-				value = h.text[f.value:f.end:f.end]
+				value = h.text[f.valueStart:f.valueEnd:f.valueEnd]
 			}
 		}
 	}
@@ -146,53 +146,53 @@
 }
 
 // ContentLength is the length of the body by its field, -1 for none.
-func (h *head) ContentLength() int64 { return h.length }
+func (h *head) ContentLength() int64 { return h.contentLength }
 
 // ClosesConnection tells whether the message says that its connection ends after it.
-func (h *head) ClosesConnection() bool { return h.close }
+func (h *head) ClosesConnection() bool { return h.closeOption }
 
 // Upgrades tells whether the message asks for another protocol, or switches to one.
 func (h *head) Upgrades() bool {
 	_, n := h.Get("Upgrade")
-	return h.upgrade && n > 0
+	return h.upgradeOption && n > 0
 }
 
 // IsConnectionOption tells whether Connection names a field: it concerns this connection only.
 func (h *head) IsConnectionOption(name []byte) bool {
-	if h.connections == 0 {
+	if h.connectionFields == 0 {
 		return false
 	}
 	found := false
-	h.options(func(option []byte) bool {
+	h.eachConnectionOption(func(option []byte) bool {
 		found = len(option) == len(name) && bytes.EqualFold(option, name)
 		return !found
 	})
 	return found
 }
 
-// options calls f with each option of the Connection fields until it returns false.
-func (h *head) options(f func(option []byte) bool) {
+// eachConnectionOption calls f with each option of the Connection fields until it returns false.
+func (h *head) eachConnectionOption(f func(option []byte) bool) {
 	for i := range h.fields {
 		at := &h.fields[i]
-		if !equalFold(h.text[at.name:at.colon], "connection") {
+		if !equalFold(h.text[at.nameStart:at.nameEnd], "connection") {
 			continue
 		}
-		for rest := h.text[at.value:at.end]; len(rest) > 0; {
+		for rest := h.text[at.valueStart:at.valueEnd]; len(rest) > 0; {
 			option := rest
 			if i := bytes.IndexByte(rest, ','); i >= 0 {
 				option, rest = rest[:i], rest[i+1:]
 			} else {
 				rest = nil
 			}
-			if option = trim(option); len(option) > 0 && !f(option) {
+			if option = trimBlanks(option); len(option) > 0 && !f(option) {
 				return
 			}
 		}
 	}
 }
 
-// hop are the fields that concern one connection only, beside those that Connection names.
-var hop = []string{
+// hopByHopFields are the fields that concern one connection only, beside those that Connection names.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
@@ -200,7 +200,7 @@
 // IsEndToEnd tells whether a field is to be passed on as it is: neither does it concern this
 // connection only, nor does it frame the body, which is framed anew.
 func (h *head) IsEndToEnd(name []byte) bool {
-	for _, n := range hop {
+	for _, n := range hopByHopFields {
 		if len(n) == len(name) && equalFold(name, n) {
 			return false
 		}
@@ -208,67 +208,67 @@
 	return !h.IsConnectionOption(name)
 }
 
-// startLine is how a message judges its start line.
-type startLine interface {
-	begins(b []byte) error  // the bytes that there are of it: what is no message is not waited on
-	empty() error           // an empty line in its place
-	line(text []byte) error // the line
-	ended() error           // the head is whole
+// startLineHandler is how a message judges its start line.
+type startLineHandler interface {
+	checkPrefix(b []byte) error       // the bytes that there are of it: what is no message is not waited on
+	handleEmptyLine() error           // an empty line in its place
+	parseStartLine(text []byte) error // the line
+	finish() error                    // the head is whole
 }
 
-// lines takes the lines that have come whole. It returns the length of the head once that is
+// parseLines takes the lines that have come whole. It returns the length of the head once that is
 // whole, else 0.
-func (h *head) lines(b []byte, m startLine) (int, error) {
+func (h *head) parseLines(b []byte, m startLineHandler) (int, error) {
 	h.text = b
 	for {
-		if !h.first && len(b) > h.start {
-			if err := m.begins(b[h.start:]); err != nil {
+		if !h.startLineParsed && len(b) > h.lineStart {
+			if err := m.checkPrefix(b[h.lineStart:]); err != nil {
 				return 0, err
 			}
 		}
-		i := bytes.IndexByte(b[h.seen:], '\n')
+		i := bytes.IndexByte(b[h.scanned:], '\n')
 		if i < 0 {
-			h.seen = len(b)
+			h.scanned = len(b)
 			if len(b) >= h.Limits.HeadBytes {
 				return 0, ErrHeadTooLong
 			}
 			return 0, nil
 		}
-		i += h.seen
+		i += h.scanned
 		if i >= h.Limits.HeadBytes {
 			return 0, ErrHeadTooLong
 		}
-		if i == h.start || b[i-1] != '\r' {
+		if i == h.lineStart || b[i-1] != '\r' {
 			return 0, ErrBareLF
 		}
-		text := b[h.start : i-1]
-		from := h.start
-		h.start, h.seen = i+1, i+1
+		text := b[h.lineStart : i-1]
+		from := h.lineStart
+		h.lineStart, h.scanned = i+1, i+1
 		switch {
-		case !h.first:
+		case !h.startLineParsed:
 			if len(text) == 0 {
-				if err := m.empty(); err != nil {
+				if err := m.handleEmptyLine(); err != nil {
 					return 0, err
 				}
 				continue
 			}
-			h.first = true
-			if err := m.line(text); err != nil {
+			h.startLineParsed = true
+			if err := m.parseStartLine(text); err != nil {
 				return 0, err
 			}
 		case len(text) == 0:
 			h.text = b[: i+1 : i+1]
-			return i + 1, m.ended()
+			return i + 1, m.finish()
 		default:
-			if err := h.field(uint32(from), text); err != nil {
+			if err := h.parseField(uint32(from), text); err != nil {
 				return 0, err
 			}
 		}
 	}
 }
 
-// field takes a field's line, which begins at an offset.
-func (h *head) field(at uint32, line []byte) error {
+// parseField takes a field's line, which begins at an offset.
+func (h *head) parseField(at uint32, line []byte) error {
 	if line[0] == ' ' || line[0] == '\t' {
 		return ErrLineFolding
 	}
@@ -276,17 +276,17 @@
 		return ErrTooManyFields
 	}
 	colon := 0
-	for colon < len(line) && token[line[colon]] {
+	for colon < len(line) && tokenBytes[line[colon]] {
 		colon++
 	}
 	if colon == 0 || colon == len(line) || line[colon] != ':' {
 		return ErrFieldName
 	}
 	from, to := colon+1, len(line)
-	for from < to && blank(line[from]) {
+	for from < to && isBlank(line[from]) {
 		from++
 	}
-	for to > from && blank(line[to-1]) {
+	for to > from && isBlank(line[to-1]) {
 		to--
 	}
 	for _, c := range line[from:to] {
@@ -294,60 +294,60 @@
 			return ErrControlByte
 		}
 	}
-	f := span{at, at + uint32(colon), at + uint32(from), at + uint32(to)}
+	f := fieldSpan{at, at + uint32(colon), at + uint32(from), at + uint32(to)}
 	h.fields = append(h.fields, f)
-	return h.frames(line[:colon], line[from:to], f)
+	return h.recordFraming(line[:colon], line[from:to], f)
 }
 
-// frames notes what a field says of the message's framing and its connection.
-func (h *head) frames(name, value []byte, f span) error {
+// recordFraming notes what a field says of the message's framing and its connection.
+func (h *head) recordFraming(name, value []byte, f fieldSpan) error {
 	switch len(name) {
 	case len("Connection"):
 		if equalFold(name, "connection") {
-			h.connections++
+			h.connectionFields++
 		}
 	case len("Content-Length"):
 		if equalFold(name, "content-length") {
-			if h.lengths++; h.lengths > 1 {
+			if h.contentLengthFields++; h.contentLengthFields > 1 {
 				return ErrDuplicateContentLength
 			}
-			n, ok := decimal(value)
+			n, ok := parseDecimal(value)
 			if !ok {
 				return ErrContentLength
 			}
-			h.length = n
+			h.contentLength = n
 		}
 	case len("Transfer-Encoding"):
 		if equalFold(name, "transfer-encoding") {
-			if h.codings++; h.codings > 1 {
+			if h.transferEncodingFields++; h.transferEncodingFields > 1 {
 				return ErrDuplicateTransferEncoding
 			}
-			h.coding = f
+			h.transferEncoding = f
 		}
 	}
 	return nil
 }
 
-// framed checks what the fields say together.
-func (h *head) framed() error {
-	if h.codings > 0 && h.lengths > 0 {
+// checkFraming checks what the fields say together.
+func (h *head) checkFraming() error {
+	if h.transferEncodingFields > 0 && h.contentLengthFields > 0 {
 		return ErrLengthWithTransferEncoding
 	}
-	if h.codings > 0 && !equalFold(h.text[h.coding.value:h.coding.end], "chunked") {
+	if h.transferEncodingFields > 0 && !equalFold(h.text[h.transferEncoding.valueStart:h.transferEncoding.valueEnd], "chunked") {
 		return ErrUnsupportedTransferEncoding
 	}
-	if h.connections == 0 {
+	if h.connectionFields == 0 {
 		return nil
 	}
 	var err error
-	h.options(func(o []byte) bool {
+	h.eachConnectionOption(func(o []byte) bool {
 		switch {
 		case equalFold(o, "close"):
-			h.close = true
+			h.closeOption = true
 		case equalFold(o, "keep-alive"):
-			h.keep = true
+			h.keepAliveOption = true
 		case equalFold(o, "upgrade"):
-			h.upgrade = true
+			h.upgradeOption = true
 		case equalFold(o, "host"), equalFold(o, "content-length"), equalFold(o, "transfer-encoding"):
 			err = ErrConnectionOption
 		case !isToken(o):
@@ -358,8 +358,8 @@
 	return err
 }
 
-// decimal reads 1*DIGIT that fits a body's length: no sign, no blank, no list.
-func decimal(b []byte) (int64, bool) {
+// parseDecimal reads 1*DIGIT that fits a body's length: no sign, no blank, no list.
+func parseDecimal(b []byte) (int64, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
 	}
@@ -373,8 +373,8 @@
 	return n, true
 }
 
-// token are the bytes of a token, RFC 9110, 5.6.2.
-var token = func() (t [256]bool) {
+// tokenBytes are the bytes of a token, RFC 9110, 5.6.2.
+var tokenBytes = func() (t [256]bool) {
 	for c := range 256 {
 		t[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' ||
 			c < 0x80 && strings.IndexByte("!#$%&'*+-.^_`|~", byte(c)) >= 0
@@ -384,20 +384,20 @@
 
 func isToken(b []byte) bool {
 	for _, c := range b {
-		if !token[c] {
+		if !tokenBytes[c] {
 			return false
 		}
 	}
 	return len(b) > 0
 }
 
-func blank(c byte) bool { return c == ' ' || c == '\t' }
+func isBlank(c byte) bool { return c == ' ' || c == '\t' }
 
-func trim(b []byte) []byte {
-	for len(b) > 0 && blank(b[0]) {
+func trimBlanks(b []byte) []byte {
+	for len(b) > 0 && isBlank(b[0]) {
 		b = b[1:]
 	}
-	for len(b) > 0 && blank(b[len(b)-1]) {
+	for len(b) > 0 && isBlank(b[len(b)-1]) {
 		b = b[:len(b)-1]
 	}
 	return b
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// limits are small, so that tests reach them.
-var limits = Limits{HeadBytes: 4 << 10, Fields: 20, ChunkLineBytes: 64, TrailerBytes: 256}
+// smallLimits are small, so that tests reach them.
+var smallLimits = Limits{HeadBytes: 4 << 10, Fields: 20, ChunkLineBytes: 64, TrailerBytes: 256}
 
 // requestCases is the table of framing: what is refused, with its status, and what is taken,
 // in the one form in which it is passed on. docs/design/0003-http1.md shows it by section.
@@ -113,14 +113,14 @@
 	{"many fields", "GET / HTTP/1.1\r\nHost: a\r\n" + strings.Repeat("X: b\r\n", 30) + "\r\n", ErrTooManyFields, ""},
 }
 
-// describe is the form in which a request is passed on.
-func describe(r *Request) string {
+// describeRequest is the form in which a request is passed on.
+func describeRequest(r *Request) string {
 	return fmt.Sprintf("%s %s %s %s %d", r.Method(), r.Target(), r.Host(), r.Framing(), r.ContentLength())
 }
 
-func TestRequests(t *testing.T) {
+func TestRequestParse(t *testing.T) {
 	for _, c := range requestCases {
-		r := NewRequest(limits)
+		r := NewRequest(smallLimits)
 		n, err := r.Parse([]byte(c.text))
 		if err != c.err {
 			t.Errorf("%s: %v, want %v", c.name, err, c.err)
@@ -130,7 +130,7 @@
 			if n != strings.Index(c.text[2:], "\r\n\r\n")+6 {
 				t.Errorf("%s: a head of %d bytes", c.name, n)
 			}
-			if got := describe(r); got != c.passed {
+			if got := describeRequest(r); got != c.passed {
 				t.Errorf("%s: passed on as %q, want %q", c.name, got, c.passed)
 			}
 		}
@@ -138,34 +138,34 @@
 }
 
 // A head comes cut at every byte, and one byte at a time: what comes of it is the same.
-func TestCuts(t *testing.T) {
+func TestRequestParseFromPartialInput(t *testing.T) {
 	for _, c := range requestCases {
 		if len(c.text) > 1000 {
 			continue
 		}
 		for cut := range len(c.text) {
-			r := NewRequest(limits)
+			r := NewRequest(smallLimits)
 			n, err := r.Parse([]byte(c.text[:cut]))
 			if n == 0 && err == nil {
 				n, err = r.Parse([]byte(c.text))
 			}
-			if err != c.err || err == nil && describe(r) != c.passed {
+			if err != c.err || err == nil && describeRequest(r) != c.passed {
 				t.Errorf("%s, cut at %d: %d, %v, want %v", c.name, cut, n, err, c.err)
 			}
 		}
-		r := NewRequest(limits)
+		r := NewRequest(smallLimits)
 		var n int
 		var err error
 		for i := 1; i <= len(c.text) && n == 0 && err == nil; i++ {
 			n, err = r.Parse([]byte(c.text[:i]))
 		}
-		if err != c.err || err == nil && describe(r) != c.passed {
+		if err != c.err || err == nil && describeRequest(r) != c.passed {
 			t.Errorf("%s, a byte at a time: %d, %v, want %v", c.name, n, err, c.err)
 		}
 	}
 }
 
-var answerCases = []struct {
+var responseCases = []struct {
 	name, text string
 	toHead     bool
 	err        error
@@ -207,10 +207,10 @@
 	{"a folded line", "HTTP/1.1 200 OK\r\nX: a\r\n b\r\n\r\n", false, ErrLineFolding, 0},
 }
 
-func TestAnswers(t *testing.T) {
-	for _, c := range answerCases {
+func TestResponseParse(t *testing.T) {
+	for _, c := range responseCases {
 		for _, whole := range []bool{true, false} {
-			a := NewResponse(limits)
+			a := NewResponse(smallLimits)
 			var n int
 			var err error
 			for i := 1; i <= len(c.text) && n == 0 && err == nil; i++ {
@@ -264,9 +264,9 @@
 	{"half", "3\r\nab", nil, ""},
 }
 
-// dechunk reads a body that comes in pieces of at most so many bytes, and returns its data
+// decodeChunked reads a body that comes in pieces of at most so many bytes, and returns its data
 // once it is whole. It also returns how many bytes it has used.
-func dechunk(text string, piece int, l Limits) (data string, used int, done bool, err error) {
+func decodeChunked(text string, piece int, l Limits) (data string, used int, done bool, err error) {
 	c := ChunkedDecoder{Limits: l}
 	var out []byte
 	var buf []byte
@@ -292,10 +292,10 @@
 	}
 }
 
-func TestChunks(t *testing.T) {
+func TestChunkedDecoder(t *testing.T) {
 	for _, c := range chunkCases {
 		for _, piece := range []int{1, 2, 3, 7, 1 << 20} {
-			data, used, done, err := dechunk(c.text, piece, limits)
+			data, used, done, err := decodeChunked(c.text, piece, smallLimits)
 			if err != c.err || done != (c.want != "") && err == nil || done && (data != c.want || used != len(c.text)) {
 				t.Errorf("%s by %d: %q, %d, %v, %v, want %q, %v", c.name, piece, data, used, done, err, c.want, c.err)
 			}
@@ -304,7 +304,7 @@
 }
 
 // What is written as chunks is read the same, by us and by net/http.
-func TestChunksRoundTrip(t *testing.T) {
+func TestChunkedEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 300)).Draw(t, "parts")
 		var text, want []byte
@@ -312,7 +312,7 @@
 			text, want = AppendChunk(text, p), append(want, p...)
 		}
 		text = AppendLastChunk(text, nil)
-		got, used, done, err := dechunk(string(text)+"rest", rapid.IntRange(1, 100).Draw(t, "piece"), limits)
+		got, used, done, err := decodeChunked(string(text)+"rest", rapid.IntRange(1, 100).Draw(t, "piece"), smallLimits)
 		if got != string(want) || used != len(text) || !done || err != nil {
 			t.Fatalf("%q of %q: %d, %v, %v", got, want, used, done, err)
 		}
@@ -329,11 +329,11 @@
 
 // Trailers that are wanted are kept as they came, and written out again are read the same by
 // net/http; those that nobody wants are dropped.
-func TestTrailersPassOn(t *testing.T) {
+func TestTrailersKeptOrDropped(t *testing.T) {
 	const tail = "Checksum: abc\r\nX-Last:  two \r\n"
 	text := "3;a=\"b\"\r\nabc\r\n0\r\n" + tail + "\r\nrest"
 	for _, keep := range []bool{false, true} {
-		c := ChunkedDecoder{Limits: limits, KeepTrailers: keep}
+		c := ChunkedDecoder{Limits: smallLimits, KeepTrailers: keep}
 		var data []byte
 		left := []byte(text)
 		for !c.Done() {
@@ -363,8 +363,8 @@
 }
 
 // hopByHop concern one connection; the rest is passed on.
-func TestEndToEnd(t *testing.T) {
-	r := NewRequest(limits)
+func TestIsEndToEnd(t *testing.T) {
+	r := NewRequest(smallLimits)
 	text := "POST /x HTTP/1.1\r\nHost: a\r\nConnection: X-Mine ,,\t close\r\nconnection: keep-alive\r\nX-Mine: 1\r\n" +
 		"TE: trailers\r\nX-Other: 2\r\nContent-Length: 0\r\nkeep-alive: 3\r\n\r\n"
 	if n, err := r.Parse([]byte(text)); n != len(text) || err != nil {
@@ -384,9 +384,9 @@
 	}
 }
 
-// compare holds our reading of a request against net/http's and fasthttp's: what we take, they
+// compareWithOtherParsers holds our reading of a request against net/http's and fasthttp's: what we take, they
 // must not read as another message. What they refuse is theirs to refuse.
-func compare(text []byte) error {
+func compareWithOtherParsers(text []byte) error {
 	r := NewRequest(DefaultLimits)
 	n, err := r.Parse(text)
 	if err != nil || n == 0 {
@@ -401,7 +401,7 @@
 			body = string(text[n : n+used])
 		}
 	case Chunked:
-		body, used, whole, err = dechunk(string(text[n:]), 1<<20, DefaultLimits)
+		body, used, whole, err = decodeChunked(string(text[n:]), 1<<20, DefaultLimits)
 		if err != nil {
 			return nil
 		}
@@ -416,7 +416,7 @@
 			rest, _ := io.ReadAll(in)
 			if them.Method != string(r.Method()) || string(got) != body || len(rest) != len(text)-n-used {
 				return fmt.Errorf("net/http reads %s, a body %q and leaves %q; we read %s, %q and leave %d bytes",
-					them.Method, got, rest, describe(r), body, len(text)-n-used)
+					them.Method, got, rest, describeRequest(r), body, len(text)-n-used)
 			}
 			if uri := them.RequestURI; uri != string(r.Target()) && uri != "http://"+string(r.Host()) && !strings.HasSuffix(uri, string(r.Target())) {
 				return fmt.Errorf("net/http reads the target %q, we %q", them.RequestURI, r.Target())
@@ -429,15 +429,15 @@
 		rest, _ := io.ReadAll(in)
 		if string(fast.Header.Method()) != string(r.Method()) || string(fast.Body()) != body || len(rest) != len(text)-n-used {
 			return fmt.Errorf("fasthttp reads %s, a body %q and leaves %q; we read %s, %q and leave %d bytes",
-				fast.Header.Method(), fast.Body(), rest, describe(r), body, len(text)-n-used)
+				fast.Header.Method(), fast.Body(), rest, describeRequest(r), body, len(text)-n-used)
 		}
 	}
 	return nil
 }
 
-func TestCompare(t *testing.T) {
+func TestOtherParsersReadSameMessage(t *testing.T) {
 	for _, c := range requestCases {
-		if err := compare([]byte(c.text + "GET /next HTTP/1.1\r\n")); err != nil {
+		if err := compareWithOtherParsers([]byte(c.text + "GET /next HTTP/1.1\r\n")); err != nil {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -451,7 +451,7 @@
 		f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + c.text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		whole, cut := NewRequest(limits), NewRequest(limits)
+		whole, cut := NewRequest(smallLimits), NewRequest(smallLimits)
 		n, err := whole.Parse(text)
 		m, err2 := cut.Parse(text[:len(text)/2])
 		if m == 0 && err2 == nil {
@@ -464,21 +464,21 @@
 		if err != nil && !errors.As(err, &refused) {
 			t.Fatalf("%q: %v", text, err)
 		}
-		if n > len(text) || n > limits.HeadBytes || whole.NumFields() > limits.Fields {
+		if n > len(text) || n > smallLimits.HeadBytes || whole.NumFields() > smallLimits.Fields {
 			t.Fatalf("%q: a head of %d bytes, %d fields", text, n, whole.NumFields())
 		}
-		if err := compare(text); err != nil {
+		if err := compareWithOtherParsers(text); err != nil {
 			t.Fatalf("%q: %v", text, err)
 		}
 	})
 }
 
 func FuzzAnswer(f *testing.F) {
-	for _, c := range answerCases {
+	for _, c := range responseCases {
 		f.Add([]byte(c.text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		a := NewResponse(limits)
+		a := NewResponse(smallLimits)
 		n, err := a.Parse(text)
 		if err != nil || n == 0 {
 			return
@@ -502,13 +502,13 @@
 const (
 	shortRequest = "POST /api/tank HTTP/1.1\r\nHost: a\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\nX-Priority-Class: book\r\n" +
 		"X-Timeout: 20000m\r\nIdempotency-Key: k\r\nContent-Length: 10\r\n\r\n0123456789"
-	shortAnswer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nDate: Tue, 01 Dec 2026 11:00:00 GMT\r\nContent-Length: 2\r\n\r\nok"
+	shortResponse = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nDate: Tue, 01 Dec 2026 11:00:00 GMT\r\nContent-Length: 2\r\n\r\nok"
 )
 
 // A short message is read and written without an allocation.
-func BenchmarkShort(b *testing.B) {
+func BenchmarkShortMessage(b *testing.B) {
 	r, a := NewRequest(DefaultLimits), NewResponse(DefaultLimits)
-	request, answer := []byte(shortRequest), []byte(shortAnswer)
+	request, answer := []byte(shortRequest), []byte(shortResponse)
 	out := make([]byte, 0, 4096)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -531,9 +531,9 @@
 	}
 }
 
-func TestShortAllocatesNothing(t *testing.T) {
+func TestShortMessageAllocatesNothing(t *testing.T) {
 	r, a := NewRequest(DefaultLimits), NewResponse(DefaultLimits)
-	request, answer := []byte(shortRequest), []byte(shortAnswer)
+	request, answer := []byte(shortRequest), []byte(shortResponse)
 	out := make([]byte, 0, 4096)
 	if n := testing.AllocsPerRun(100, func() {
 		r.Reset()
--- a/internal/http1/other_parsers_test.go
+++ b/internal/http1/other_parsers_test.go
@@ -11,7 +11,7 @@
 
 // The other readers take some of what is refused here: that is why this one is our own. The
 // count is logged for docs/design/0003-http1.md; were it none, theirs would do.
-func TestOthersTakeWhatIsRefused(t *testing.T) {
+func TestOtherParsersAcceptRefusedHeads(t *testing.T) {
 	var refused int
 	var std, fast []string
 	for _, c := range requestCases {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -5,11 +5,11 @@
 // Request is a request's head.
 type Request struct {
 	head
-	method, target span
-	hosts          int
-	host           span
-	expects        bool
-	blanks         bool // an empty line came before the start line
+	method, target  fieldSpan
+	hostFields      int
+	host            fieldSpan
+	expectsContinue bool
+	emptyLineSeen   bool // an empty line came before the start line
 }
 
 // NewRequest returns a Request that keeps these limits.
@@ -30,27 +30,27 @@
 // the length of the head once it is whole, 0 while it is not, and an *Error for what can't be
 // used, as soon as that shows.
 func (r *Request) Parse(b []byte) (int, error) {
-	return r.lines(b, r)
+	return r.parseLines(b, r)
 }
 
-func (r *Request) begins(b []byte) error {
-	if b[0] != '\r' && !token[b[0]] {
+func (r *Request) checkPrefix(b []byte) error {
+	if b[0] != '\r' && !tokenBytes[b[0]] {
 		return ErrStartLine
 	}
 	return nil
 }
 
-// empty allows one empty line ahead: some clients end a body with one, RFC 9112, 2.2.
-func (r *Request) empty() error {
-	if r.blanks {
+// handleEmptyLine allows one empty line ahead: some clients end a body with one, RFC 9112, 2.2.
+func (r *Request) handleEmptyLine() error {
+	if r.emptyLineSeen {
 		return ErrStartLine
 	}
-	r.blanks = true
+	r.emptyLineSeen = true
 	return nil
 }
 
-func (r *Request) line(line []byte) error {
-	at := uint32(r.start - len(line) - 2)
+func (r *Request) parseStartLine(line []byte) error {
+	at := uint32(r.lineStart - len(line) - 2)
 	i := bytes.IndexByte(line, ' ')
 	j := bytes.LastIndexByte(line, ' ')
 	switch {
@@ -66,8 +66,8 @@
 	default:
 		return ErrStartLine
 	}
-	r.method = span{value: at, end: at + uint32(i)}
-	r.target = span{value: at + uint32(i) + 1, end: at + uint32(j)}
+	r.method = fieldSpan{valueStart: at, valueEnd: at + uint32(i)}
+	r.target = fieldSpan{valueStart: at + uint32(i) + 1, valueEnd: at + uint32(j)}
 	return checkTarget(line[i+1:j], line[:i])
 }
 
@@ -80,7 +80,7 @@
 			return ErrTarget
 		}
 		return nil
-	case len(target) == 0 || target[0] != '/' && !absolute(target):
+	case len(target) == 0 || target[0] != '/' && !isAbsoluteForm(target):
 		return ErrTarget
 	}
 	for i := 0; i < len(target); i++ {
@@ -88,7 +88,7 @@
 		case c <= ' ' || c >= 0x7f || c == '#':
 			return ErrTarget
 		case c == '%':
-			if i+2 >= len(target) || unhex[target[i+1]] < 0 || unhex[target[i+2]] < 0 {
+			if i+2 >= len(target) || hexValue[target[i+1]] < 0 || hexValue[target[i+2]] < 0 {
 				return ErrTarget
 			}
 		}
@@ -96,44 +96,44 @@
 	return nil
 }
 
-const scheme = "http://"
+const httpScheme = "http://"
 
-func absolute(target []byte) bool {
-	return len(target) > len(scheme) && equalFold(target[:len(scheme)], scheme)
+func isAbsoluteForm(target []byte) bool {
+	return len(target) > len(httpScheme) && equalFold(target[:len(httpScheme)], httpScheme)
 }
 
-// ended checks a head that is whole.
-func (r *Request) ended() error {
+// finish checks a head that is whole.
+func (r *Request) finish() error {
 	for i := range r.fields {
 		f := r.fields[i]
-		switch name := r.text[f.name:f.colon]; {
+		switch name := r.text[f.nameStart:f.nameEnd]; {
 		case equalFold(name, "host"):
-			r.hosts++
+			r.hostFields++
 			r.host = f
 		case equalFold(name, "expect"):
-			if !equalFold(r.text[f.value:f.end], "100-continue") {
+			if !equalFold(r.text[f.valueStart:f.valueEnd], "100-continue") {
 				return ErrUnsupportedExpectation
 			}
-			r.expects = true
+			r.expectsContinue = true
 		}
 	}
-	host := r.text[r.host.value:r.host.end]
-	if r.hosts != 1 || !isHost(host) {
+	host := r.text[r.host.valueStart:r.host.valueEnd]
+	if r.hostFields != 1 || !isHost(host) {
 		return ErrHost
 	}
-	if err := r.framed(); err != nil {
+	if err := r.checkFraming(); err != nil {
 		return err
 	}
-	if target := r.text[r.target.value:r.target.end]; absolute(target) {
-		authority := target[len(scheme):]
+	if target := r.text[r.target.valueStart:r.target.valueEnd]; isAbsoluteForm(target) {
+		authority := target[len(httpScheme):]
 		if i := bytes.IndexAny(authority, "/?"); i >= 0 {
 			authority = authority[:i]
 		}
 		if len(authority) == 0 || !bytes.EqualFold(authority, host) {
 			return ErrAuthorityMismatch
 		}
-		r.target.value += uint32(len(scheme) + len(authority))
-		if t := r.text[r.target.value:r.target.end]; len(t) > 0 && t[0] == '?' {
+		r.target.valueStart += uint32(len(httpScheme) + len(authority))
+		if t := r.text[r.target.valueStart:r.target.valueEnd]; len(t) > 0 && t[0] == '?' {
 			return ErrTarget // its path is empty, and the origin form has none for that
 		}
 	}
@@ -155,11 +155,11 @@
 }
 
 // Method is the request's method.
-func (r *Request) Method() []byte { return r.text[r.method.value:r.method.end] }
+func (r *Request) Method() []byte { return r.text[r.method.valueStart:r.method.valueEnd] }
 
 // Target is the request's target in origin form, or *.
 func (r *Request) Target() []byte {
-	if t := r.text[r.target.value:r.target.end]; len(t) > 0 {
+	if t := r.text[r.target.valueStart:r.target.valueEnd]; len(t) > 0 {
 		return t
 	}
 	return []byte("/")
@@ -172,17 +172,17 @@
 }
 
 // Host is the host that the request is for.
-func (r *Request) Host() []byte { return r.text[r.host.value:r.host.end] }
+func (r *Request) Host() []byte { return r.text[r.host.valueStart:r.host.valueEnd] }
 
 // ExpectsContinue tells whether the client waits for a 100 before it sends the body.
-func (r *Request) ExpectsContinue() bool { return r.expects }
+func (r *Request) ExpectsContinue() bool { return r.expectsContinue }
 
 // Framing is how the body ends.
 func (r *Request) Framing() Framing {
 	switch {
-	case r.codings > 0:
+	case r.transferEncodingFields > 0:
 		return Chunked
-	case r.length > 0:
+	case r.contentLength > 0:
 		return FixedLength
 	}
 	return NoBody
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -3,8 +3,8 @@
 // Response is an answer's head.
 type Response struct {
 	head
-	status int
-	older  bool // HTTP/1.0
+	status   int
+	isHTTP10 bool // HTTP/1.0
 }
 
 // NewResponse returns an Answer that keeps these limits.
@@ -21,36 +21,36 @@
 	*a = Response{head: h}
 }
 
-// protocol is what an answer begins with.
-const protocol = "HTTP/1."
+// protocolPrefix is what an answer begins with.
+const protocolPrefix = "HTTP/1."
 
 // Parse takes the bytes that have come since the last Reset, each time all of them. It returns
 // the length of the head once it is whole, 0 while it is not, and an *Error for what can't be
 // used, as soon as that shows.
 func (a *Response) Parse(b []byte) (int, error) {
-	return a.lines(b, a)
+	return a.parseLines(b, a)
 }
 
-func (a *Response) begins(b []byte) error {
-	if n := min(len(b), len(protocol)); string(b[:n]) != protocol[:n] {
+func (a *Response) checkPrefix(b []byte) error {
+	if n := min(len(b), len(protocolPrefix)); string(b[:n]) != protocolPrefix[:n] {
 		return ErrStatusLine
 	}
 	return nil
 }
 
-func (a *Response) empty() error { return ErrStatusLine }
+func (a *Response) handleEmptyLine() error { return ErrStatusLine }
 
-// line takes it with or without the blank after the status, which is needed and
+// parseStartLine takes it with or without the blank after the status, which is needed and
 // often left out where the reason is empty, RFC 9112, 4.
-func (a *Response) line(line []byte) error {
-	const at = len(protocol) + 2
+func (a *Response) parseStartLine(line []byte) error {
+	const at = len(protocolPrefix) + 2
 	if len(line) < at+3 || line[at-1] != ' ' || len(line) > at+3 && line[at+3] != ' ' {
 		return ErrStatusLine
 	}
-	switch line[len(protocol)] {
+	switch line[len(protocolPrefix)] {
 	case '1':
 	case '0':
-		a.older = true
+		a.isHTTP10 = true
 	default:
 		return ErrVersion
 	}
@@ -59,7 +59,7 @@
 			return ErrStatusLine
 		}
 	}
-	status, ok := decimal(line[at : at+3])
+	status, ok := parseDecimal(line[at : at+3])
 	if !ok || status < 100 || status > 599 {
 		return ErrStatusLine
 	}
@@ -67,18 +67,18 @@
 	return nil
 }
 
-func (a *Response) ended() error {
-	if err := a.framed(); err != nil {
+func (a *Response) finish() error {
+	if err := a.checkFraming(); err != nil {
 		return err
 	}
 	switch {
-	case a.older && a.codings > 0:
+	case a.isHTTP10 && a.transferEncodingFields > 0:
 		return errTransferEncodingInHTTP10
-	case (a.status < 200 || a.status == 204) && (a.codings > 0 || a.length > 0):
+	case (a.status < 200 || a.status == 204) && (a.transferEncodingFields > 0 || a.contentLength > 0):
 		return ErrFramingWithoutBody
 	}
-	if a.older && !a.keep {
-		a.close = true
+	if a.isHTTP10 && !a.keepAliveOption {
+		a.closeOption = true
 	}
 	return nil
 }
@@ -96,13 +96,13 @@
 	switch {
 	case a.status < 200 || a.status == 204 || a.status == 304 || toHead:
 		return NoBody, nil
-	case a.codings > 0:
+	case a.transferEncodingFields > 0:
 		return Chunked, nil
-	case a.length == 0:
+	case a.contentLength == 0:
 		return NoBody, nil
-	case a.length > 0:
+	case a.contentLength > 0:
 		return FixedLength, nil
-	case !a.close:
+	case !a.closeOption:
 		return NoBody, ErrUndelimitedBody
 	}
 	return UntilClose, nil
