--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -8,24 +8,25 @@
 	"sync/atomic"
 )
 
-// Why a body can't be read or written.
+// Errors of reading and writing a body, beside those of its files and those that [Body.Fail] sets.
 var (
-	ErrDiscarded = errors.New("body: its begin is not kept any more")
-	ErrStopped   = errors.New("body: its reader was stopped")
-	ErrClosed    = errors.New("body: nobody wants it any more")
+	ErrDiscarded = errors.New("body: start is no longer retained")
+	ErrStopped   = errors.New("body: reader stopped")
+	ErrClosed    = errors.New("body: closed")
 )
 
-// State says what a further attempt would find of a body.
+// State is the availability of a body to a further attempt.
 type State uint8
 
 // The states of a body.
 const (
-	Receiving   State = iota // kept so far, and not whole
-	Retained                 // whole
-	Unavailable              // not to be had from its begin any more
+	Receiving   State = iota // retained so far, but not complete
+	Retained                 // complete and retained from its start
+	Unavailable              // can no longer be read from its start
 )
 
-// Body is the body of one request. One goroutine writes it, any number read it.
+// Body is the body of one request. One goroutine writes it; any number of goroutines may read it,
+// each through its own [Reader]. Callers must call Close.
 type Body struct {
 	store         *Store
 	limits        Limits
@@ -33,36 +34,39 @@
 
 	mu              sync.Mutex
 	changed         sync.Cond
-	endOffset       int64 // bytes that have been written
-	complete        bool
-	err             error // why it broke off
-	readErr         error // why its file can't be read
-	readErrNotified bool  // lost was called for that
+	endOffset       int64 // number of bytes written so far, so the offset of the next one
+	complete        bool  // all bytes and the trailers have been received
+	err             error // why readers fail: the body broke off, or its file can't be read
+	readErr         error // why the file can't be read
+	readErrNotified bool  // onUnavailable was called for readErr
 	closed          bool
-	hadReader       bool // it has had a reader
+	hadReader       bool // a reader has been opened, even if it has been closed since
 	readers         []*Reader
 	trailers        []byte
 
-	// What is held: memory from 0 on, and behind that the file. Once it is not kept there is no file.
+	// The retained bytes: memory holds them from offset 0 on, file those behind memory.
+	// A body that is not retained has no file.
 	retained           bool
-	retentionStopped   bool // it was not kept because nobody wants it again
+	retentionStopped   bool // StopRetaining was called: no further attempt will read the body
 	memory             segment
-	countedMemoryBytes int64 // of Store.held.Memory
+	countedMemoryBytes int64 // the part of memory that counts in Store.stats.MemoryBytes
 	file               File
-	fileBytes          int64
+	fileBytes          int64 // bytes of the file that count in Store.stats.FileBytes
 
-	// What has come last, where it is in a file or not kept: the reader that is ahead has it from here.
+	// The bytes received last, used if the body has a file or is not retained. The reader that is
+	// farthest ahead reads them from here.
 	recent   segment
-	reserved []byte // what Room returned last
+	reserved []byte // the space that Reserve returned last, nil once it is committed
 }
 
-// segment is a stretch of a body in memory.
+// segment is a contiguous part of a body in memory.
 type segment struct {
-	startOffset int64 // where it begins
+	startOffset int64 // offset in the body of the first block
 	blocks      []*[BlockSize]byte
 }
 
-// freeTail is what is free behind the stretch, which ends at end.
+// freeTail returns the unused space of the last block, for a segment whose bytes end at the offset
+// end.
 func (r *segment) freeTail(end int64) []byte {
 	if len(r.blocks) == 0 {
 		return nil
@@ -70,27 +74,29 @@
 	return r.blocks[len(r.blocks)-1][BlockSize-(r.endOffset()-end):]
 }
 
-// endOffset is where the last block ends.
+// endOffset returns the offset in the body at which the last block ends.
 func (r *segment) endOffset() int64 { return r.startOffset + int64(len(r.blocks))*BlockSize }
 
-// blockAt is what of one block begins at an offset, which is inside of the stretch. It ends at end.
+// blockAt returns the bytes from the offset from, which must lie within the segment, up to the end of
+// that block or the offset end, whichever is first.
 func (r *segment) blockAt(from, end int64) []byte {
 	i := from - r.startOffset
 	return r.blocks[i/BlockSize][i%BlockSize : min(BlockSize, i%BlockSize+end-from)]
 }
 
-// New opens a body. lost is called, with nothing locked, as soon as a body that was kept is
-// found to be kept no longer. Close is owed.
-func (s *Store) New(l Limits, lost func()) *Body {
-	b := &Body{store: s, limits: l, onUnavailable: lost, retained: true}
+// New opens a body. The body calls onUnavailable, unless that is nil, as soon as it can no longer be
+// retained; no lock is held during the call. Callers must call Close.
+func (s *Store) New(l Limits, onUnavailable func()) *Body {
+	b := &Body{store: s, limits: l, onUnavailable: onUnavailable, retained: true}
 	b.changed.L = &b.mu
-	s.updateStats(func(h *Stats) { h.OpenBodies++ })
+	s.updateStats(func(st *Stats) { st.OpenBodies++ })
 	return b
 }
 
-// Reserve waits until the body may grow and returns space for up to most bytes, of which Wrote
-// tells how many are used. It fails once nobody wants the body any more.
-func (b *Body) Reserve(most int) ([]byte, error) {
+// Reserve waits until the writer is less than a window ahead of the readers and returns space for
+// between 1 and maxBytes bytes. Commit adds those that were written to it to the body. Reserve fails
+// with ErrClosed once the body is closed.
+func (b *Body) Reserve(maxBytes int) ([]byte, error) {
 	b.mu.Lock()
 	for !b.closed && b.endOffset-b.maxReadOffset() >= int64(b.limits.WindowBytes) {
 		b.changed.Wait()
@@ -99,19 +105,20 @@
 		b.mu.Unlock()
 		return nil, ErrClosed
 	}
-	was := b.retained
-	room := b.allocate()
-	lost := was && !b.retained && !b.retentionStopped
-	room = room[:min(most, int(int64(b.limits.WindowBytes)-(b.endOffset-b.maxReadOffset())), len(room))]
-	b.reserved = room
+	wasRetained := b.retained
+	space := b.allocate()
+	becameUnavailable := wasRetained && !b.retained && !b.retentionStopped
+	space = space[:min(maxBytes, int(int64(b.limits.WindowBytes)-(b.endOffset-b.maxReadOffset())), len(space))]
+	b.reserved = space
 	b.mu.Unlock()
-	if lost && b.onUnavailable != nil {
+	if becameUnavailable && b.onUnavailable != nil {
 		b.onUnavailable()
 	}
-	return room, nil
+	return space, nil
 }
 
-// allocate finds where the next bytes go. A body that finds none is kept no longer.
+// allocate returns space for the next bytes. A body for which neither memory nor a file has space
+// within the limits is discarded; its bytes then pass through recent only. Callers must hold b.mu.
 func (b *Body) allocate() []byte {
 	if b.retained && b.retentionStopped {
 		b.discard()
@@ -120,103 +127,109 @@
 		if tail := b.memory.freeTail(b.endOffset); len(tail) > 0 {
 			return tail
 		}
-		held := int64(len(b.memory.blocks)) * BlockSize
+		memoryBytes := int64(len(b.memory.blocks)) * BlockSize
 		switch {
-		case held < int64(b.limits.WindowBytes):
+		case memoryBytes < int64(b.limits.WindowBytes):
 			return b.appendBlock(&b.memory)
-		case held+BlockSize <= b.limits.MemoryBytes && b.store.addWithin(&b.store.stats.MemoryBytes, BlockSize, b.limits.TotalMemoryBytes):
+		case memoryBytes+BlockSize <= b.limits.MemoryBytes && b.store.addWithin(&b.store.stats.MemoryBytes, BlockSize, b.limits.TotalMemoryBytes):
 			b.countedMemoryBytes += BlockSize
 			return b.appendBlock(&b.memory)
 		case b.limits.FileBytes > 0:
 			if f, err := b.store.openFile(); err == nil {
 				b.file = f
 				b.recent.startOffset = b.endOffset
-				b.store.updateStats(func(h *Stats) { h.OpenFiles++ })
+				b.store.updateStats(func(st *Stats) { st.OpenFiles++ })
 			} else {
-				b.store.updateStats(func(h *Stats) { h.FileErrors++ })
+				b.store.updateStats(func(st *Stats) { st.FileErrors++ })
 			}
 		}
 	}
-	left := b.limits.FileBytes - b.fileBytes
-	if b.retained && (b.file == nil || left <= 0) {
+	remainingFileBytes := b.limits.FileBytes - b.fileBytes
+	if b.retained && (b.file == nil || remainingFileBytes <= 0) {
 		b.discard()
 	}
 	if r := &b.recent; len(r.blocks) > 0 && len(b.readers) == 1 && b.readers[0].offset == b.endOffset {
-		r.blocks, r.startOffset = r.blocks[:1], b.endOffset // all has been read: begin again, to read as much as can be at once
+		// The only reader has read everything: start over with a whole block, so that the writer
+		// can receive as much as possible at once.
+		r.blocks, r.startOffset = r.blocks[:1], b.endOffset
 	}
-	room := b.recent.freeTail(b.endOffset)
-	if len(room) == 0 {
-		room = b.appendBlock(&b.recent)
+	space := b.recent.freeTail(b.endOffset)
+	if len(space) == 0 {
+		space = b.appendBlock(&b.recent)
 	}
-	if b.file != nil && int64(len(room)) > left {
-		room = room[:left]
+	if b.file != nil && int64(len(space)) > remainingFileBytes {
+		space = space[:remainingFileBytes]
 	}
-	return room
+	return space
 }
 
+// appendBlock adds a block to the segment and returns it.
 func (b *Body) appendBlock(r *segment) []byte {
-	k := b.store.getBlock()
-	r.blocks = append(r.blocks, k)
-	return k[:]
+	block := b.store.getBlock()
+	r.blocks = append(r.blocks, block)
+	return block[:]
 }
 
-// Commit adds the first n bytes of what Room returned to the body.
+// Commit adds the first n bytes of the space that Reserve returned to the body. It fails with
+// ErrClosed once the body is closed.
 func (b *Body) Commit(n int) error {
 	b.mu.Lock()
 	if b.closed {
 		b.mu.Unlock()
 		return ErrClosed
 	}
-	lost := false
+	becameUnavailable := false
 	if b.file != nil {
-		lost = b.spill(b.reserved[:n])
+		becameUnavailable = b.spill(b.reserved[:n])
 	} else {
 		b.endOffset += int64(n)
 	}
 	b.reserved = nil
 	b.changed.Broadcast()
 	b.mu.Unlock()
-	if lost && b.onUnavailable != nil {
+	if becameUnavailable && b.onUnavailable != nil {
 		b.onUnavailable()
 	}
 	return nil
 }
 
-// spill writes bytes to the file. If they don't all go in, the body is kept no longer; they are among
-// what has come last.
-func (b *Body) spill(p []byte) (lost bool) {
-	from := b.endOffset
+// spill appends the bytes p, which lie in recent too, to the file. If the file can't take all of them,
+// the body is discarded; the reader that is farthest ahead still finds them in recent. Callers must
+// hold b.mu.
+func (b *Body) spill(p []byte) (becameUnavailable bool) {
+	startOffset := b.endOffset
 	b.endOffset += int64(len(p))
 	if b.store.addWithin(&b.store.stats.FileBytes, int64(len(p)), b.limits.TotalFileBytes) {
 		b.fileBytes += int64(len(p))
-		if n, err := b.file.WriteAt(p, from-b.memory.endOffset()); err == nil && n == len(p) {
+		if n, err := b.file.WriteAt(p, startOffset-b.memory.endOffset()); err == nil && n == len(p) {
 			return false
 		}
-		b.store.updateStats(func(h *Stats) { h.FileErrors++ })
+		b.store.updateStats(func(st *Stats) { st.FileErrors++ })
 	}
 	b.discard()
 	return true
 }
 
-// discard keeps the body no longer: the reader that is ahead goes on from what has come last, the rest
-// is dropped, and whoever is farther behind is told.
+// discard stops retaining the body: the reader that is farthest ahead continues from recent, all else
+// is dropped, and readers that are farther behind fail with ErrDiscarded. Callers must hold b.mu.
 func (b *Body) discard() {
-	if b.file == nil { // what has come last is at the end of memory
+	if b.file == nil { // then the bytes received last are at the end of memory
 		b.recent, b.memory = b.memory, segment{}
 		b.trimRecent(len(b.readers) == 1)
 	}
 	b.retained = false
 	if !b.retentionStopped {
-		b.store.updateStats(func(h *Stats) { h.DiscardedBodies++ })
+		b.store.updateStats(func(st *Stats) { st.DiscardedBodies++ })
 	}
-	b.memory.blocks = nil // not to the pool: a reader may be looking at one
+	b.memory.blocks = nil // not returned to the pool: a reader may be using one
 	b.releaseStorage()
 }
 
-// trimRecent drops what of the last bytes the reader that is ahead has passed.
-func (b *Body) trimRecent(again bool) {
+// trimRecent drops the blocks of recent that the reader that is farthest ahead has read. They go back to
+// the pool if reuse is set, which is allowed only if no other reader may be using them.
+func (b *Body) trimRecent(reuse bool) {
 	for len(b.recent.blocks) > 0 && b.maxReadOffset()-b.recent.startOffset >= BlockSize {
-		if again {
+		if reuse {
 			b.store.blocks.Put(b.recent.blocks[0])
 		}
 		b.recent.blocks = slices.Delete(b.recent.blocks, 0, 1)
@@ -224,32 +237,34 @@
 	}
 }
 
-// releaseStorage gives back what is counted: memory beyond the window, and the file.
+// releaseStorage releases what counts against the store's totals: memory beyond the window, and the
+// file.
 func (b *Body) releaseStorage() {
-	file, taken, filed := b.file, b.countedMemoryBytes, b.fileBytes
+	file, memoryBytes, fileBytes := b.file, b.countedMemoryBytes, b.fileBytes
 	b.file, b.countedMemoryBytes, b.fileBytes = nil, 0, 0
-	b.store.updateStats(func(h *Stats) {
-		h.MemoryBytes -= taken
-		h.FileBytes -= filed
+	b.store.updateStats(func(st *Stats) {
+		st.MemoryBytes -= memoryBytes
+		st.FileBytes -= fileBytes
 		if file != nil {
-			h.OpenFiles--
+			st.OpenFiles--
 		}
 	})
 	if file != nil {
-		file.Close() // it has no name: there is nothing left to lose
+		file.Close() // the error doesn't matter: the file has no name, so its data goes either way
 	}
 }
 
-// maxReadOffset is how far the reader has come that is ahead.
+// maxReadOffset returns the offset of the reader that is farthest ahead, 0 if there is no reader.
 func (b *Body) maxReadOffset() int64 {
-	most := int64(0)
+	offset := int64(0)
 	for _, r := range b.readers {
-		most = max(most, r.offset)
+		offset = max(offset, r.offset)
 	}
-	return most
+	return offset
 }
 
-// Complete ends the body, which is whole, with the trailers that came behind it, whole lines.
+// Complete marks the body as complete. The trailers that followed it are whole lines, each with its
+// CRLF.
 func (b *Body) Complete(trailers []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -257,13 +272,14 @@
 	b.changed.Broadcast()
 }
 
-// Fail ends the body, which is not whole. Its readers are told why.
+// Fail ends a body that broke off before it was complete. Its readers fail with err.
 func (b *Body) Fail(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fail(err)
 }
 
+// fail sets the error of readers, unless the body is complete or has one. Callers must hold b.mu.
 func (b *Body) fail(err error) {
 	if b.err == nil && !b.complete {
 		b.err = err
@@ -271,7 +287,8 @@
 	b.changed.Broadcast()
 }
 
-// StopRetaining tells that nobody will want the body from its begin again.
+// StopRetaining states that no further attempt will read the body from its start, so that its storage
+// can be released.
 func (b *Body) StopRetaining() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -279,13 +296,15 @@
 		return
 	}
 	b.retentionStopped = true
-	if b.reserved == nil && b.endOffset-b.maxReadOffset() <= int64(b.limits.WindowBytes) { // else as the next bytes come, or at the end
+	// Otherwise allocate discards the body when the next bytes arrive, or Close does at the end.
+	if b.reserved == nil && b.endOffset-b.maxReadOffset() <= int64(b.limits.WindowBytes) {
 		b.discard()
 		b.changed.Broadcast()
 	}
 }
 
-// Close gives all back. Whoever waits for the body fails.
+// Close releases all storage. Pending and later reads and writes fail with ErrClosed. Closing a body
+// twice is harmless.
 func (b *Body) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -294,11 +313,11 @@
 	}
 	b.closed, b.retained, b.memory.blocks, b.recent.blocks = true, false, nil, nil
 	b.releaseStorage()
-	b.store.updateStats(func(h *Stats) { h.OpenBodies-- })
+	b.store.updateStats(func(st *Stats) { st.OpenBodies-- })
 	b.changed.Broadcast()
 }
 
-// State tells what a further attempt would find.
+// State returns the availability of the body to a further attempt.
 func (b *Body) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -311,7 +330,7 @@
 	return Receiving
 }
 
-// WaitForReader waits for the first reader, and tells whether one came.
+// WaitForReader waits for the first reader or for Close and reports whether there has been a reader.
 func (b *Body) WaitForReader() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -321,16 +340,18 @@
 	return b.hadReader
 }
 
-// Reader reads a body from its begin, at its own pace. One goroutine uses it, but for Stop.
+// Reader reads a body from its start, independently of other readers. Only one goroutine may use it,
+// except that any may call Stop. Callers must call Close.
 type Reader struct {
 	body    *Body
 	offset  int64
 	stopped atomic.Bool
-	buf     *[BlockSize]byte // for what is in the file
+	buf     *[BlockSize]byte // holds what was read from the file
 }
 
-// Reader begins to read. It fails with ErrNotKept where the begin is gone: no request goes out
-// again without its body. Close is owed.
+// Reader opens a reader at the start of the body. It fails with ErrDiscarded if the start is no longer
+// retained, since no request may be sent again without its body; with ErrClosed if the body is closed;
+// and with the error of Fail or of the file if there was one.
 func (b *Body) Reader() (*Reader, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -349,21 +370,22 @@
 	return r, nil
 }
 
-// Next waits for more of the body and returns it, io.EOF at its end. What it returns is valid
-// until Advance.
+// Next waits for more of the body and returns the bytes at the reader's offset, at most BlockSize, or
+// io.EOF at the end of a complete body. The bytes are valid until Advance.
 func (r *Reader) Next() ([]byte, error) {
 	b := r.body
 	b.mu.Lock()
 	p, err := r.next()
-	lost := err != nil && err == b.readErr && !b.readErrNotified
-	b.readErrNotified = b.readErrNotified || lost
+	becameUnavailable := err != nil && err == b.readErr && !b.readErrNotified
+	b.readErrNotified = b.readErrNotified || becameUnavailable
 	b.mu.Unlock()
-	if lost && b.onUnavailable != nil {
+	if becameUnavailable && b.onUnavailable != nil {
 		b.onUnavailable()
 	}
 	return p, err
 }
 
+// next is Next with the body's lock held.
 func (r *Reader) next() ([]byte, error) {
 	b := r.body
 	for {
@@ -383,13 +405,14 @@
 	}
 }
 
-// dataFor returns what is there of the body for a reader.
+// dataFor returns the bytes at the offset of a reader that is not at the end: from recent if they are
+// there, else from memory or the file. Callers must hold b.mu.
 func (b *Body) dataFor(r *Reader) ([]byte, error) {
-	recent := b.file != nil || !b.retained
+	usesRecent := b.file != nil || !b.retained
 	switch {
-	case recent && r.offset >= b.recent.startOffset:
+	case usesRecent && r.offset >= b.recent.startOffset:
 		return b.recent.blockAt(r.offset, b.endOffset), nil
-	case !b.retained: // another was ahead
+	case !b.retained: // another reader was ahead, so recent starts behind this one's offset
 		return nil, ErrDiscarded
 	case b.file == nil:
 		return b.memory.blockAt(r.offset, b.endOffset), nil
@@ -401,42 +424,43 @@
 	}
 	p := r.buf[:min(BlockSize, b.recent.startOffset-r.offset)]
 	if _, err := b.file.ReadAt(p, r.offset-b.memory.endOffset()); err != nil {
-		b.store.updateStats(func(h *Stats) { h.FileErrors++ })
-		b.err, b.readErr = err, err // also where it is whole: what can't be read again is not kept
+		b.store.updateStats(func(st *Stats) { st.FileErrors++ })
+		b.err, b.readErr = err, err // even if the body is complete: if it can't be read again, it isn't retained
 		b.changed.Broadcast()
 		return nil, err
 	}
 	return p, nil
 }
 
-// Advance passes over n bytes of what Next returned.
+// Advance moves the reader past the first n of the bytes that Next returned.
 func (r *Reader) Advance(n int) {
 	b := r.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.offset += int64(n)
 	if !b.closed && (b.file != nil || !b.retained) {
-		b.trimRecent(len(b.readers) == 1) // else another may be looking at it
+		b.trimRecent(len(b.readers) == 1) // with more readers, another may be using a block
 	}
 	b.changed.Broadcast()
 }
 
-// Trailers are those of a body that has been read to its end.
+// Trailers returns the trailers of a body that has been read to its end.
 func (r *Reader) Trailers() []byte {
 	r.body.mu.Lock()
 	defer r.body.mu.Unlock()
 	return r.body.trailers
 }
 
-// Stop has Next return ErrStopped. It does not wait, also where the body is being written to a disk
-// that is slow: whoever calls it may hold up everybody else.
+// Stop makes a pending and all later calls of Next return ErrStopped. It never blocks, not even while
+// the body is locked for a write to a slow disk: a caller of Stop that waits may hold up all other
+// requests.
 func (r *Reader) Stop() {
 	r.stopped.Store(true)
 	if b := r.body; b.mu.TryLock() {
 		b.changed.Broadcast()
 		b.mu.Unlock()
 	} else {
-		go func() { // a reader that has looked and does not wait yet would miss it now
+		go func() { // a reader that has checked stopped but does not wait yet would miss a broadcast now
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.changed.Broadcast()
@@ -444,12 +468,12 @@
 	}
 }
 
-// Close ends reading.
+// Close removes the reader from its body.
 func (r *Reader) Close() {
 	b := r.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.readers = slices.DeleteFunc(b.readers, func(x *Reader) bool { return x == r })
+	b.readers = slices.DeleteFunc(b.readers, func(other *Reader) bool { return other == r })
 	if r.buf != nil {
 		b.store.blocks.Put(r.buf)
 		r.buf = nil
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -14,55 +14,56 @@
 	"pgregory.net/rapid"
 )
 
-// faultyFile is a file that fails as it is told to.
+// faultyFile is a file in memory whose operations fail as configured.
 type faultyFile struct {
 	data             []byte
-	writeErr         error // of writes, once room is used up
-	capacity         int
-	silentShortWrite bool // a write that does not fit comes up short without an error
-	readErr          error
+	writeErr         error // returned by writes beyond capacity
+	capacity         int   // bytes
+	silentShortWrite bool  // a write beyond capacity returns a short count without an error
+	readErr          error // returned by all reads
 	closed           bool
-	openFiles        *int
+	openFiles        *int // decremented by the first Close
 }
 
-func (d *faultyFile) WriteAt(p []byte, off int64) (int, error) {
-	n := min(len(p), max(d.capacity-int(off), 0))
-	d.data = append(d.data[:off], p[:n]...)
-	if n < len(p) && !d.silentShortWrite {
-		return n, d.writeErr
+func (f *faultyFile) WriteAt(p []byte, off int64) (int, error) {
+	n := min(len(p), max(f.capacity-int(off), 0))
+	f.data = append(f.data[:off], p[:n]...)
+	if n < len(p) && !f.silentShortWrite {
+		return n, f.writeErr
 	}
 	return n, nil
 }
 
-func (d *faultyFile) ReadAt(p []byte, off int64) (int, error) {
-	if d.readErr != nil {
-		return 0, d.readErr
+func (f *faultyFile) ReadAt(p []byte, off int64) (int, error) {
+	if f.readErr != nil {
+		return 0, f.readErr
 	}
-	return copy(p, d.data[off:]), nil
+	return copy(p, f.data[off:]), nil
 }
 
-func (d *faultyFile) Close() error {
-	if !d.closed {
-		d.closed = true
-		*d.openFiles--
+func (f *faultyFile) Close() error {
+	if !f.closed {
+		f.closed = true
+		*f.openFiles--
 	}
 	return nil
 }
 
+// randomBytes returns n bytes that depend on n only.
 func randomBytes(n int) []byte {
 	p := make([]byte, n)
 	rand.NewChaCha8([32]byte{byte(n), byte(n >> 8)}).Read(p)
 	return p
 }
 
-// writeBody writes all of a body, as fast as it is taken.
+// writeBody writes p to the body as fast as its window allows, and completes it with a trailer.
 func writeBody(b *Body, p []byte) error {
 	for len(p) > 0 {
-		room, err := b.Reserve(len(p))
+		space, err := b.Reserve(len(p))
 		if err != nil {
 			return err
 		}
-		n := copy(room, p)
+		n := copy(space, p)
 		if err := b.Commit(n); err != nil {
 			return err
 		}
@@ -72,28 +73,29 @@
 	return nil
 }
 
+// readBody reads the rest of a body.
 func readBody(r *Reader) ([]byte, error) {
-	var out []byte
+	var data []byte
 	for {
 		p, err := r.Next()
 		if err == io.EOF {
-			return out, nil
+			return data, nil
 		}
 		if err != nil {
-			return out, err
+			return data, err
 		}
-		out = append(out, p...)
+		data = append(data, p...)
 		r.Advance(len(p))
 	}
 }
 
-// A body that goes through memory and a file comes out of each as it went in, again and again,
-// and leaves nothing: no file, no name in the folder.
+// A body that spans memory and a file must be read unchanged by its first reader and by each later one.
+// Nothing may be left behind: no counted storage, and no name in the directory even while it is open.
 func TestReadersReadRetainedBodyRepeatedly(t *testing.T) {
 	dir := t.TempDir()
 	s := NewStore(dir)
 	want := randomBytes(300_000)
-	b := s.New(Limits{WindowBytes: BlockSize, MemoryBytes: 4 * BlockSize, TotalMemoryBytes: 1 << 20, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { t.Error("lost") })
+	b := s.New(Limits{WindowBytes: BlockSize, MemoryBytes: 4 * BlockSize, TotalMemoryBytes: 1 << 20, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { t.Error("body became unavailable") })
 	r, err := b.Reader()
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +111,7 @@
 	first, err := readBody(r)
 	wg.Wait()
 	if err != nil || sha256.Sum256(first) != sha256.Sum256(want) || string(r.Trailers()) != "A: b\r\n" {
-		t.Errorf("first: %v, %d bytes, %q", err, len(first), r.Trailers())
+		t.Errorf("first reader: %v, %d bytes, %q", err, len(first), r.Trailers())
 	}
 	r.Close()
 	if got := s.Stats(); got != (Stats{OpenBodies: 1, MemoryBytes: 3 * BlockSize, OpenFiles: 1, FileBytes: 300_000 - 4*BlockSize}) {
@@ -117,17 +119,17 @@
 	}
 	names, err := os.ReadDir(dir)
 	if err != nil || len(names) > 0 {
-		t.Errorf("%v %v: a crash now would leave them behind", names, err)
+		t.Errorf("names in the directory: %v, %v; a crash now would leave them behind", names, err)
 	}
-	var again [2]*Reader // a hedge beside a retry
-	for i := range again {
-		if again[i], err = b.Reader(); err != nil {
+	var laterReaders [2]*Reader // a retry and a hedge beside it
+	for i := range laterReaders {
+		if laterReaders[i], err = b.Reader(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, r := range again {
+	for _, r := range laterReaders {
 		if got, err := readBody(r); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("again: %v, %d bytes", err, len(got))
+			t.Errorf("later reader: %v, %d bytes", err, len(got))
 		}
 	}
 	if b.State() != Retained {
@@ -135,29 +137,29 @@
 	}
 	b.Close()
 	if got := s.Stats(); got != (Stats{}) {
-		t.Errorf("left: %+v", got)
+		t.Errorf("stats after all bodies are closed: %+v", got)
 	}
 }
 
-// The disk fails in every way while a body is kept there: the attempt that is out gets the
-// whole of it all the same, no other is let begin, and the file goes at once.
+// When writing a body to its file fails, in whichever way, the attempt in flight must still get the
+// complete body, no further reader may be opened, and the file must be closed at once.
 func TestWriteFailureMakesBodyUnavailable(t *testing.T) {
-	for name, d := range map[string]faultyFile{
+	for name, file := range map[string]faultyFile{
 		"ENOSPC": {writeErr: syscall.ENOSPC, capacity: 50_000}, "EDQUOT": {writeErr: syscall.EDQUOT, capacity: 50_000},
-		"short": {silentShortWrite: true, capacity: 50_001}, "at once": {writeErr: syscall.EIO}, "no file": {capacity: -1},
+		"short write": {silentShortWrite: true, capacity: 50_001}, "first write": {writeErr: syscall.EIO}, "open": {capacity: -1},
 	} {
-		open := 0
+		openFiles := 0
 		s := NewStoreWithFileOpener(func() (File, error) {
-			if d.capacity < 0 {
+			if file.capacity < 0 {
 				return nil, syscall.EMFILE
 			}
-			open++
-			f := d
-			f.openFiles = &open
+			openFiles++
+			f := file
+			f.openFiles = &openFiles
 			return &f, nil
 		})
-		lost := 0
-		b := s.New(Limits{WindowBytes: BlockSize, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { lost++ })
+		notifications := 0
+		b := s.New(Limits{WindowBytes: BlockSize, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { notifications++ })
 		r, err := b.Reader()
 		if err != nil {
 			t.Fatal(err)
@@ -169,46 +171,48 @@
 			t.Errorf("%s: %v, %d bytes", name, err, len(got))
 		}
 		if _, err := b.Reader(); err != ErrDiscarded || b.State() != Unavailable {
-			t.Errorf("%s: another may begin: %v", name, err)
+			t.Errorf("%s: a further reader can be opened: %v", name, err)
 		}
-		if s := s.Stats(); lost != 1 || open != 0 || s.OpenFiles != 0 || s.FileBytes != 0 || s.DiscardedBodies != 1 || s.FileErrors != 1 {
-			t.Errorf("%s: told %d times, %d files open, %+v", name, lost, open, s)
+		if s := s.Stats(); notifications != 1 || openFiles != 0 || s.OpenFiles != 0 || s.FileBytes != 0 || s.DiscardedBodies != 1 || s.FileErrors != 1 {
+			t.Errorf("%s: %d notifications, %d files open, %+v", name, notifications, openFiles, s)
 		}
 		b.Close()
 	}
 }
 
-// A file that can't be read again fails its reader, and the body is not kept any more.
+// A file that can't be read must fail its reader and make the body unavailable, with one notification,
+// even though the body is complete.
 func TestReadFailureMakesBodyUnavailable(t *testing.T) {
-	d := &faultyFile{capacity: 1 << 20, openFiles: new(int)}
-	s := NewStoreWithFileOpener(func() (File, error) { return d, nil })
-	lost := 0
-	b := s.New(Limits{WindowBytes: BlockSize, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { lost++ })
+	file := &faultyFile{capacity: 1 << 20, openFiles: new(int)}
+	s := NewStoreWithFileOpener(func() (File, error) { return file, nil })
+	notifications := 0
+	b := s.New(Limits{WindowBytes: BlockSize, FileBytes: 1 << 20, TotalFileBytes: 1 << 20}, func() { notifications++ })
 	r, _ := b.Reader()
 	go writeBody(b, randomBytes(100_000))
 	if _, err := readBody(r); err != nil {
 		t.Fatal(err)
 	}
 	r.Close()
-	d.readErr = syscall.EIO
-	again, err := b.Reader()
+	file.readErr = syscall.EIO
+	secondReader, err := b.Reader()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if _, err := readBody(again); !errors.Is(err, syscall.EIO) || b.State() != Unavailable || lost != 1 {
-			t.Errorf("%v, state %d, told %d times", err, b.State(), lost)
+		if _, err := readBody(secondReader); !errors.Is(err, syscall.EIO) || b.State() != Unavailable || notifications != 1 {
+			t.Errorf("%v, state %d, %d notifications", err, b.State(), notifications)
 		}
 	}
 	b.Close()
 }
 
-// Whoever waits for the other side is woken as the body ends.
+// A reader that waits for bytes, and a writer that waits for a reader or for its window, must wake when
+// the body ends. A missed wake-up makes the test time out.
 func TestEndOfBodyWakesWaiters(t *testing.T) {
 	s := NewStore(t.TempDir())
 	for name, end := range map[string]func(b *Body, r *Reader){
 		"close": func(b *Body, _ *Reader) { b.Close() },
-		"break": func(b *Body, _ *Reader) { b.Fail(io.ErrUnexpectedEOF); b.Close() },
+		"fail": func(b *Body, _ *Reader) { b.Fail(io.ErrUnexpectedEOF); b.Close() },
 		"stop":  func(b *Body, r *Reader) { r.Stop(); b.Close() },
 	} {
 		b := s.New(Limits{WindowBytes: BlockSize}, nil)
@@ -235,35 +239,35 @@
 		go func() {
 			defer wg.Done()
 			if b.WaitForReader() {
-				t.Errorf("%s: wanted by nobody", name)
+				t.Errorf("%s: WaitForReader reports a reader where there was none", name)
 			}
 		}()
 		b.Close()
 		wg.Wait()
 	}
 	if got := s.Stats(); got != (Stats{}) {
-		t.Errorf("left: %+v", got)
+		t.Errorf("stats after all bodies are closed: %+v", got)
 	}
 }
 
-// blockingFile is a file on a disk that takes its time.
+// blockingFile is a file whose writes block until unblock is closed.
 type blockingFile struct {
 	File
 	writeStarted, unblock chan struct{}
-	once                  *sync.Once
+	once                  *sync.Once // closes writeStarted
 }
 
-func (s blockingFile) WriteAt(p []byte, off int64) (int, error) {
-	s.once.Do(func() { close(s.writeStarted) })
-	<-s.unblock
+func (f blockingFile) WriteAt(p []byte, off int64) (int, error) {
+	f.once.Do(func() { close(f.writeStarted) })
+	<-f.unblock
 	return len(p), nil
 }
 
-// A disk that hangs holds up nobody but its own body's readers: one is stopped all the same by
-// whoever must not wait, and is told once the disk is back.
+// A disk that hangs may delay only the readers of its own body. The body is locked during the write, so
+// Stop must return without that lock; the reader gets ErrStopped once the write is done.
 func TestReaderStopDoesNotWaitForFileWrite(t *testing.T) {
-	d := blockingFile{&faultyFile{openFiles: new(int)}, make(chan struct{}), make(chan struct{}), new(sync.Once)}
-	s := NewStoreWithFileOpener(func() (File, error) { return d, nil })
+	file := blockingFile{&faultyFile{openFiles: new(int)}, make(chan struct{}), make(chan struct{}), new(sync.Once)}
+	s := NewStoreWithFileOpener(func() (File, error) { return file, nil })
 	b := s.New(Limits{WindowBytes: BlockSize, FileBytes: BlockSize, TotalFileBytes: BlockSize}, nil)
 	r, _ := b.Reader()
 	go writeBody(b, randomBytes(3*BlockSize))
@@ -272,21 +276,21 @@
 			r.Advance(len(p))
 		}
 	}()
-	<-d.writeStarted
-	r.Stop() // would never return if it waited: the test times out
-	close(d.unblock)
+	<-file.writeStarted
+	r.Stop() // if it waited for the write, it would never return and the test would time out
+	close(file.unblock)
 	if _, err := r.Next(); err != ErrStopped {
 		t.Errorf("%v", err)
 	}
 	b.Close()
 }
 
-// What all together keep stays within its bound: who comes too late is not kept, and passes on
-// all the same.
+// All bodies together must stay within the total limits. A body that finds them used up is not
+// retained, but its reader must still get all of it.
 func TestTotalLimitsHold(t *testing.T) {
 	s := NewStore(t.TempDir())
 	l := Limits{WindowBytes: BlockSize, MemoryBytes: 8 * BlockSize, TotalMemoryBytes: 4 * BlockSize, FileBytes: 8 * BlockSize, TotalFileBytes: 4 * BlockSize}
-	var open []*Body
+	var openBodies []*Body
 	states := map[State]int{}
 	for range 10 {
 		b := s.New(l, nil)
@@ -300,160 +304,161 @@
 		if got := s.Stats(); got.MemoryBytes > l.TotalMemoryBytes || got.FileBytes > l.TotalFileBytes {
 			t.Fatalf("%+v", got)
 		}
-		open = append(open, b)
+		openBodies = append(openBodies, b)
 	}
 	if states[Retained] != 1 || states[Unavailable] != 9 {
 		t.Errorf("%v", states)
 	}
-	for _, b := range open {
+	for _, b := range openBodies {
 		b.Close()
 	}
 	if got := s.Stats(); got != (Stats{DiscardedBodies: 9}) {
-		t.Errorf("left: %+v", got)
+		t.Errorf("stats after all bodies are closed: %+v", got)
 	}
 }
 
-// A random life of bodies against a plain model: each reader reads what was written, in order,
-// or is told that it can't; a reader is let begin only while all is kept; nothing is left.
+// Random operations on several bodies, compared with a simple model: each reader reads the bytes that
+// were written, in order, or gets an error; a reader can be opened only while the body is available from
+// its start; limits hold throughout, and no storage is left at the end.
 func TestBodiesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		open := 0
+		openFiles := 0
 		s := NewStoreWithFileOpener(func() (File, error) {
-			if rapid.IntRange(0, 5).Draw(t, "open") == 0 {
+			if rapid.IntRange(0, 5).Draw(t, "open file") == 0 {
 				return nil, syscall.EMFILE
 			}
-			open++
-			return &faultyFile{openFiles: &open, writeErr: syscall.ENOSPC, capacity: rapid.IntRange(0, 8*BlockSize).Draw(t, "room"),
-				silentShortWrite: rapid.Bool().Draw(t, "short")}, nil
+			openFiles++
+			return &faultyFile{openFiles: &openFiles, writeErr: syscall.ENOSPC, capacity: rapid.IntRange(0, 8*BlockSize).Draw(t, "capacity"),
+				silentShortWrite: rapid.Bool().Draw(t, "short write")}, nil
 		})
 		l := Limits{
-			WindowBytes: rapid.IntRange(1, 3*BlockSize).Draw(t, "window"), MemoryBytes: rapid.Int64Range(0, 6*BlockSize).Draw(t, "memory"),
-			FileBytes: rapid.Int64Range(0, 6*BlockSize).Draw(t, "file"), TotalMemoryBytes: rapid.Int64Range(0, 8*BlockSize).Draw(t, "memory all"),
-			TotalFileBytes: rapid.Int64Range(0, 8*BlockSize).Draw(t, "files all"),
+			WindowBytes: rapid.IntRange(1, 3*BlockSize).Draw(t, "window"), MemoryBytes: rapid.Int64Range(0, 6*BlockSize).Draw(t, "memory per body"),
+			FileBytes: rapid.Int64Range(0, 6*BlockSize).Draw(t, "file per body"), TotalMemoryBytes: rapid.Int64Range(0, 8*BlockSize).Draw(t, "total memory"),
+			TotalFileBytes: rapid.Int64Range(0, 8*BlockSize).Draw(t, "total files"),
 		}
-		type one struct {
-			b       *Body
-			written []byte
-			whole   bool
-			readers []*Reader
-			lost    int
+		type modelBody struct {
+			body          *Body
+			written       []byte
+			complete      bool
+			readers       []*Reader
+			notifications int
 		}
-		type pair struct {
-			o *one
-			r *Reader
+		type modelReader struct {
+			model  *modelBody
+			reader *Reader
 		}
-		var all []*one
-		pick := func(t *rapid.T) *one {
-			if len(all) == 0 {
-				t.Skip("none")
+		var openBodies []*modelBody
+		drawBody := func(t *rapid.T) *modelBody {
+			if len(openBodies) == 0 {
+				t.Skip("no open body")
 			}
-			return rapid.SampledFrom(all).Draw(t, "body")
+			return rapid.SampledFrom(openBodies).Draw(t, "body")
 		}
-		reader := func(t *rapid.T) pair {
-			o := pick(t)
-			if len(o.readers) == 0 {
+		drawReader := func(t *rapid.T) modelReader {
+			m := drawBody(t)
+			if len(m.readers) == 0 {
 				t.Skip("no reader")
 			}
-			return pair{o, rapid.SampledFrom(o.readers).Draw(t, "reader")}
+			return modelReader{m, rapid.SampledFrom(m.readers).Draw(t, "reader")}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"open": func(t *rapid.T) {
-				o := new(one)
-				o.b = s.New(l, func() { o.lost++ })
-				all = append(all, o)
+				m := new(modelBody)
+				m.body = s.New(l, func() { m.notifications++ })
+				openBodies = append(openBodies, m)
 			},
 			"write": func(t *rapid.T) {
-				o := pick(t)
-				ahead := int64(0)
-				for _, r := range o.readers {
-					ahead = max(ahead, r.offset)
+				m := drawBody(t)
+				maxReadOffset := int64(0)
+				for _, r := range m.readers {
+					maxReadOffset = max(maxReadOffset, r.offset)
 				}
-				if o.whole || int64(len(o.written))-ahead >= int64(l.WindowBytes) {
-					t.Skip("it would wait")
+				if m.complete || int64(len(m.written))-maxReadOffset >= int64(l.WindowBytes) {
+					t.Skip("the body is complete, or Reserve would wait")
 				}
-				room, err := o.b.Reserve(rapid.IntRange(1, 2*BlockSize).Draw(t, "most"))
+				space, err := m.body.Reserve(rapid.IntRange(1, 2*BlockSize).Draw(t, "max bytes"))
 				if err != nil {
-					t.Skip("broken")
+					t.Skip("Reserve failed")
 				}
-				n := copy(room, randomBytes(len(room)))
-				o.written = append(o.written, room[:n]...)
-				o.b.Commit(n)
+				n := copy(space, randomBytes(len(space)))
+				m.written = append(m.written, space[:n]...)
+				m.body.Commit(n)
 			},
 			"finish": func(t *rapid.T) {
-				o := pick(t)
-				o.whole = true
-				o.b.Complete(nil)
+				m := drawBody(t)
+				m.complete = true
+				m.body.Complete(nil)
 			},
-			"begin": func(t *rapid.T) {
-				o := pick(t)
-				state := o.b.State()
-				r, err := o.b.Reader()
+			"attach reader": func(t *rapid.T) {
+				m := drawBody(t)
+				state := m.body.State()
+				r, err := m.body.Reader()
 				if (err == nil) != (state != Unavailable) {
-					t.Fatalf("state %d, yet %v", state, err)
+					t.Fatalf("state %d, but Reader returns %v", state, err)
 				}
 				if err == nil {
-					o.readers = append(o.readers, r)
+					m.readers = append(m.readers, r)
 				}
 			},
 			"read": func(t *rapid.T) {
-				p := reader(t)
-				if p.r.offset == int64(len(p.o.written)) && !p.o.whole {
-					t.Skip("it would wait")
+				r := drawReader(t)
+				if r.reader.offset == int64(len(r.model.written)) && !r.model.complete {
+					t.Skip("Next would wait")
 				}
-				got, err := p.r.Next()
+				got, err := r.reader.Next()
 				if err != nil {
-					if len(got) > 0 || err == io.EOF && p.r.offset != int64(len(p.o.written)) {
-						t.Fatalf("%v at %d of %d", err, p.r.offset, len(p.o.written))
+					if len(got) > 0 || err == io.EOF && r.reader.offset != int64(len(r.model.written)) {
+						t.Fatalf("%v at %d of %d", err, r.reader.offset, len(r.model.written))
 					}
 					return
 				}
 				n := rapid.IntRange(0, len(got)).Draw(t, "n")
-				if !bytes.Equal(got, p.o.written[p.r.offset:][:len(got)]) {
-					t.Fatalf("at %d of %d something else", p.r.offset, len(p.o.written))
+				if !bytes.Equal(got, r.model.written[r.reader.offset:][:len(got)]) {
+					t.Fatalf("at %d of %d: other bytes than were written", r.reader.offset, len(r.model.written))
 				}
-				p.r.Advance(n)
+				r.reader.Advance(n)
 			},
-			"end": func(t *rapid.T) {
-				p := reader(t)
-				p.r.Close()
-				for i, r := range p.o.readers {
-					if r == p.r {
-						p.o.readers = append(p.o.readers[:i:i], p.o.readers[i+1:]...)
+			"detach reader": func(t *rapid.T) {
+				closed := drawReader(t)
+				closed.reader.Close()
+				for i, r := range closed.model.readers {
+					if r == closed.reader {
+						closed.model.readers = append(closed.model.readers[:i:i], closed.model.readers[i+1:]...)
 						break
 					}
 				}
 			},
-			"forgo": func(t *rapid.T) { pick(t).b.StopRetaining() },
+			"give up retention": func(t *rapid.T) { drawBody(t).body.StopRetaining() },
 			"close": func(t *rapid.T) {
-				o := pick(t)
-				o.b.Close()
-				for i := range all {
-					if all[i] == o {
-						all = append(all[:i:i], all[i+1:]...)
+				m := drawBody(t)
+				m.body.Close()
+				for i := range openBodies {
+					if openBodies[i] == m {
+						openBodies = append(openBodies[:i:i], openBodies[i+1:]...)
 						break
 					}
 				}
 			},
 			"": func(t *rapid.T) {
 				got := s.Stats()
-				if got.OpenBodies != len(all) || got.MemoryBytes > l.TotalMemoryBytes || got.FileBytes > l.TotalFileBytes || got.OpenFiles != open || got.MemoryBytes < 0 || got.FileBytes < 0 {
-					t.Fatalf("%+v, %d files open", got, open)
+				if got.OpenBodies != len(openBodies) || got.MemoryBytes > l.TotalMemoryBytes || got.FileBytes > l.TotalFileBytes || got.OpenFiles != openFiles || got.MemoryBytes < 0 || got.FileBytes < 0 {
+					t.Fatalf("%+v, %d files open", got, openFiles)
 				}
-				for _, o := range all {
-					if o.lost > 1 {
-						t.Fatalf("told %d times", o.lost)
+				for _, m := range openBodies {
+					if m.notifications > 1 {
+						t.Fatalf("%d notifications", m.notifications)
 					}
-					if held := int64(len(o.b.memory.blocks)+len(o.b.recent.blocks)) * BlockSize; held > l.MaxBufferBytes()+o.b.countedMemoryBytes {
-						t.Fatalf("%d bytes held, %d bound", held, l.MaxBufferBytes()+o.b.countedMemoryBytes)
+					if memoryBytes := int64(len(m.body.memory.blocks)+len(m.body.recent.blocks)) * BlockSize; memoryBytes > l.MaxBufferBytes()+m.body.countedMemoryBytes {
+						t.Fatalf("%d bytes in memory, limit %d", memoryBytes, l.MaxBufferBytes()+m.body.countedMemoryBytes)
 					}
 				}
 			},
 		})
-		for _, o := range all {
-			o.b.Close()
+		for _, m := range openBodies {
+			m.body.Close()
 		}
-		if got := s.Stats(); got.OpenBodies+got.OpenFiles+int(got.MemoryBytes+got.FileBytes)+open != 0 {
-			t.Fatalf("left: %+v, %d files open", got, open)
+		if got := s.Stats(); got.OpenBodies+got.OpenFiles+int(got.MemoryBytes+got.FileBytes)+openFiles != 0 {
+			t.Fatalf("stats after all bodies are closed: %+v, %d files open", got, openFiles)
 		}
 	})
 }
--- a/internal/body/store.go
+++ b/internal/body/store.go
@@ -1,9 +1,10 @@
-// Package body holds the bodies of requests while they pass from their callers to endpoints and,
-// as far as its bounds allow, keeps them for further attempts: in memory first, then in a file,
-// then not at all. It knows nothing of sockets and reads no clock.
+// Package body buffers the bodies of requests on their way from callers to endpoints and, as far as
+// its limits allow, retains them for further attempts: in memory first, then in a file, then not at
+// all. It uses no sockets and reads no clock.
 //
-// A [Body] has one writer, which may be ahead of its readers by a window and then waits: that is
-// the back-pressure between the two ends. What is not kept is held for that window only.
+// A [Body] has one writer, which may be ahead of its readers by a window and then waits. This is the
+// back-pressure between caller and endpoint. A body that is not retained is buffered for that window
+// only.
 package body
 
 import (
@@ -16,67 +17,70 @@
 	"golang.org/x/sys/unix"
 )
 
-// BlockSize is how many bytes memory is taken by, and the most that is read or written at once.
+// BlockSize is the unit in which memory is allocated, in bytes, and the most that is read or written at
+// once.
 const BlockSize = 32 << 10
 
-// Limits bound what bodies hold, in bytes.
+// Limits bound the storage that bodies use, in bytes.
 type Limits struct {
-	WindowBytes      int   // that the writer of one may be ahead of its readers
-	MemoryBytes      int64 // of one that are kept in memory, the first Window of them beside MemoryAll
-	FileBytes        int64 // of one that are kept in a file beyond those
-	TotalMemoryBytes int64 // of all that are kept in memory beyond the windows
-	TotalFileBytes   int64 // of all in files
+	WindowBytes      int   // how far the writer of a body may be ahead of its readers
+	MemoryBytes      int64 // of one body in memory; the first WindowBytes don't count in TotalMemoryBytes
+	FileBytes        int64 // of one body in a file, beyond those in memory
+	TotalMemoryBytes int64 // of all bodies in memory, beyond their windows
+	TotalFileBytes   int64 // of all bodies in files
 }
 
-// MaxBufferBytes is the most memory that one open body may take beside Limits.MemoryAll: its window, cut
-// unfavourably, and where there are files the same once more for what has come last, and a block for
-// a reader that reads again.
+// MaxBufferBytes returns the most memory in bytes that one open body may take beside
+// Limits.TotalMemoryBytes: its window, at the least favorable block boundaries; and if files are used,
+// the window once more for the bytes received last, and a block for a reader that reads from the file.
 func (l Limits) MaxBufferBytes() int64 {
-	round := func(n int64) int64 { return (n + BlockSize - 1) / BlockSize * BlockSize }
-	held := round(int64(l.WindowBytes) + BlockSize - 1)
+	roundUp := func(n int64) int64 { return (n + BlockSize - 1) / BlockSize * BlockSize }
+	maxBytes := roundUp(int64(l.WindowBytes) + BlockSize - 1)
 	if l.FileBytes > 0 {
-		held += round(int64(l.WindowBytes)) + BlockSize
+		maxBytes += roundUp(int64(l.WindowBytes)) + BlockSize
 	}
-	return held
+	return maxBytes
 }
 
-// File is where a body is kept that is too long for memory.
+// File stores the part of a retained body that exceeds the memory limit.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
 }
 
-// Store holds the bodies of one program within their bounds together.
+// Store holds the bodies of one process and bounds what they use together. It is safe for concurrent
+// use.
 type Store struct {
 	openFile func() (File, error)
 
 	mu     sync.Mutex
 	stats  Stats
-	blocks sync.Pool // of *[Block]byte
+	blocks sync.Pool // of *[BlockSize]byte
 }
 
-// Stats are what a store holds.
+// Stats are the gauges and counters of a store.
 type Stats struct {
-	OpenBodies      int   // that are open
-	MemoryBytes     int64 // bytes kept beyond the windows
-	OpenFiles       int   // that are open
-	FileBytes       int64 // bytes in them
-	DiscardedBodies int64 // bodies in all that could not be kept, or not for as long as they were wanted
-	FileErrors      int64 // files in all that could not be opened, written or read
+	OpenBodies      int   // bodies that are not closed
+	MemoryBytes     int64 // bytes retained in memory beyond the windows
+	OpenFiles       int   // files of bodies
+	FileBytes       int64 // bytes in those files
+	DiscardedBodies int64 // bodies since the start that could not be retained for as long as they were needed
+	FileErrors      int64 // files since the start that could not be opened, written or read
 }
 
-// NewStore returns a store whose files are in a folder. They have no name there, or lose it at
-// once, so that nothing is left behind however the program ends.
+// NewStore returns a store that keeps its files in the directory dir. They have no name there, or lose
+// it at once, so that nothing is left behind however the process ends.
 func NewStore(dir string) *Store {
 	return NewStoreWithFileOpener(func() (File, error) { return openUnnamed(dir) })
 }
 
-// NewStoreWithFileOpener returns a store whose files are those that open returns.
+// NewStoreWithFileOpener returns a store that opens its files with open, which must be safe for
+// concurrent use.
 func NewStoreWithFileOpener(open func() (File, error)) *Store { return &Store{openFile: open} }
 
-// openUnnamed opens a file without a name. Where the file system has no such thing (open(2),
-// O_TMPFILE), the name is removed as soon as the file is there.
+// openUnnamed opens a file without a name in the directory dir. On a file system that has no such files
+// (open(2), O_TMPFILE), it creates a named one and removes the name at once.
 func openUnnamed(dir string) (File, error) {
 	if fd, err := unix.Open(dir, unix.O_TMPFILE|unix.O_RDWR|unix.O_CLOEXEC, 0o600); err == nil {
 		return os.NewFile(uintptr(fd), dir), nil
@@ -91,31 +95,33 @@
 	return f, nil
 }
 
-// Stats tells what the store holds.
+// Stats returns the current gauges and counters.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// updateStats changes what the store holds.
-func (s *Store) updateStats(f func(h *Stats)) {
+// updateStats calls update with the store's stats, under the lock.
+func (s *Store) updateStats(update func(st *Stats)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.stats)
+	update(&s.stats)
 }
 
-// addWithin adds bytes to one of the figures in held, unless it would be over the most.
-func (s *Store) addWithin(of *int64, n, most int64) bool {
+// addWithin adds n bytes to gauge, a field of s.stats, unless that would exceed limit. It reports
+// whether it did.
+func (s *Store) addWithin(gauge *int64, n, limit int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if *of+n > most {
+	if *gauge+n > limit {
 		return false
 	}
-	*of += n
+	*gauge += n
 	return true
 }
 
+// getBlock returns a block from the pool, or a new one. Its contents are arbitrary.
 func (s *Store) getBlock() *[BlockSize]byte {
 	if b, ok := s.blocks.Get().(*[BlockSize]byte); ok {
 		return b
