--- a/internal/http1/chunk.go
+++ b/internal/http1/chunk.go
@@ -2,51 +2,53 @@
 
 import "bytes"
 
-// ChunkedDecoder reads a body of chunks, RFC 9112, 7.1. The zero value, with its limits, is ready.
+// ChunkedDecoder decodes a body in the chunked transfer coding, RFC 9112, 7.1. The zero value is ready
+// once Limits are set. It is not safe for concurrent use.
 type ChunkedDecoder struct {
 	Limits       Limits
-	KeepTrailers bool   // the trailers are wanted
-	Trailers     []byte // those that came, whole lines, once Done
+	KeepTrailers bool   // store the trailers in Trailers; otherwise they are dropped
+	Trailers     []byte // the trailers as received, whole lines; complete once Done
 
 	state          decoderState
-	chunkRemaining uint64 // of the chunk
+	chunkRemaining uint64 // bytes of the current chunk's data that have not been decoded
 	trailerBytes   int    // bytes of trailers so far
 }
 
+// decoderState is the part of a chunked body that a decoder reads next.
 type decoderState uint8
 
 const (
-	stateSizeLine decoderState = iota
-	stateData
-	stateDataEnd
-	stateTrailers
-	stateDone
+	stateSizeLine decoderState = iota // the line with the size and extensions of a chunk
+	stateData                         // the data of a chunk
+	stateDataEnd                      // the CRLF after the data of a chunk
+	stateTrailers                     // the trailers and the empty line after them
+	stateDone                         // nothing: the body has ended
 )
 
-// hexValue is the value of a hexadecimal digit, -1 for any other byte.
-var hexValue = func() (t [256]int8) {
+// hexValue holds the value of each hexadecimal digit, -1 for any other byte.
+var hexValue = func() (values [256]int8) {
 	for c := range 256 {
 		switch {
 		case c >= '0' && c <= '9':
-			t[c] = int8(c - '0')
+			values[c] = int8(c - '0')
 		case c >= 'a' && c <= 'f':
-			t[c] = int8(c - 'a' + 10)
+			values[c] = int8(c - 'a' + 10)
 		case c >= 'A' && c <= 'F':
-			t[c] = int8(c - 'A' + 10)
+			values[c] = int8(c - 'A' + 10)
 		default:
-			t[c] = -1
+			values[c] = -1
 		}
 	}
-	return t
+	return values
 }()
 
-// Done tells whether the body's end has been read.
+// Done reports whether the end of the body has been decoded.
 func (c *ChunkedDecoder) Done() bool { return c.state == stateDone }
 
-// Decode takes bytes of the body. It returns how many it has used and the data among them, which
-// points into b; what it has not used is to come again, with more behind it. It uses nothing
-// and returns no data where a line is not whole yet. Extensions and trailers are checked;
-// extensions are dropped, as are trailers that nobody wants.
+// Decode decodes the next bytes of the body. It returns the number n of bytes that it has consumed and the
+// data among them, which points into b. Callers must pass the remaining bytes again, followed by more. If a
+// line is incomplete, Decode consumes none of it and returns no data. Errors are of type *[Error].
+// Extensions and trailers are validated; extensions are dropped, as are trailers without KeepTrailers.
 func (c *ChunkedDecoder) Decode(b []byte) (data []byte, n int, err error) {
 	for {
 		rest := b[n:]
@@ -74,44 +76,45 @@
 			n += 2
 			c.state = stateSizeLine
 		case stateSizeLine:
-			used, err := c.decodeSizeLine(rest)
-			if err != nil || used == 0 {
+			consumed, err := c.decodeSizeLine(rest)
+			if err != nil || consumed == 0 {
 				return nil, n, err
 			}
-			n += used
+			n += consumed
 		case stateTrailers:
-			used, err := c.decodeTrailerLine(rest)
-			if err != nil || used == 0 {
+			consumed, err := c.decodeTrailerLine(rest)
+			if err != nil || consumed == 0 {
 				return nil, n, err
 			}
-			n += used
+			n += consumed
 		}
 	}
 }
 
-// decodeSizeLine reads a chunk's size line.
+// decodeSizeLine decodes the size line at the start of b and returns its length in bytes, 0 if it is
+// incomplete.
 func (c *ChunkedDecoder) decodeSizeLine(b []byte) (int, error) {
-	i := bytes.IndexByte(b, '\n')
-	if i < 0 && len(b) >= c.Limits.ChunkLineBytes || i >= c.Limits.ChunkLineBytes {
+	newline := bytes.IndexByte(b, '\n')
+	if newline < 0 && len(b) >= c.Limits.ChunkLineBytes || newline >= c.Limits.ChunkLineBytes {
 		return 0, ErrChunkLineTooLong
 	}
 	if len(b) > 0 && hexValue[b[0]] < 0 {
 		return 0, ErrMalformedChunk
 	}
-	if i < 0 {
+	if newline < 0 {
 		return 0, nil
 	}
-	if i == 0 || b[i-1] != '\r' {
+	if newline == 0 || b[newline-1] != '\r' {
 		return 0, ErrBareLF
 	}
-	line := b[:i-1]
+	line := b[:newline-1]
 	var size uint64
 	digits := 0
 	for digits < len(line) && hexValue[line[digits]] >= 0 {
 		size = size<<4 | uint64(hexValue[line[digits]])
 		digits++
 	}
-	if digits == 0 || digits > 15 {
+	if digits == 0 || digits > 15 { // 15 digits can't overflow size
 		return 0, ErrMalformedChunk
 	}
 	if !validChunkExtensions(line[digits:]) {
@@ -122,14 +125,15 @@
 	} else {
 		c.state = stateData
 	}
-	return i + 1, nil
+	return newline + 1, nil
 }
 
-// validChunkExtensions checks *( BWS ";" BWS name [ BWS "=" BWS ( token / quoted-string ) ] ).
+// validChunkExtensions reports whether b matches
+// *( BWS ";" BWS name [ BWS "=" BWS ( token / quoted-string ) ] ).
 func validChunkExtensions(b []byte) bool {
 	for len(b) > 0 {
 		if b = trimLeadingBlanks(b); len(b) == 0 || b[0] != ';' {
-			return false // also blanks alone: some readers take what follows for another size
+			return false // blanks alone are invalid too: some parsers take what follows them for another size
 		}
 		b = trimLeadingBlanks(b[1:])
 		n := 0
@@ -161,7 +165,7 @@
 	return true
 }
 
-// quotedStringLen is the length of the quoted string that a text begins with, or 0.
+// quotedStringLen returns the length of the quoted string at the start of b, 0 if there is none.
 func quotedStringLen(b []byte) int {
 	for i := 1; i < len(b); i++ {
 		switch c := b[i]; {
@@ -179,6 +183,7 @@
 	return 0
 }
 
+// trimLeadingBlanks returns b without the spaces and tabs at its start.
 func trimLeadingBlanks(b []byte) []byte {
 	for len(b) > 0 && isBlank(b[0]) {
 		b = b[1:]
@@ -186,27 +191,28 @@
 	return b
 }
 
-// decodeTrailerLine reads a line of the trailers.
+// decodeTrailerLine decodes the trailer line at the start of b, or the empty line after the trailers, and
+// returns its length in bytes, 0 if it is incomplete.
 func (c *ChunkedDecoder) decodeTrailerLine(b []byte) (int, error) {
-	i := bytes.IndexByte(b, '\n')
-	if i < 0 && c.trailerBytes+len(b) >= c.Limits.TrailerBytes || c.trailerBytes+i >= c.Limits.TrailerBytes {
+	newline := bytes.IndexByte(b, '\n')
+	if newline < 0 && c.trailerBytes+len(b) >= c.Limits.TrailerBytes || c.trailerBytes+newline >= c.Limits.TrailerBytes {
 		return 0, ErrTrailersTooLong
 	}
-	if i < 0 {
+	if newline < 0 {
 		return 0, nil
 	}
-	if i == 0 || b[i-1] != '\r' {
+	if newline == 0 || b[newline-1] != '\r' {
 		return 0, ErrBareLF
 	}
-	c.trailerBytes += i + 1
-	line := b[:i-1]
+	c.trailerBytes += newline + 1
+	line := b[:newline-1]
 	if len(line) == 0 {
 		c.state = stateDone
-		return i + 1, nil
+		return newline + 1, nil
 	}
 	h := head{Limits: Limits{Fields: 1}, contentLength: -1}
-	var one [1]fieldSpan
-	h.fields = one[:0]
+	var spans [1]fieldSpan
+	h.fields = spans[:0]
 	if err := h.parseField(0, line); err != nil {
 		return 0, ErrInvalidTrailer
 	}
@@ -216,13 +222,13 @@
 		}
 	}
 	if c.KeepTrailers {
-		c.Trailers = append(c.Trailers, b[:i+1]...)
+		c.Trailers = append(c.Trailers, b[:newline+1]...)
 	}
-	return i + 1, nil
+	return newline + 1, nil
 }
 
-// forbiddenTrailers are fields that frame, route or authenticate a message: after the body they
-// would change what has been decided by then, RFC 9110, 6.5.1.
+// forbiddenTrailers are the fields that frame, route or authenticate a message. After the body they would
+// change what has already been decided, RFC 9110, 6.5.1.
 var forbiddenTrailers = []string{
 	"Content-Length", "Transfer-Encoding", "Host", "Connection", "Trailer", "TE", "Upgrade", "Expect",
 	"Content-Encoding", "Content-Type", "Content-Range", "Authorization", "Set-Cookie",
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,12 +1,12 @@
-// Package http1 reads and writes HTTP/1.1 messages, without sockets and without a clock. It
-// follows RFC 9112 (syntax and framing) and RFC 9110 (semantics), strictly: what two readers
-// could take for different messages is refused, and what is taken is passed on in one form.
+// Package http1 parses and writes HTTP/1.1 messages. It uses no sockets and reads no clock. It follows
+// RFC 9112 (syntax and framing) and RFC 9110 (semantics) strictly: input that two parsers could read as
+// different messages is refused, and a message that is accepted is forwarded in one canonical form.
 //
-// A head is parsed in place, as its bytes come, into fields by offset: no copies, no maps, no
-// canonical names. [Request] and [Answer] are reused from message to message; what they return
-// points into the bytes that they parsed and holds as long as those do.
+// A head is parsed in place, as its bytes arrive, into fields by offset, without copies, maps or
+// canonical names. [Request] and [Response] are reused from message to message. What they return points
+// into the bytes that they parsed and is valid as long as those bytes are.
 //
-// Everything that a peer may make grow has a bound, see [Limits].
+// Everything that a peer can make grow is bounded, see [Limits].
 package http1
 
 import (
@@ -16,27 +16,29 @@
 	"strings"
 )
 
-// Limits bound what a peer may send ahead of a body and inside a chunked one.
+// Limits bound what a peer may send before a body and, besides data, in a chunked body.
 type Limits struct {
-	HeadBytes      int // bytes of a head, with its start line and its last line
-	Fields         int // fields of a head
-	ChunkLineBytes int // bytes of a chunk's size line, with its extensions
+	HeadBytes      int // bytes of a head, including its start line and the empty line at its end
+	Fields         int // number of fields of a head
+	ChunkLineBytes int // bytes of a chunk's size line, including its extensions
 	TrailerBytes   int // bytes of all trailers of a body
 }
 
-// DefaultLimits hold where nothing else is said.
+// DefaultLimits are the limits that apply unless others are configured.
 var DefaultLimits = Limits{HeadBytes: 16 << 10, Fields: 100, ChunkLineBytes: 256, TrailerBytes: 4 << 10}
 
-// Error says why a message can't be used. All are predeclared: to refuse costs nothing.
+// Error is the reason why a message is refused. All errors are predeclared, so that refusing a message
+// allocates nothing.
 type Error struct {
-	Status  int    // the answer that a server owes, see RFC 9110, 15.5 and 15.6
-	Section string // what it goes against
+	Status  int    // status code with which a server must respond, see RFC 9110, 15.5 and 15.6
+	Section string // the section of the RFC that the message violates
 	Reason  string
 }
 
+// Error returns the reason with the section.
 func (e *Error) Error() string { return e.Reason + " (" + e.Section + ")" }
 
-// Why a message is refused.
+// The reasons why a message is refused.
 var (
 	ErrBareLF                      = &Error{400, "RFC 9112, 2.2", "a line ends without CR"}
 	ErrControlByte                 = &Error{400, "RFC 9110, 5.5", "a control byte in a field"}
@@ -69,64 +71,67 @@
 	errTransferEncodingInHTTP10    = &Error{502, "RFC 9112, 6.1", "Transfer-Encoding in HTTP/1.0"}
 )
 
-// ErrTruncated says that a message ended before it was whole.
-var ErrTruncated = errors.New("http1: the message breaks off")
+// ErrTruncated is the error for a message that ended before it was complete.
+var ErrTruncated = errors.New("http1: message is truncated")
 
-// Framing says how a body ends.
+// Framing is how the end of a body is found.
 type Framing uint8
 
 // The framings of a body.
 const (
-	NoBody      Framing = iota // there is none
-	FixedLength                // after so many bytes
-	Chunked                    // after its last chunk
-	UntilClose                 // with the connection: answers only
+	NoBody      Framing = iota // there is no body
+	FixedLength                // after Content-Length bytes
+	Chunked                    // after the last chunk
+	UntilClose                 // when the connection closes; for responses only
 )
 
-// Field is a field of a head. Both point into the message.
+// Field is a field of a head. Name and Value point into the message.
 type Field struct{ Name, Value []byte }
 
-// fieldSpan is a field by its offsets.
+// fieldSpan holds the offsets of a field's name and value in the message.
 type fieldSpan struct{ nameStart, nameEnd, valueStart, valueEnd uint32 }
 
-// head is what requests and answers have in common.
+// head is the common part of the heads of requests and responses: the fields and what they say about
+// framing and connection.
 type head struct {
 	Limits Limits
 
-	text            []byte // of the head so far
-	lineStart       int    // of the line that is being looked for
-	scanned         int    // up to here there is no further line end
-	startLineParsed bool   // the start line has been read
+	text            []byte // the bytes of the head so far
+	lineStart       int    // offset of the first line that has not been parsed
+	scanned         int    // text[lineStart:scanned] contains no line end
+	startLineParsed bool
 	fields          []fieldSpan
 
-	contentLength          int64 // of the body by Content-Length; -1 for none
-	contentLengthFields    int
-	transferEncodingFields int
+	contentLength          int64 // value of Content-Length; -1 if there is none
+	contentLengthFields    int   // number of Content-Length fields
+	transferEncodingFields int   // number of Transfer-Encoding fields
 	transferEncoding       fieldSpan
-	connectionFields       int  // Connection fields
+	connectionFields       int  // number of Connection fields
 	closeOption            bool // Connection: close
 	keepAliveOption        bool // Connection: keep-alive
 	upgradeOption          bool // Connection: upgrade
 }
 
+// reset prepares the head for the next message. It keeps the limits and the memory of the fields.
 func (h *head) reset() {
 	*h = head{Limits: h.Limits, fields: h.fields[:0], contentLength: -1}
 }
 
-// Rebase says where the bytes of a head that is whole are now, of which the first may be more.
+// Rebase makes a complete head point into b, which must start with the bytes of the head and may hold
+// more. It is for bytes that have been moved or copied since they were parsed.
 func (h *head) Rebase(b []byte) { h.text = b[:len(h.text):len(h.text)] }
 
-// NumFields is how many fields there are.
+// NumFields returns the number of fields.
 func (h *head) NumFields() int { return len(h.fields) }
 
-// Field returns the field at an index.
+// Field returns field i, counted from 0 in the order of the message.
 func (h *head) Field(i int) Field {
 	f := h.fields[i]
 	return Field{h.text[f.nameStart:f.nameEnd:f.nameEnd], h.text[f.valueStart:f.valueEnd:f.valueEnd]}
 }
 
-// Get returns the first value of the fields with a name, in whatever case, and how many there
-// are.
+// Get returns the value of the first field with the name, compared without regard to case, and the
+// number of fields with that name.
 func (h *head) Get(name string) (value []byte, n int) {
 	for i := range h.fields {
 		f := &h.fields[i]
@@ -139,25 +144,27 @@
 	return value, n
 }
 
-// Value is the first value of the fields with a name, empty for none.
+// Value returns the value of the first field with the name, compared without regard to case. It is empty
+// if there is no such field.
 func (h *head) Value(name string) []byte {
 	v, _ := h.Get(name)
 	return v
 }
 
-// ContentLength is the length of the body by its field, -1 for none.
+// ContentLength returns the value of Content-Length in bytes, -1 if there is no such field.
 func (h *head) ContentLength() int64 { return h.contentLength }
 
-// ClosesConnection tells whether the message says that its connection ends after it.
+// ClosesConnection reports whether the connection closes after the message.
 func (h *head) ClosesConnection() bool { return h.closeOption }
 
-// Upgrades tells whether the message asks for another protocol, or switches to one.
+// Upgrades reports whether a request asks to switch to another protocol, or a response switches to one.
 func (h *head) Upgrades() bool {
 	_, n := h.Get("Upgrade")
 	return h.upgradeOption && n > 0
 }
 
-// IsConnectionOption tells whether Connection names a field: it concerns this connection only.
+// IsConnectionOption reports whether the Connection fields list the field with this name, which then
+// applies to this connection only.
 func (h *head) IsConnectionOption(name []byte) bool {
 	if h.connectionFields == 0 {
 		return false
@@ -170,17 +177,17 @@
 	return found
 }
 
-// eachConnectionOption calls f with each option of the Connection fields until it returns false.
+// eachConnectionOption calls f with each option of the Connection fields until f returns false.
 func (h *head) eachConnectionOption(f func(option []byte) bool) {
 	for i := range h.fields {
-		at := &h.fields[i]
-		if !equalFold(h.text[at.nameStart:at.nameEnd], "connection") {
+		field := &h.fields[i]
+		if !equalFold(h.text[field.nameStart:field.nameEnd], "connection") {
 			continue
 		}
-		for rest := h.text[at.valueStart:at.valueEnd]; len(rest) > 0; {
+		for rest := h.text[field.valueStart:field.valueEnd]; len(rest) > 0; {
 			option := rest
-			if i := bytes.IndexByte(rest, ','); i >= 0 {
-				option, rest = rest[:i], rest[i+1:]
+			if comma := bytes.IndexByte(rest, ','); comma >= 0 {
+				option, rest = rest[:comma], rest[comma+1:]
 			} else {
 				rest = nil
 			}
@@ -191,84 +198,90 @@
 	}
 }
 
-// hopByHopFields are the fields that concern one connection only, beside those that Connection names.
+// hopByHopFields are the fields that are not forwarded, beside those that Connection lists: they apply to
+// one connection only, or frame the body.
 var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// IsEndToEnd tells whether a field is to be passed on as it is: neither does it concern this
-// connection only, nor does it frame the body, which is framed anew.
+// IsEndToEnd reports whether a field must be forwarded unchanged: it neither applies to this connection
+// only nor frames the body, which gets a new framing when it is forwarded.
 func (h *head) IsEndToEnd(name []byte) bool {
-	for _, n := range hopByHopFields {
-		if len(n) == len(name) && equalFold(name, n) {
+	for _, hopByHopName := range hopByHopFields {
+		if len(hopByHopName) == len(name) && equalFold(name, hopByHopName) {
 			return false
 		}
 	}
 	return !h.IsConnectionOption(name)
 }
 
-// startLineHandler is how a message judges its start line.
+// startLineHandler is the part of parsing that differs between requests and responses.
 type startLineHandler interface {
-	checkPrefix(b []byte) error       // the bytes that there are of it: what is no message is not waited on
-	handleEmptyLine() error           // an empty line in its place
-	parseStartLine(text []byte) error // the line
-	finish() error                    // the head is whole
+	// checkPrefix checks the bytes of the start line that have arrived so far, so that input that is
+	// no HTTP message is refused without waiting for the line to end.
+	checkPrefix(b []byte) error
+	// handleEmptyLine handles an empty line where the start line should be.
+	handleEmptyLine() error
+	// parseStartLine parses the start line without its CRLF.
+	parseStartLine(text []byte) error
+	// finish checks the head once it is complete.
+	finish() error
 }
 
-// parseLines takes the lines that have come whole. It returns the length of the head once that is
-// whole, else 0.
-func (h *head) parseLines(b []byte, m startLineHandler) (int, error) {
+// parseLines parses the complete lines of b that have not been parsed. It returns the length of the head
+// in bytes once the head is complete, 0 before.
+func (h *head) parseLines(b []byte, handler startLineHandler) (int, error) {
 	h.text = b
 	for {
 		if !h.startLineParsed && len(b) > h.lineStart {
-			if err := m.checkPrefix(b[h.lineStart:]); err != nil {
+			if err := handler.checkPrefix(b[h.lineStart:]); err != nil {
 				return 0, err
 			}
 		}
-		i := bytes.IndexByte(b[h.scanned:], '\n')
-		if i < 0 {
+		newline := bytes.IndexByte(b[h.scanned:], '\n')
+		if newline < 0 {
 			h.scanned = len(b)
 			if len(b) >= h.Limits.HeadBytes {
 				return 0, ErrHeadTooLong
 			}
 			return 0, nil
 		}
-		i += h.scanned
-		if i >= h.Limits.HeadBytes {
+		newline += h.scanned
+		if newline >= h.Limits.HeadBytes {
 			return 0, ErrHeadTooLong
 		}
-		if i == h.lineStart || b[i-1] != '\r' {
+		if newline == h.lineStart || b[newline-1] != '\r' {
 			return 0, ErrBareLF
 		}
-		text := b[h.lineStart : i-1]
-		from := h.lineStart
-		h.lineStart, h.scanned = i+1, i+1
+		text := b[h.lineStart : newline-1]
+		textOffset := h.lineStart
+		h.lineStart, h.scanned = newline+1, newline+1
 		switch {
 		case !h.startLineParsed:
 			if len(text) == 0 {
-				if err := m.handleEmptyLine(); err != nil {
+				if err := handler.handleEmptyLine(); err != nil {
 					return 0, err
 				}
 				continue
 			}
 			h.startLineParsed = true
-			if err := m.parseStartLine(text); err != nil {
+			if err := handler.parseStartLine(text); err != nil {
 				return 0, err
 			}
 		case len(text) == 0:
-			h.text = b[: i+1 : i+1]
-			return i + 1, m.finish()
+			h.text = b[: newline+1 : newline+1]
+			return newline + 1, handler.finish()
 		default:
-			if err := h.parseField(uint32(from), text); err != nil {
+			if err := h.parseField(uint32(textOffset), text); err != nil {
 				return 0, err
 			}
 		}
 	}
 }
 
-// parseField takes a field's line, which begins at an offset.
-func (h *head) parseField(at uint32, line []byte) error {
+// parseField parses a field line without its CRLF, which starts at lineOffset in the message.
+func (h *head) parseField(lineOffset uint32, line []byte) error {
 	if line[0] == ' ' || line[0] == '\t' {
 		return ErrLineFolding
 	}
@@ -282,24 +295,24 @@
 	if colon == 0 || colon == len(line) || line[colon] != ':' {
 		return ErrFieldName
 	}
-	from, to := colon+1, len(line)
-	for from < to && isBlank(line[from]) {
-		from++
+	valueStart, valueEnd := colon+1, len(line)
+	for valueStart < valueEnd && isBlank(line[valueStart]) {
+		valueStart++
 	}
-	for to > from && isBlank(line[to-1]) {
-		to--
+	for valueEnd > valueStart && isBlank(line[valueEnd-1]) {
+		valueEnd--
 	}
-	for _, c := range line[from:to] {
+	for _, c := range line[valueStart:valueEnd] {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return ErrControlByte
 		}
 	}
-	f := fieldSpan{at, at + uint32(colon), at + uint32(from), at + uint32(to)}
+	f := fieldSpan{lineOffset, lineOffset + uint32(colon), lineOffset + uint32(valueStart), lineOffset + uint32(valueEnd)}
 	h.fields = append(h.fields, f)
-	return h.recordFraming(line[:colon], line[from:to], f)
+	return h.recordFraming(line[:colon], line[valueStart:valueEnd], f)
 }
 
-// recordFraming notes what a field says of the message's framing and its connection.
+// recordFraming records the fields that determine the framing of the body and the use of the connection.
 func (h *head) recordFraming(name, value []byte, f fieldSpan) error {
 	switch len(name) {
 	case len("Connection"):
@@ -328,7 +341,8 @@
 	return nil
 }
 
-// checkFraming checks what the fields say together.
+// checkFraming checks that the framing fields don't contradict each other, and evaluates the options of
+// the Connection fields.
 func (h *head) checkFraming() error {
 	if h.transferEncodingFields > 0 && h.contentLengthFields > 0 {
 		return ErrLengthWithTransferEncoding
@@ -340,17 +354,17 @@
 		return nil
 	}
 	var err error
-	h.eachConnectionOption(func(o []byte) bool {
+	h.eachConnectionOption(func(option []byte) bool {
 		switch {
-		case equalFold(o, "close"):
+		case equalFold(option, "close"):
 			h.closeOption = true
-		case equalFold(o, "keep-alive"):
+		case equalFold(option, "keep-alive"):
 			h.keepAliveOption = true
-		case equalFold(o, "upgrade"):
+		case equalFold(option, "upgrade"):
 			h.upgradeOption = true
-		case equalFold(o, "host"), equalFold(o, "content-length"), equalFold(o, "transfer-encoding"):
+		case equalFold(option, "host"), equalFold(option, "content-length"), equalFold(option, "transfer-encoding"):
 			err = ErrConnectionOption
-		case !isToken(o):
+		case !isToken(option):
 			err = ErrConnectionOption
 		}
 		return err == nil
@@ -358,7 +372,8 @@
 	return err
 }
 
-// parseDecimal reads 1*DIGIT that fits a body's length: no sign, no blank, no list.
+// parseDecimal parses 1*DIGIT, without sign, blanks or list, of at most 18 digits, so that the value fits
+// the length of a body, an int64.
 func parseDecimal(b []byte) (int64, bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
@@ -373,15 +388,16 @@
 	return n, true
 }
 
-// tokenBytes are the bytes of a token, RFC 9110, 5.6.2.
-var tokenBytes = func() (t [256]bool) {
+// tokenBytes states for each byte whether it may occur in a token, RFC 9110, 5.6.2.
+var tokenBytes = func() (allowed [256]bool) {
 	for c := range 256 {
-		t[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' ||
+		allowed[c] = c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' ||
 			c < 0x80 && strings.IndexByte("!#$%&'*+-.^_`|~", byte(c)) >= 0
 	}
-	return t
+	return allowed
 }()
 
+// isToken reports whether b is a token, RFC 9110, 5.6.2.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !tokenBytes[c] {
@@ -391,8 +407,10 @@
 	return len(b) > 0
 }
 
+// isBlank reports whether c is a space or a tab.
 func isBlank(c byte) bool { return c == ' ' || c == '\t' }
 
+// trimBlanks returns b without the spaces and tabs at its start and end.
 func trimBlanks(b []byte) []byte {
 	for len(b) > 0 && isBlank(b[0]) {
 		b = b[1:]
@@ -403,10 +421,10 @@
 	return b
 }
 
-// EqualFieldName tells whether a name is a field's, in whatever case.
+// EqualFieldName reports whether name is the name of the field, compared without regard to case.
 func EqualFieldName(name []byte, field string) bool { return equalFold(name, field) }
 
-// equalFold tells whether a text is a name of ASCII, in whatever case.
+// equalFold reports whether b equals name, which must be ASCII, without regard to case.
 func equalFold(b []byte, name string) bool {
 	if len(b) != len(name) {
 		return false
@@ -423,9 +441,10 @@
 	return true
 }
 
-// String is for tests and logs.
+// String returns the framing as tests and logs show it.
 func (f Framing) String() string {
 	return [...]string{"none", "length", "chunked", "until close"}[f]
 }
 
+// String returns the field as tests show it, with a quoted value.
 func (f Field) String() string { return fmt.Sprintf("%s: %q", f.Name, f.Value) }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,37 +2,39 @@
 
 import "bytes"
 
-// Request is a request's head.
+// Request is the parsed head of a request. It is reused from message to message and not safe for
+// concurrent use.
 type Request struct {
 	head
-	method, target  fieldSpan
-	hostFields      int
+	method, target  fieldSpan // only their values are used
+	hostFields      int       // number of Host fields
 	host            fieldSpan
 	expectsContinue bool
-	emptyLineSeen   bool // an empty line came before the start line
+	emptyLineSeen   bool // there was an empty line before the start line
 }
 
-// NewRequest returns a Request that keeps these limits.
+// NewRequest returns a Request that enforces the limits l.
 func NewRequest(l Limits) *Request {
 	r := &Request{head: head{Limits: l}}
 	r.Reset()
 	return r
 }
 
-// Reset forgets the head that has been read.
+// Reset prepares the Request for the next message.
 func (r *Request) Reset() {
 	h := r.head
 	h.reset()
 	*r = Request{head: h}
 }
 
-// Parse takes the bytes that have come since the last Reset, each time all of them. It returns
-// the length of the head once it is whole, 0 while it is not, and an *Error for what can't be
-// used, as soon as that shows.
+// Parse parses a head from b, which must hold all bytes received since the last Reset, not only the new
+// ones. It returns the length of the head in bytes once it is complete, 0 while it is not, and an
+// *[Error] for an invalid head as soon as it is found. The result points into b.
 func (r *Request) Parse(b []byte) (int, error) {
 	return r.parseLines(b, r)
 }
 
+// checkPrefix implements [startLineHandler].
 func (r *Request) checkPrefix(b []byte) error {
 	if b[0] != '\r' && !tokenBytes[b[0]] {
 		return ErrStartLine
@@ -40,7 +42,8 @@
 	return nil
 }
 
-// handleEmptyLine allows one empty line ahead: some clients end a body with one, RFC 9112, 2.2.
+// handleEmptyLine implements [startLineHandler]. It accepts one empty line before the request, because
+// some clients send one after a body, RFC 9112, 2.2.
 func (r *Request) handleEmptyLine() error {
 	if r.emptyLineSeen {
 		return ErrStartLine
@@ -49,30 +52,32 @@
 	return nil
 }
 
+// parseStartLine implements [startLineHandler]. It must be called when lineStart is already the offset of
+// the next line.
 func (r *Request) parseStartLine(line []byte) error {
-	at := uint32(r.lineStart - len(line) - 2)
-	i := bytes.IndexByte(line, ' ')
-	j := bytes.LastIndexByte(line, ' ')
+	lineOffset := uint32(r.lineStart - len(line) - 2)
+	firstBlank := bytes.IndexByte(line, ' ')
+	lastBlank := bytes.LastIndexByte(line, ' ')
 	switch {
-	case i < 0 || i == j:
+	case firstBlank < 0 || firstBlank == lastBlank:
 		return ErrStartLine
-	case !isToken(line[:i]):
+	case !isToken(line[:firstBlank]):
 		return ErrMethod
 	}
-	switch version := line[j+1:]; {
+	switch version := line[lastBlank+1:]; {
 	case string(version) == "HTTP/1.1":
 	case len(version) == 8 && string(version[:5]) == "HTTP/" && version[6] == '.':
 		return ErrVersion
 	default:
 		return ErrStartLine
 	}
-	r.method = fieldSpan{valueStart: at, valueEnd: at + uint32(i)}
-	r.target = fieldSpan{valueStart: at + uint32(i) + 1, valueEnd: at + uint32(j)}
-	return checkTarget(line[i+1:j], line[:i])
+	r.method = fieldSpan{valueStart: lineOffset, valueEnd: lineOffset + uint32(firstBlank)}
+	r.target = fieldSpan{valueStart: lineOffset + uint32(firstBlank) + 1, valueEnd: lineOffset + uint32(lastBlank)}
+	return checkTarget(line[firstBlank+1:lastBlank], line[:firstBlank])
 }
 
-// checkTarget takes the origin form, the absolute form of http, and * for OPTIONS. CONNECT
-// has the authority form and asks for a tunnel, which this is none of.
+// checkTarget accepts the origin form, the absolute form with the scheme http, and * for OPTIONS. It
+// refuses the authority form of CONNECT, which asks for a tunnel: the sidecar is none.
 func checkTarget(target, method []byte) error {
 	switch {
 	case string(target) == "*":
@@ -96,13 +101,15 @@
 	return nil
 }
 
+// httpScheme is the start of a target in absolute form.
 const httpScheme = "http://"
 
+// isAbsoluteForm reports whether a target has the absolute form with the scheme http.
 func isAbsoluteForm(target []byte) bool {
 	return len(target) > len(httpScheme) && equalFold(target[:len(httpScheme)], httpScheme)
 }
 
-// finish checks a head that is whole.
+// finish implements [startLineHandler]. It brings a target in absolute form into origin form.
 func (r *Request) finish() error {
 	for i := range r.fields {
 		f := r.fields[i]
@@ -126,22 +133,22 @@
 	}
 	if target := r.text[r.target.valueStart:r.target.valueEnd]; isAbsoluteForm(target) {
 		authority := target[len(httpScheme):]
-		if i := bytes.IndexAny(authority, "/?"); i >= 0 {
-			authority = authority[:i]
+		if authorityLen := bytes.IndexAny(authority, "/?"); authorityLen >= 0 {
+			authority = authority[:authorityLen]
 		}
 		if len(authority) == 0 || !bytes.EqualFold(authority, host) {
 			return ErrAuthorityMismatch
 		}
 		r.target.valueStart += uint32(len(httpScheme) + len(authority))
 		if t := r.text[r.target.valueStart:r.target.valueEnd]; len(t) > 0 && t[0] == '?' {
-			return ErrTarget // its path is empty, and the origin form has none for that
+			return ErrTarget // the path is empty, which the origin form can't express
 		}
 	}
 	return nil
 }
 
-// isHost tells whether a text may be a Host: a name, an IPv4 or a bracketed IPv6 address, and
-// a port. It may be empty, RFC 9112, 3.2.
+// isHost reports whether b consists only of bytes that may occur in the value of Host: a name, an IPv4
+// address or a bracketed IPv6 address, and a port. The value may be empty, RFC 9112, 3.2.
 func isHost(b []byte) bool {
 	for _, c := range b {
 		switch {
@@ -154,10 +161,10 @@
 	return true
 }
 
-// Method is the request's method.
+// Method returns the method.
 func (r *Request) Method() []byte { return r.text[r.method.valueStart:r.method.valueEnd] }
 
-// Target is the request's target in origin form, or *.
+// Target returns the target in origin form, or *.
 func (r *Request) Target() []byte {
 	if t := r.text[r.target.valueStart:r.target.valueEnd]; len(t) > 0 {
 		return t
@@ -165,19 +172,19 @@
 	return []byte("/")
 }
 
-// Path is the target without its query.
+// Path returns the target without its query.
 func (r *Request) Path() []byte {
 	path, _, _ := bytes.Cut(r.Target(), []byte("?"))
 	return path
 }
 
-// Host is the host that the request is for.
+// Host returns the value of the Host field.
 func (r *Request) Host() []byte { return r.text[r.host.valueStart:r.host.valueEnd] }
 
-// ExpectsContinue tells whether the client waits for a 100 before it sends the body.
+// ExpectsContinue reports whether the client waits for the interim response 100 before it sends the body.
 func (r *Request) ExpectsContinue() bool { return r.expectsContinue }
 
-// Framing is how the body ends.
+// Framing returns how the end of the body is found. It is never [UntilClose].
 func (r *Request) Framing() Framing {
 	switch {
 	case r.transferEncodingFields > 0:
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -1,108 +1,113 @@
 package http1
 
-// Response is an answer's head.
+// Response is the parsed head of a response. It is reused from message to message and not safe for
+// concurrent use.
 type Response struct {
 	head
 	status   int
-	isHTTP10 bool // HTTP/1.0
+	isHTTP10 bool
 }
 
-// NewResponse returns an Answer that keeps these limits.
+// NewResponse returns a Response that enforces the limits l.
 func NewResponse(l Limits) *Response {
-	a := &Response{head: head{Limits: l}}
-	a.Reset()
-	return a
+	r := &Response{head: head{Limits: l}}
+	r.Reset()
+	return r
 }
 
-// Reset forgets the head that has been read.
-func (a *Response) Reset() {
-	h := a.head
+// Reset prepares the Response for the next message.
+func (r *Response) Reset() {
+	h := r.head
 	h.reset()
-	*a = Response{head: h}
+	*r = Response{head: h}
 }
 
-// protocolPrefix is what an answer begins with.
+// protocolPrefix is the start of every response, up to the minor version.
 const protocolPrefix = "HTTP/1."
 
-// Parse takes the bytes that have come since the last Reset, each time all of them. It returns
-// the length of the head once it is whole, 0 while it is not, and an *Error for what can't be
-// used, as soon as that shows.
-func (a *Response) Parse(b []byte) (int, error) {
-	return a.parseLines(b, a)
+// Parse parses a head from b, which must hold all bytes received since the last Reset, not only the new
+// ones. It returns the length of the head in bytes once it is complete, 0 while it is not, and an
+// *[Error] for an invalid head as soon as it is found. The result points into b.
+func (r *Response) Parse(b []byte) (int, error) {
+	return r.parseLines(b, r)
 }
 
-func (a *Response) checkPrefix(b []byte) error {
+// checkPrefix implements [startLineHandler].
+func (r *Response) checkPrefix(b []byte) error {
 	if n := min(len(b), len(protocolPrefix)); string(b[:n]) != protocolPrefix[:n] {
 		return ErrStatusLine
 	}
 	return nil
 }
 
-func (a *Response) handleEmptyLine() error { return ErrStatusLine }
+// handleEmptyLine implements [startLineHandler]. An empty line before a response is not allowed.
+func (r *Response) handleEmptyLine() error { return ErrStatusLine }
 
-// parseStartLine takes it with or without the blank after the status, which is needed and
-// often left out where the reason is empty, RFC 9112, 4.
-func (a *Response) parseStartLine(line []byte) error {
-	const at = len(protocolPrefix) + 2
-	if len(line) < at+3 || line[at-1] != ' ' || len(line) > at+3 && line[at+3] != ' ' {
+// parseStartLine implements [startLineHandler]. It accepts a status line without the blank after the
+// status: RFC 9112, 4, requires it, but many servers omit it where the reason is empty.
+func (r *Response) parseStartLine(line []byte) error {
+	const statusStart = len(protocolPrefix) + 2 // after the minor version and a blank
+	if len(line) < statusStart+3 || line[statusStart-1] != ' ' || len(line) > statusStart+3 && line[statusStart+3] != ' ' {
 		return ErrStatusLine
 	}
 	switch line[len(protocolPrefix)] {
 	case '1':
 	case '0':
-		a.isHTTP10 = true
+		r.isHTTP10 = true
 	default:
 		return ErrVersion
 	}
-	for _, c := range line[at+3:] {
+	for _, c := range line[statusStart+3:] {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return ErrStatusLine
 		}
 	}
-	status, ok := parseDecimal(line[at : at+3])
+	status, ok := parseDecimal(line[statusStart : statusStart+3])
 	if !ok || status < 100 || status > 599 {
 		return ErrStatusLine
 	}
-	a.status = int(status)
+	r.status = int(status)
 	return nil
 }
 
-func (a *Response) finish() error {
-	if err := a.checkFraming(); err != nil {
+// finish implements [startLineHandler].
+func (r *Response) finish() error {
+	if err := r.checkFraming(); err != nil {
 		return err
 	}
 	switch {
-	case a.isHTTP10 && a.transferEncodingFields > 0:
+	case r.isHTTP10 && r.transferEncodingFields > 0:
 		return errTransferEncodingInHTTP10
-	case (a.status < 200 || a.status == 204) && (a.transferEncodingFields > 0 || a.contentLength > 0):
+	case (r.status < 200 || r.status == 204) && (r.transferEncodingFields > 0 || r.contentLength > 0):
 		return ErrFramingWithoutBody
 	}
-	if a.isHTTP10 && !a.keepAliveOption {
-		a.closeOption = true
+	if r.isHTTP10 && !r.keepAliveOption {
+		r.closeOption = true
 	}
 	return nil
 }
 
-// Status is the answer's status, from 100 to 599.
-func (a *Response) Status() int { return a.status }
+// Status returns the status code, from 100 to 599.
+func (r *Response) Status() int { return r.status }
 
-// IsInterim tells whether another answer follows.
-func (a *Response) IsInterim() bool { return a.status < 200 && a.status != 101 }
+// IsInterim reports whether another response to the same request follows. 101 is a final response.
+func (r *Response) IsInterim() bool { return r.status < 200 && r.status != 101 }
 
-// Framing is how the body ends, RFC 9112, 6.3. A body that ends with the connection is taken
-// only where the head says that the connection ends: it could not be told from one that broke
-// off. toHead tells that the request was HEAD: its answer has no body whatever it says.
-func (a *Response) Framing(toHead bool) (Framing, error) {
+// Framing returns how the end of the body is found, RFC 9112, 6.3. toHead states that the request's method
+// was HEAD: the response then has no body, whatever its fields say. A body that ends with the connection
+// is accepted only if the head announces that the connection closes; otherwise it could not be
+// distinguished from a body that broke off, and Framing returns [ErrUndelimitedBody].
+func (r *Response) Framing(toHead bool) (Framing, error) {
 	switch {
-	case a.status < 200 || a.status == 204 || a.status == 304 || toHead:
+	case r.status < 200 || r.status == 204 || r.status == 304 || toHead:
 		return NoBody, nil
-	case a.transferEncodingFields > 0:
+	case r.transferEncodingFields > 0:
 		return Chunked, nil
-	case a.contentLength == 0:
+	case r.contentLength == 0:
 		return NoBody, nil
-	case a.contentLength > 0:
+	case r.contentLength > 0:
 		return FixedLength, nil
-	case !a.closeOption:
+	case !r.closeOption:
 		return NoBody, ErrUndelimitedBody
 	}
 	return UntilClose, nil
