--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -67,21 +67,21 @@
 
 // freeTail returns the unused space of the last block, for a segment whose bytes end at the offset
 // end.
-func (r *segment) freeTail(end int64) []byte {
-	if len(r.blocks) == 0 {
+func (s *segment) freeTail(end int64) []byte {
+	if len(s.blocks) == 0 {
 		return nil
 	}
-	return r.blocks[len(r.blocks)-1][BlockSize-(r.endOffset()-end):]
+	return s.blocks[len(s.blocks)-1][BlockSize-(s.endOffset()-end):]
 }
 
 // endOffset returns the offset in the body at which the last block ends.
-func (r *segment) endOffset() int64 { return r.startOffset + int64(len(r.blocks))*BlockSize }
+func (s *segment) endOffset() int64 { return s.startOffset + int64(len(s.blocks))*BlockSize }
 
-// blockAt returns the bytes from the offset from, which must lie within the segment, up to the end of
+// blockAt returns the bytes from the offset start, which must lie within the segment, up to the end of
 // that block or the offset end, whichever is first.
-func (r *segment) blockAt(from, end int64) []byte {
-	i := from - r.startOffset
-	return r.blocks[i/BlockSize][i%BlockSize : min(BlockSize, i%BlockSize+end-from)]
+func (s *segment) blockAt(start, end int64) []byte {
+	offset := start - s.startOffset
+	return s.blocks[offset/BlockSize][offset%BlockSize : min(BlockSize, offset%BlockSize+end-start)]
 }
 
 // New opens a body. The body calls onUnavailable, unless that is nil, as soon as it can no longer be
@@ -148,10 +148,10 @@
 	if b.retained && (b.file == nil || remainingFileBytes <= 0) {
 		b.discard()
 	}
-	if r := &b.recent; len(r.blocks) > 0 && len(b.readers) == 1 && b.readers[0].offset == b.endOffset {
+	if recent := &b.recent; len(recent.blocks) > 0 && len(b.readers) == 1 && b.readers[0].offset == b.endOffset {
 		// The only reader has read everything: start over with a whole block, so that the writer
 		// can receive as much as possible at once.
-		r.blocks, r.startOffset = r.blocks[:1], b.endOffset
+		recent.blocks, recent.startOffset = recent.blocks[:1], b.endOffset
 	}
 	space := b.recent.freeTail(b.endOffset)
 	if len(space) == 0 {
@@ -164,9 +164,9 @@
 }
 
 // appendBlock adds a block to the segment and returns it.
-func (b *Body) appendBlock(r *segment) []byte {
+func (b *Body) appendBlock(seg *segment) []byte {
 	block := b.store.getBlock()
-	r.blocks = append(r.blocks, block)
+	seg.blocks = append(seg.blocks, block)
 	return block[:]
 }
 
@@ -296,7 +296,7 @@
 		return
 	}
 	b.retentionStopped = true
-	// Otherwise allocate discards the body when the next bytes arrive, or Close does at the end.
+	// Otherwise allocate discards the body when the next bytes arrive, or Close releases it at the end.
 	if b.reserved == nil && b.endOffset-b.maxReadOffset() <= int64(b.limits.WindowBytes) {
 		b.discard()
 		b.changed.Broadcast()
@@ -452,8 +452,8 @@
 }
 
 // Stop makes a pending and all later calls of Next return ErrStopped. It never blocks, not even while
-// the body is locked for a write to a slow disk: a caller of Stop that waits may hold up all other
-// requests.
+// the body is locked for a write to a slow disk: the caller may hold up all other requests while it
+// waits.
 func (r *Reader) Stop() {
 	r.stopped.Store(true)
 	if b := r.body; b.mu.TryLock() {
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -212,7 +212,7 @@
 	s := NewStore(t.TempDir())
 	for name, end := range map[string]func(b *Body, r *Reader){
 		"close": func(b *Body, _ *Reader) { b.Close() },
-		"fail": func(b *Body, _ *Reader) { b.Fail(io.ErrUnexpectedEOF); b.Close() },
+		"fail":  func(b *Body, _ *Reader) { b.Fail(io.ErrUnexpectedEOF); b.Close() },
 		"stop":  func(b *Body, r *Reader) { r.Stop(); b.Close() },
 	} {
 		b := s.New(Limits{WindowBytes: BlockSize}, nil)
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -77,7 +77,7 @@
 }
 
 // checkTarget accepts the origin form, the absolute form with the scheme http, and * for OPTIONS. It
-// refuses the authority form of CONNECT, which asks for a tunnel: the sidecar is none.
+// refuses the authority form of CONNECT, which asks for a tunnel, because the sidecar opens no tunnels.
 func checkTarget(target, method []byte) error {
 	switch {
 	case string(target) == "*":
