--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -8,270 +8,287 @@
 	"sync/atomic"
 )
 
-// Why a body can't be read or written.
+// Errors of reading and writing a body, beside those of its files and those that [Body.Fail] sets.
 var (
-	ErrDiscarded = errors.New("body: its begin is not kept any more")
-	ErrStopped   = errors.New("body: its reader was stopped")
-	ErrClosed    = errors.New("body: nobody wants it any more")
+	ErrDiscarded = errors.New("body: start is no longer retained")
+	ErrStopped   = errors.New("body: reader stopped")
+	ErrClosed    = errors.New("body: closed")
 )
 
-// State says what a further attempt would find of a body.
+// State is the availability of a body to a further attempt.
 type State uint8
 
 // The states of a body.
 const (
-	Receiving   State = iota // kept so far, and not whole
-	Retained                 // whole
-	Unavailable              // not to be had from its begin any more
+	Receiving   State = iota // retained so far, but not complete
+	Retained                 // complete and retained from its start
+	Unavailable              // can no longer be read from its start
 )
 
-// Body is the body of one request. One goroutine writes it, any number read it.
+// Body is the body of one request. One goroutine writes it; any number of goroutines may read it,
+// each through its own [Reader]. Callers must call Close.
 type Body struct {
-	store *Store
-	l     Limits
-	lost  func()
-
-	mu        sync.Mutex
-	changed   sync.Cond
-	end       int64 // bytes that have been written
-	whole     bool
-	err       error // why it broke off
-	unread    error // why its file can't be read
-	told      bool  // lost was called for that
-	closed    bool
-	hadReader bool // it has had a reader
-	readers   []*Reader
-	trailers  []byte
-
-	// What is held: memory from 0 on, and behind that the file. Once it is not kept there is no file.
-	retained         bool
-	retentionStopped bool // it was not kept because nobody wants it again
-	memory           run
-	taken            int64 // of Store.held.Memory
-	file             File
-	filed            int64
-
-	// What has come last, where it is in a file or not kept: the reader that is ahead has it from here.
-	recent run
-	room   []byte // what Room returned last
+	store         *Store
+	limits        Limits
+	onUnavailable func()
+
+	mu              sync.Mutex
+	changed         sync.Cond
+	endOffset       int64 // number of bytes written so far, so the offset of the next one
+	complete        bool  // all bytes and the trailers have been received
+	err             error // why readers fail: the body broke off, or its file can't be read
+	readErr         error // why the file can't be read
+	readErrNotified bool  // onUnavailable was called for readErr
+	closed          bool
+	hadReader       bool // a reader has been opened, even if it has been closed since
+	readers         []*Reader
+	trailers        []byte
+
+	// The retained bytes: memory holds them from offset 0 on, file those behind memory.
+	// A body that is not retained has no file.
+	retained           bool
+	retentionStopped   bool // StopRetaining was called: no further attempt will read the body
+	memory             segment
+	countedMemoryBytes int64 // the part of memory that counts in Store.stats.MemoryBytes
+	file               File
+	fileBytes          int64 // bytes of the file that count in Store.stats.FileBytes
+
+	// The bytes received last, used if the body has a file or is not retained. The reader that is
+	// farthest ahead reads them from here.
+	recent   segment
+	reserved []byte // the space that Reserve returned last, nil once it is committed
 }
 
-// run is a stretch of a body in memory.
-type run struct {
-	first  int64 // where it begins
-	blocks []*[BlockSize]byte
+// segment is a contiguous part of a body in memory.
+type segment struct {
+	startOffset int64 // offset in the body of the first block
+	blocks      []*[BlockSize]byte
 }
 
-// tail is what is free behind the stretch, which ends at end.
-func (r *run) tail(end int64) []byte {
-	if len(r.blocks) == 0 {
+// freeTail returns the unused space of the last block, for a segment whose bytes end at the offset
+// end.
+func (s *segment) freeTail(end int64) []byte {
+	if len(s.blocks) == 0 {
 		return nil
 	}
-	return r.blocks[len(r.blocks)-1][BlockSize-(r.end()-end):]
+	return s.blocks[len(s.blocks)-1][BlockSize-(s.endOffset()-end):]
 }
 
-// end is where the last block ends.
-func (r *run) end() int64 { return r.first + int64(len(r.blocks))*BlockSize }
+// endOffset returns the offset in the body at which the last block ends.
+func (s *segment) endOffset() int64 { return s.startOffset + int64(len(s.blocks))*BlockSize }
 
-// at is what of one block begins at an offset, which is inside of the stretch. It ends at end.
-func (r *run) at(from, end int64) []byte {
-	i := from - r.first
-	return r.blocks[i/BlockSize][i%BlockSize : min(BlockSize, i%BlockSize+end-from)]
+// blockAt returns the bytes from the offset start, which must lie within the segment, up to the end of
+// that block or the offset end, whichever is first.
+func (s *segment) blockAt(start, end int64) []byte {
+	offset := start - s.startOffset
+	return s.blocks[offset/BlockSize][offset%BlockSize : min(BlockSize, offset%BlockSize+end-start)]
 }
 
-// New opens a body. lost is called, with nothing locked, as soon as a body that was kept is
-// found to be kept no longer. Close is owed.
-func (s *Store) New(l Limits, lost func()) *Body {
-	b := &Body{store: s, l: l, lost: lost, retained: true}
+// New opens a body. The body calls onUnavailable, unless that is nil, as soon as it can no longer be
+// retained; no lock is held during the call. Callers must call Close.
+func (s *Store) New(l Limits, onUnavailable func()) *Body {
+	b := &Body{store: s, limits: l, onUnavailable: onUnavailable, retained: true}
 	b.changed.L = &b.mu
-	s.note(func(h *Stats) { h.OpenBodies++ })
+	s.updateStats(func(st *Stats) { st.OpenBodies++ })
 	return b
 }
 
-// Reserve waits until the body may grow and returns space for up to most bytes, of which Wrote
-// tells how many are used. It fails once nobody wants the body any more.
-func (b *Body) Reserve(most int) ([]byte, error) {
+// Reserve waits until the writer is less than a window ahead of the readers and returns space for
+// between 1 and maxBytes bytes. Commit adds those that were written to it to the body. Reserve fails
+// with ErrClosed once the body is closed.
+func (b *Body) Reserve(maxBytes int) ([]byte, error) {
 	b.mu.Lock()
-	for !b.closed && b.end-b.ahead() >= int64(b.l.WindowBytes) {
+	for !b.closed && b.endOffset-b.maxReadOffset() >= int64(b.limits.WindowBytes) {
 		b.changed.Wait()
 	}
 	if b.closed {
 		b.mu.Unlock()
 		return nil, ErrClosed
 	}
-	was := b.retained
-	room := b.space()
-	lost := was && !b.retained && !b.retentionStopped
-	room = room[:min(most, int(int64(b.l.WindowBytes)-(b.end-b.ahead())), len(room))]
-	b.room = room
+	wasRetained := b.retained
+	space := b.allocate()
+	becameUnavailable := wasRetained && !b.retained && !b.retentionStopped
+	space = space[:min(maxBytes, int(int64(b.limits.WindowBytes)-(b.endOffset-b.maxReadOffset())), len(space))]
+	b.reserved = space
 	b.mu.Unlock()
-	if lost && b.lost != nil {
-		b.lost()
+	if becameUnavailable && b.onUnavailable != nil {
+		b.onUnavailable()
 	}
-	return room, nil
+	return space, nil
 }
 
-// space finds where the next bytes go. A body that finds none is kept no longer.
-func (b *Body) space() []byte {
+// allocate returns space for the next bytes. A body for which neither memory nor a file has space
+// within the limits is discarded; its bytes then pass through recent only. Callers must hold b.mu.
+func (b *Body) allocate() []byte {
 	if b.retained && b.retentionStopped {
-		b.lose()
+		b.discard()
 	}
 	if b.retained && b.file == nil {
-		if tail := b.memory.tail(b.end); len(tail) > 0 {
+		if tail := b.memory.freeTail(b.endOffset); len(tail) > 0 {
 			return tail
 		}
-		held := int64(len(b.memory.blocks)) * BlockSize
+		memoryBytes := int64(len(b.memory.blocks)) * BlockSize
 		switch {
-		case held < int64(b.l.WindowBytes):
-			return b.grow(&b.memory)
-		case held+BlockSize <= b.l.MemoryBytes && b.store.take(&b.store.held.MemoryBytes, BlockSize, b.l.TotalMemoryBytes):
-			b.taken += BlockSize
-			return b.grow(&b.memory)
-		case b.l.FileBytes > 0:
-			if f, err := b.store.open(); err == nil {
+		case memoryBytes < int64(b.limits.WindowBytes):
+			return b.appendBlock(&b.memory)
+		case memoryBytes+BlockSize <= b.limits.MemoryBytes && b.store.addWithin(&b.store.stats.MemoryBytes, BlockSize, b.limits.TotalMemoryBytes):
+			b.countedMemoryBytes += BlockSize
+			return b.appendBlock(&b.memory)
+		case b.limits.FileBytes > 0:
+			if f, err := b.store.openFile(); err == nil {
 				b.file = f
-				b.recent.first = b.end
-				b.store.note(func(h *Stats) { h.OpenFiles++ })
+				b.recent.startOffset = b.endOffset
+				b.store.updateStats(func(st *Stats) { st.OpenFiles++ })
 			} else {
-				b.store.note(func(h *Stats) { h.FileErrors++ })
+				b.store.updateStats(func(st *Stats) { st.FileErrors++ })
 			}
 		}
 	}
-	left := b.l.FileBytes - b.filed
-	if b.retained && (b.file == nil || left <= 0) {
-		b.lose()
+	remainingFileBytes := b.limits.FileBytes - b.fileBytes
+	if b.retained && (b.file == nil || remainingFileBytes <= 0) {
+		b.discard()
 	}
-	if r := &b.recent; len(r.blocks) > 0 && len(b.readers) == 1 && b.readers[0].off == b.end {
-		r.blocks, r.first = r.blocks[:1], b.end // all has been read: begin again, to read as much as can be at once
+	if recent := &b.recent; len(recent.blocks) > 0 && len(b.readers) == 1 && b.readers[0].offset == b.endOffset {
+		// The only reader has read everything: start over with a whole block, so that the writer
+		// can receive as much as possible at once.
+		recent.blocks, recent.startOffset = recent.blocks[:1], b.endOffset
 	}
-	room := b.recent.tail(b.end)
-	if len(room) == 0 {
-		room = b.grow(&b.recent)
+	space := b.recent.freeTail(b.endOffset)
+	if len(space) == 0 {
+		space = b.appendBlock(&b.recent)
 	}
-	if b.file != nil && int64(len(room)) > left {
-		room = room[:left]
+	if b.file != nil && int64(len(space)) > remainingFileBytes {
+		space = space[:remainingFileBytes]
 	}
-	return room
+	return space
 }
 
-func (b *Body) grow(r *run) []byte {
-	k := b.store.block()
-	r.blocks = append(r.blocks, k)
-	return k[:]
+// appendBlock adds a block to the segment and returns it.
+func (b *Body) appendBlock(seg *segment) []byte {
+	block := b.store.getBlock()
+	seg.blocks = append(seg.blocks, block)
+	return block[:]
 }
 
-// Commit adds the first n bytes of what Room returned to the body.
+// Commit adds the first n bytes of the space that Reserve returned to the body. It fails with
+// ErrClosed once the body is closed.
 func (b *Body) Commit(n int) error {
 	b.mu.Lock()
 	if b.closed {
 		b.mu.Unlock()
 		return ErrClosed
 	}
-	lost := false
+	becameUnavailable := false
 	if b.file != nil {
-		lost = b.spill(b.room[:n])
+		becameUnavailable = b.spill(b.reserved[:n])
 	} else {
-		b.end += int64(n)
+		b.endOffset += int64(n)
 	}
-	b.room = nil
+	b.reserved = nil
 	b.changed.Broadcast()
 	b.mu.Unlock()
-	if lost && b.lost != nil {
-		b.lost()
+	if becameUnavailable && b.onUnavailable != nil {
+		b.onUnavailable()
 	}
 	return nil
 }
 
-// spill writes bytes to the file. If they don't all go in, the body is kept no longer; they are among
-// what has come last.
-func (b *Body) spill(p []byte) (lost bool) {
-	from := b.end
-	b.end += int64(len(p))
-	if b.store.take(&b.store.held.FileBytes, int64(len(p)), b.l.TotalFileBytes) {
-		b.filed += int64(len(p))
-		if n, err := b.file.WriteAt(p, from-b.memory.end()); err == nil && n == len(p) {
+// spill appends the bytes p, which lie in recent too, to the file. If the file can't take all of them,
+// the body is discarded; the reader that is farthest ahead still finds them in recent. Callers must
+// hold b.mu.
+func (b *Body) spill(p []byte) (becameUnavailable bool) {
+	startOffset := b.endOffset
+	b.endOffset += int64(len(p))
+	if b.store.addWithin(&b.store.stats.FileBytes, int64(len(p)), b.limits.TotalFileBytes) {
+		b.fileBytes += int64(len(p))
+		if n, err := b.file.WriteAt(p, startOffset-b.memory.endOffset()); err == nil && n == len(p) {
 			return false
 		}
-		b.store.note(func(h *Stats) { h.FileErrors++ })
+		b.store.updateStats(func(st *Stats) { st.FileErrors++ })
 	}
-	b.lose()
+	b.discard()
 	return true
 }
 
-// lose keeps the body no longer: the reader that is ahead goes on from what has come last, the rest
-// is dropped, and whoever is farther behind is told.
-func (b *Body) lose() {
-	if b.file == nil { // what has come last is at the end of memory
-		b.recent, b.memory = b.memory, run{}
-		b.pass(len(b.readers) == 1)
+// discard stops retaining the body: the reader that is farthest ahead continues from recent, all else
+// is dropped, and readers that are farther behind fail with ErrDiscarded. Callers must hold b.mu.
+func (b *Body) discard() {
+	if b.file == nil { // then the bytes received last are at the end of memory
+		b.recent, b.memory = b.memory, segment{}
+		b.trimRecent(len(b.readers) == 1)
 	}
 	b.retained = false
 	if !b.retentionStopped {
-		b.store.note(func(h *Stats) { h.DiscardedBodies++ })
+		b.store.updateStats(func(st *Stats) { st.DiscardedBodies++ })
 	}
-	b.memory.blocks = nil // not to the pool: a reader may be looking at one
-	b.drop()
+	b.memory.blocks = nil // not returned to the pool: a reader may be using one
+	b.releaseStorage()
 }
 
-// pass drops what of the last bytes the reader that is ahead has passed.
-func (b *Body) pass(again bool) {
-	for len(b.recent.blocks) > 0 && b.ahead()-b.recent.first >= BlockSize {
-		if again {
+// trimRecent drops the blocks of recent that the reader that is farthest ahead has read. They go back to
+// the pool if reuse is set, which is allowed only if no other reader may be using them.
+func (b *Body) trimRecent(reuse bool) {
+	for len(b.recent.blocks) > 0 && b.maxReadOffset()-b.recent.startOffset >= BlockSize {
+		if reuse {
 			b.store.blocks.Put(b.recent.blocks[0])
 		}
 		b.recent.blocks = slices.Delete(b.recent.blocks, 0, 1)
-		b.recent.first += BlockSize
+		b.recent.startOffset += BlockSize
 	}
 }
 
-// drop gives back what is counted: memory beyond the window, and the file.
-func (b *Body) drop() {
-	file, taken, filed := b.file, b.taken, b.filed
-	b.file, b.taken, b.filed = nil, 0, 0
-	b.store.note(func(h *Stats) {
-		h.MemoryBytes -= taken
-		h.FileBytes -= filed
+// releaseStorage releases what counts against the store's totals: memory beyond the window, and the
+// file.
+func (b *Body) releaseStorage() {
+	file, memoryBytes, fileBytes := b.file, b.countedMemoryBytes, b.fileBytes
+	b.file, b.countedMemoryBytes, b.fileBytes = nil, 0, 0
+	b.store.updateStats(func(st *Stats) {
+		st.MemoryBytes -= memoryBytes
+		st.FileBytes -= fileBytes
 		if file != nil {
-			h.OpenFiles--
+			st.OpenFiles--
 		}
 	})
 	if file != nil {
-		file.Close() // it has no name: there is nothing left to lose
+		file.Close() // the error doesn't matter: the file has no name, so its data goes either way
 	}
 }
 
-// ahead is how far the reader has come that is ahead.
-func (b *Body) ahead() int64 {
-	most := int64(0)
+// maxReadOffset returns the offset of the reader that is farthest ahead, 0 if there is no reader.
+func (b *Body) maxReadOffset() int64 {
+	offset := int64(0)
 	for _, r := range b.readers {
-		most = max(most, r.off)
+		offset = max(offset, r.offset)
 	}
-	return most
+	return offset
 }
 
-// Complete ends the body, which is whole, with the trailers that came behind it, whole lines.
+// Complete marks the body as complete. The trailers that followed it are whole lines, each with its
+// CRLF.
 func (b *Body) Complete(trailers []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.whole, b.trailers = true, trailers
+	b.complete, b.trailers = true, trailers
 	b.changed.Broadcast()
 }
 
-// Fail ends the body, which is not whole. Its readers are told why.
+// Fail ends a body that broke off before it was complete. Its readers fail with err.
 func (b *Body) Fail(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fail(err)
 }
 
+// fail sets the error of readers, unless the body is complete or has one. Callers must hold b.mu.
 func (b *Body) fail(err error) {
-	if b.err == nil && !b.whole {
+	if b.err == nil && !b.complete {
 		b.err = err
 	}
 	b.changed.Broadcast()
 }
 
-// StopRetaining tells that nobody will want the body from its begin again.
+// StopRetaining states that no further attempt will read the body from its start, so that its storage
+// can be released.
 func (b *Body) StopRetaining() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -279,13 +296,15 @@
 		return
 	}
 	b.retentionStopped = true
-	if b.room == nil && b.end-b.ahead() <= int64(b.l.WindowBytes) { // else as the next bytes come, or at the end
-		b.lose()
+	// Otherwise allocate discards the body when the next bytes arrive, or Close releases it at the end.
+	if b.reserved == nil && b.endOffset-b.maxReadOffset() <= int64(b.limits.WindowBytes) {
+		b.discard()
 		b.changed.Broadcast()
 	}
 }
 
-// Close gives all back. Whoever waits for the body fails.
+// Close releases all storage. Pending and later reads and writes fail with ErrClosed. Closing a body
+// twice is harmless.
 func (b *Body) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -293,25 +312,25 @@
 		return
 	}
 	b.closed, b.retained, b.memory.blocks, b.recent.blocks = true, false, nil, nil
-	b.drop()
-	b.store.note(func(h *Stats) { h.OpenBodies-- })
+	b.releaseStorage()
+	b.store.updateStats(func(st *Stats) { st.OpenBodies-- })
 	b.changed.Broadcast()
 }
 
-// State tells what a further attempt would find.
+// State returns the availability of the body to a further attempt.
 func (b *Body) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case !b.retained || b.err != nil:
 		return Unavailable
-	case b.whole:
+	case b.complete:
 		return Retained
 	}
 	return Receiving
 }
 
-// WaitForReader waits for the first reader, and tells whether one came.
+// WaitForReader waits for the first reader or for Close and reports whether there has been a reader.
 func (b *Body) WaitForReader() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -321,16 +340,18 @@
 	return b.hadReader
 }
 
-// Reader reads a body from its begin, at its own pace. One goroutine uses it, but for Stop.
+// Reader reads a body from its start, independently of other readers. Only one goroutine may use it,
+// except that any may call Stop. Callers must call Close.
 type Reader struct {
-	b       *Body
-	off     int64
+	body    *Body
+	offset  int64
 	stopped atomic.Bool
-	buf     *[BlockSize]byte // for what is in the file
+	buf     *[BlockSize]byte // holds what was read from the file
 }
 
-// Reader begins to read. It fails with ErrNotKept where the begin is gone: no request goes out
-// again without its body. Close is owed.
+// Reader opens a reader at the start of the body. It fails with ErrDiscarded if the start is no longer
+// retained, since no request may be sent again without its body; with ErrClosed if the body is closed;
+// and with the error of Fail or of the file if there was one.
 func (b *Body) Reader() (*Reader, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -342,30 +363,31 @@
 	case !b.retained:
 		return nil, ErrDiscarded
 	}
-	r := &Reader{b: b}
+	r := &Reader{body: b}
 	b.readers = append(b.readers, r)
 	b.hadReader = true
 	b.changed.Broadcast()
 	return r, nil
 }
 
-// Next waits for more of the body and returns it, io.EOF at its end. What it returns is valid
-// until Advance.
+// Next waits for more of the body and returns the bytes at the reader's offset, at most BlockSize, or
+// io.EOF at the end of a complete body. The bytes are valid until Advance.
 func (r *Reader) Next() ([]byte, error) {
-	b := r.b
+	b := r.body
 	b.mu.Lock()
 	p, err := r.next()
-	lost := err != nil && err == b.unread && !b.told
-	b.told = b.told || lost
+	becameUnavailable := err != nil && err == b.readErr && !b.readErrNotified
+	b.readErrNotified = b.readErrNotified || becameUnavailable
 	b.mu.Unlock()
-	if lost && b.lost != nil {
-		b.lost()
+	if becameUnavailable && b.onUnavailable != nil {
+		b.onUnavailable()
 	}
 	return p, err
 }
 
+// next is Next with the body's lock held.
 func (r *Reader) next() ([]byte, error) {
-	b := r.b
+	b := r.body
 	for {
 		switch {
 		case r.stopped.Load():
@@ -374,69 +396,71 @@
 			return nil, ErrClosed
 		case b.err != nil:
 			return nil, b.err
-		case r.off < b.end:
-			return b.read(r)
-		case b.whole:
+		case r.offset < b.endOffset:
+			return b.dataFor(r)
+		case b.complete:
 			return nil, io.EOF
 		}
 		b.changed.Wait()
 	}
 }
 
-// read returns what is there of the body for a reader.
-func (b *Body) read(r *Reader) ([]byte, error) {
-	recent := b.file != nil || !b.retained
+// dataFor returns the bytes at the offset of a reader that is not at the end: from recent if they are
+// there, else from memory or the file. Callers must hold b.mu.
+func (b *Body) dataFor(r *Reader) ([]byte, error) {
+	usesRecent := b.file != nil || !b.retained
 	switch {
-	case recent && r.off >= b.recent.first:
-		return b.recent.at(r.off, b.end), nil
-	case !b.retained: // another was ahead
+	case usesRecent && r.offset >= b.recent.startOffset:
+		return b.recent.blockAt(r.offset, b.endOffset), nil
+	case !b.retained: // another reader was ahead, so recent starts behind this one's offset
 		return nil, ErrDiscarded
 	case b.file == nil:
-		return b.memory.at(r.off, b.end), nil
-	case r.off < b.memory.end():
-		return b.memory.at(r.off, b.memory.end()), nil
+		return b.memory.blockAt(r.offset, b.endOffset), nil
+	case r.offset < b.memory.endOffset():
+		return b.memory.blockAt(r.offset, b.memory.endOffset()), nil
 	}
 	if r.buf == nil {
-		r.buf = b.store.block()
+		r.buf = b.store.getBlock()
 	}
-	p := r.buf[:min(BlockSize, b.recent.first-r.off)]
-	if _, err := b.file.ReadAt(p, r.off-b.memory.end()); err != nil {
-		b.store.note(func(h *Stats) { h.FileErrors++ })
-		b.err, b.unread = err, err // also where it is whole: what can't be read again is not kept
+	p := r.buf[:min(BlockSize, b.recent.startOffset-r.offset)]
+	if _, err := b.file.ReadAt(p, r.offset-b.memory.endOffset()); err != nil {
+		b.store.updateStats(func(st *Stats) { st.FileErrors++ })
+		b.err, b.readErr = err, err // even if the body is complete: if it can't be read again, it isn't retained
 		b.changed.Broadcast()
 		return nil, err
 	}
 	return p, nil
 }
 
-// Advance passes over n bytes of what Next returned.
+// Advance moves the reader past the first n of the bytes that Next returned.
 func (r *Reader) Advance(n int) {
-	b := r.b
+	b := r.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r.off += int64(n)
+	r.offset += int64(n)
 	if !b.closed && (b.file != nil || !b.retained) {
-		b.pass(len(b.readers) == 1) // else another may be looking at it
+		b.trimRecent(len(b.readers) == 1) // with more readers, another may be using a block
 	}
 	b.changed.Broadcast()
 }
 
-// Trailers are those of a body that has been read to its end.
+// Trailers returns the trailers of a body that has been read to its end.
 func (r *Reader) Trailers() []byte {
-	r.b.mu.Lock()
-	defer r.b.mu.Unlock()
-	return r.b.trailers
+	r.body.mu.Lock()
+	defer r.body.mu.Unlock()
+	return r.body.trailers
 }
 
-// Stop has Next return ErrStopped. It does not wait, also where the body is being written to a disk
-// that is slow: whoever calls it may hold up everybody else.
+// Stop makes a pending and all later calls of Next return ErrStopped. It never blocks, not even while
+// the body is locked for a write to a slow disk: the caller may hold up all other requests while it
+// waits.
 func (r *Reader) Stop() {
 	r.stopped.Store(true)
-	if b := r.b; b.mu.TryLock() {
+	if b := r.body; b.mu.TryLock() {
 		b.changed.Broadcast()
 		b.mu.Unlock()
 	} else {
-		go func() { // a reader that has looked and does not wait yet would miss it now
+		go func() { // a reader that has checked stopped but does not wait yet would miss a broadcast now
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.changed.Broadcast()
@@ -444,12 +468,12 @@
 	}
 }
 
-// Close ends reading.
+// Close removes the reader from its body.
 func (r *Reader) Close() {
-	b := r.b
+	b := r.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.readers = slices.DeleteFunc(b.readers, func(x *Reader) bool { return x == r })
+	b.readers = slices.DeleteFunc(b.readers, func(other *Reader) bool { return other == r })
 	if r.buf != nil {
 		b.store.blocks.Put(r.buf)
 		r.buf = nil
