--- a/internal/fake/quick.go
+++ b/internal/fake/bench.go
@@ -15,8 +15,8 @@
 // BenchNode is a node that answers at once and does as little as a node can, so that what is
 // measured before it is not its own work. A request to /api/hold is answered after QuickHold.
 type BenchNode struct {
-	l        net.Listener
-	answer   []byte
+	listener net.Listener
+	response []byte
 	inFlight atomic.Int64
 }
 
@@ -29,32 +29,32 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in node: %w", err)
 	}
-	q := &BenchNode{l: l}
-	q.answer = append(benchHead(body), bytes.Repeat([]byte("x"), body)...)
+	q := &BenchNode{listener: l}
+	q.response = append(benchResponseHead(body), bytes.Repeat([]byte("x"), body)...)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go q.serve(c)
+			go q.serveConn(c)
 		}
 	}()
 	return q, nil
 }
 
-func benchHead(body int) []byte {
+func benchResponseHead(body int) []byte {
 	b := http1.AppendField(http1.AppendStatusLine(nil, 200), "Content-Type", "text/plain")
 	return http1.AppendHeadEnd(http1.AppendContentLength(b, int64(body)))
 }
 
 // Addr is where the node listens.
-func (q *BenchNode) Addr() string { return q.l.Addr().String() }
+func (q *BenchNode) Addr() string { return q.listener.Addr().String() }
 
 // Close stops listening.
-func (q *BenchNode) Close() error { return q.l.Close() }
+func (q *BenchNode) Close() error { return q.listener.Close() }
 
-func (q *BenchNode) serve(c net.Conn) {
+func (q *BenchNode) serveConn(c net.Conn) {
 	defer c.Close()
 	r := http1.NewRequest(http1.DefaultLimits)
 	var buf http1.Buffer
@@ -79,12 +79,12 @@
 		}
 		q.inFlight.Add(1)
 		path := r.Path()
-		out = q.answer
+		out = q.response
 		if string(path) == "/api/hold" {
 			time.Sleep(BenchHoldTime)
 		} else if string(path) == "/load" {
 			text := fmt.Sprintf("TEXT inflight=%d, queue=0, util=0.00", q.inFlight.Load()-1)
-			out = append(benchHead(len(text)), text...)
+			out = append(benchResponseHead(len(text)), text...)
 		}
 		buf.Consume(whole)
 		_, err = c.Write(out)
@@ -98,13 +98,13 @@
 // BenchCaller asks on one connection, one request after another, and allocates nothing for
 // that: what is measured beside it is not its own work.
 type BenchCaller struct {
-	c      net.Conn
-	text   []byte
-	id     []byte // the digits of the request's id and key in text
-	key    []byte
-	next   uint64
-	answer *http1.Response
-	buf    http1.Buffer
+	conn         net.Conn
+	requestBytes []byte
+	idDigits     []byte // the digits of the request's id and key in text
+	keyDigits    []byte
+	lastID       uint64
+	response     *http1.Response
+	buf          http1.Buffer
 }
 
 // NewBenchCaller connects to an address. Its requests are of a class, go to a path under /api/,
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in caller: %w", err)
 	}
-	q := &BenchCaller{c: c, next: first, answer: http1.NewResponse(http1.DefaultLimits)}
+	q := &BenchCaller{conn: c, lastID: first, response: http1.NewResponse(http1.DefaultLimits)}
 	const digits = "0000000000000000"
 	b := http1.AppendRequestLine(nil, []byte("POST"), []byte("/api/"+path))
 	b = http1.AppendField(b, "Host", "origin.svc")
@@ -126,47 +126,47 @@
 	b = http1.AppendField(b, "Idempotency-Key", digits)
 	key := len(b) - 2 - len(digits)
 	b = append(http1.AppendHeadEnd(http1.AppendContentLength(b, int64(body))), bytes.Repeat([]byte("x"), body)...)
-	q.text, q.id, q.key = b, b[id:id+len(digits)], b[key:key+len(digits)]
+	q.requestBytes, q.idDigits, q.keyDigits = b, b[id:id+len(digits)], b[key:key+len(digits)]
 	return q, nil
 }
 
 // Do asks once and returns the answer's status.
 func (q *BenchCaller) Do() (status int, err error) {
-	q.next++
-	for i, n := len(q.id)-1, q.next; i >= 0; i, n = i-1, n>>4 {
-		q.id[i] = "0123456789abcdef"[n&15]
+	q.lastID++
+	for i, n := len(q.idDigits)-1, q.lastID; i >= 0; i, n = i-1, n>>4 {
+		q.idDigits[i] = "0123456789abcdef"[n&15]
 	}
-	copy(q.key, q.id)
-	if _, err := q.c.Write(q.text); err != nil {
+	copy(q.keyDigits, q.idDigits)
+	if _, err := q.conn.Write(q.requestBytes); err != nil {
 		return 0, err
 	}
-	q.answer.Reset()
+	q.response.Reset()
 	q.buf.Reset()
 	for head := 0; ; {
-		n, err := q.c.Read(q.buf.Reserve(2048))
+		n, err := q.conn.Read(q.buf.Reserve(2048))
 		if err != nil {
 			return 0, err
 		}
 		q.buf.Commit(n)
 		if head == 0 {
-			if head, err = q.answer.Parse(q.buf.Bytes()); err != nil {
+			if head, err = q.response.Parse(q.buf.Bytes()); err != nil {
 				return 0, err
 			}
 			if head == 0 {
 				continue
 			}
-			if q.answer.ContentLength() < 0 {
+			if q.response.ContentLength() < 0 {
 				return 0, errors.New("stand-in caller: an answer without a length")
 			}
 		}
-		switch whole := head + int(q.answer.ContentLength()); {
+		switch whole := head + int(q.response.ContentLength()); {
 		case q.buf.Len() > whole:
 			return 0, errors.New("stand-in caller: more than an answer came")
 		case q.buf.Len() == whole:
-			return q.answer.Status(), nil
+			return q.response.Status(), nil
 		}
 	}
 }
 
 // Close ends the connection.
-func (q *BenchCaller) Close() error { return q.c.Close() }
+func (q *BenchCaller) Close() error { return q.conn.Close() }
--- a/internal/fake/caller.go
+++ b/internal/fake/caller.go
@@ -71,11 +71,11 @@
 type Caller struct {
 	client http.Client
 
-	mu     sync.Mutex
-	counts [outcomeCount]int
-	took   []time.Duration // of those served
-	why    map[string]int  // what was lost, by reason
-	seq    atomic.Int64
+	mu                sync.Mutex
+	counts            [outcomeCount]int
+	latencies         []time.Duration // of those served
+	noResponseReasons map[string]int  // what was lost, by reason
+	lastID            atomic.Int64
 }
 
 // NewCaller returns a Caller that keeps so many connections to a sidecar.
@@ -85,7 +85,7 @@
 			MaxIdleConnsPerHost: connections, MaxIdleConns: connections,
 			DisableCompression: true,
 		}},
-		why: make(map[string]int),
+		noResponseReasons: make(map[string]int),
 	}
 }
 
@@ -98,20 +98,20 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout+spare)
 	defer cancel()
-	v, why := c.do(ctx, sidecar, o)
+	v, why := c.send(ctx, sidecar, o)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[v]++
 	if v == OutcomeServed {
-		c.took = append(c.took, time.Since(began))
+		c.latencies = append(c.latencies, time.Since(began))
 	}
 	if v == OutcomeNoResponse {
-		c.why[why]++
+		c.noResponseReasons[why]++
 	}
 	return v
 }
 
-func (c *Caller) do(ctx context.Context, sidecar string, o CallerRequest) (Outcome, string) {
+func (c *Caller) send(ctx context.Context, sidecar string, o CallerRequest) (Outcome, string) {
 	req, err := NewHTTPRequest(ctx, sidecar, o)
 	if err != nil {
 		return OutcomeNoResponse, err.Error()
@@ -140,7 +140,7 @@
 }
 
 // NextID returns an id that this caller has not used.
-func (c *Caller) NextID() string { return fmt.Sprintf("%016x", uint64(c.seq.Add(1))) }
+func (c *Caller) NextID() string { return fmt.Sprintf("%016x", uint64(c.lastID.Add(1))) }
 
 // Results returns how many orders ended with each verdict, and how long those served took.
 func (c *Caller) Results() (counts map[Outcome]int, took []time.Duration, lost map[string]int) {
@@ -150,8 +150,8 @@
 	for v, n := range c.counts {
 		counts[Outcome(v)] = n
 	}
-	for why, n := range c.why {
+	for why, n := range c.noResponseReasons {
 		lost[why] = n
 	}
-	return counts, append([]time.Duration(nil), c.took...), lost
+	return counts, append([]time.Duration(nil), c.latencies...), lost
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -14,27 +14,27 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-// maxWait is the longest that a watch waits, see PROTOCOL, "Discovery".
-const maxWait = time.Minute
+// maxWatchWait is the longest that a watch waits, see PROTOCOL, "Discovery".
+const maxWatchWait = time.Minute
 
 // Discovery is a discovery service. Pushed lists are an agent's on the sidecar's machine,
 // which is silent while it is down; an asked service turns calls away with 503 then.
 type Discovery struct {
-	asked    bool
+	polled   bool
 	server   *http.Server
 	listener net.Listener
 
-	mu         sync.Mutex
-	generation uint64
-	instances  map[string]entry
-	down       bool
-	news       chan struct{} // closed at each change
-	calls      int
+	mu           sync.Mutex
+	generation   uint64
+	instances    map[string]instanceEntry
+	down         bool
+	changed      chan struct{} // closed at each change
+	requestCount int
 }
 
-type entry struct {
+type instanceEntry struct {
 	discovery.Instance
-	changed uint64 // the generation that it changed with
+	changedInGeneration uint64 // the generation that it changed with
 }
 
 // NewDiscovery starts a discovery service at an address of loopback; ":0" picks a port.
@@ -43,9 +43,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in discovery: %w", err)
 	}
-	d := &Discovery{asked: asked, listener: l, instances: make(map[string]entry), news: make(chan struct{})}
+	d := &Discovery{polled: asked, listener: l, instances: make(map[string]instanceEntry), changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/servers", d.serve)
+	mux.HandleFunc("GET /v1/servers", d.serveList)
 	d.server = &http.Server{Handler: mux}
 	go d.server.Serve(l)
 	return d, nil
@@ -63,9 +63,9 @@
 	defer d.mu.Unlock()
 	d.generation++
 	for _, in := range list {
-		d.instances[in.ID] = entry{in, d.generation}
+		d.instances[in.ID] = instanceEntry{in, d.generation}
 	}
-	d.wake()
+	d.notifyWaiting()
 }
 
 // SetDown has discovery go down or come back.
@@ -73,41 +73,41 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.wake()
+	d.notifyWaiting()
 }
 
 // RequestCount is how many calls have come.
 func (d *Discovery) RequestCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls
+	return d.requestCount
 }
 
 // List is the whole list at hand.
 func (d *Discovery) List() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since(nil)
+	return d.listSince(nil)
 }
 
-func (d *Discovery) wake() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *Discovery) notifyWaiting() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// since returns what changed after a version, or all without one.
-func (d *Discovery) since(index *uint64) discovery.List {
+// listSince returns what changed after a version, or all without one.
+func (d *Discovery) listSince(index *uint64) discovery.List {
 	l := discovery.List{Generation: d.generation, Full: index == nil, Instances: []discovery.Instance{}}
 	for _, id := range slices.Sorted(maps.Keys(d.instances)) {
 		in := d.instances[id]
-		if index == nil && in.Lifecycle != "removed" || index != nil && in.changed > *index {
+		if index == nil && in.Lifecycle != "removed" || index != nil && in.changedInGeneration > *index {
 			l.Instances = append(l.Instances, in.Instance)
 		}
 	}
 	return l
 }
 
-func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
+func (d *Discovery) serveList(w http.ResponseWriter, r *http.Request) {
 	var index *uint64
 	var end <-chan time.Time
 	if text := r.URL.Query().Get("index"); text != "" {
@@ -118,14 +118,14 @@
 			return
 		}
 		index = &n
-		timer := time.NewTimer(min(time.Duration(ms)*time.Millisecond, maxWait))
+		timer := time.NewTimer(min(time.Duration(ms)*time.Millisecond, maxWatchWait))
 		defer timer.Stop()
 		end = timer.C
 	}
 	d.mu.Lock()
-	d.calls++
+	d.requestCount++
 	for waited := index == nil; ; {
-		if d.down && d.asked {
+		if d.down && d.polled {
 			d.mu.Unlock()
 			http.Error(w, "down", http.StatusServiceUnavailable)
 			return
@@ -136,7 +136,7 @@
 		if !d.down && (waited || index == nil || d.generation > *index) {
 			break
 		}
-		news := d.news
+		news := d.changed
 		d.mu.Unlock()
 		select {
 		case <-news:
@@ -148,7 +148,7 @@
 		}
 		d.mu.Lock()
 	}
-	l := d.since(index)
+	l := d.listSince(index)
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(l)
--- a/internal/fake/standin_test.go
+++ b/internal/fake/fake_test.go
@@ -15,9 +15,9 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-func newNode(t *testing.T, cfg NodeConfig) *Node {
+func startNode(t *testing.T, cfg NodeConfig) *Node {
 	t.Helper()
 	cfg.Addr = "127.0.0.1:0"
 	n, err := NewNode(cfg)
@@ -28,10 +28,10 @@
 	return n
 }
 
-// ask sends a request straight to a node and returns the status, 0 for none, and the answer.
-func ask(t *testing.T, ctx context.Context, n *Node, id, key string) (int, Response) {
+// sendToNode sends a request straight to a node and returns the status, 0 for none, and the answer.
+func sendToNode(t *testing.T, ctx context.Context, n *Node, id, key string) (int, Response) {
 	t.Helper()
-	req, err := NewHTTPRequest(ctx, n.DiscoveryEntry("").HostPort, CallerRequest{ID: id, Class: "c", IdempotencyKey: key, Body: "x", Timeout: patience})
+	req, err := NewHTTPRequest(ctx, n.DiscoveryEntry("").HostPort, CallerRequest{ID: id, Class: "c", IdempotencyKey: key, Body: "x", Timeout: testTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,9 +50,9 @@
 }
 
 // Each fault is what PROTOCOL says of it, and the ledger knows what has run.
-func TestFaults(t *testing.T) {
+func TestNodeFaults(t *testing.T) {
 	l := &ExecutionLog{RepeatWindow: time.Hour}
-	n := newNode(t, NodeConfig{ID: "n", ExecutionLog: l})
+	n := startNode(t, NodeConfig{ID: "n", ExecutionLog: l})
 	ctx := context.Background()
 	for i, c := range []struct {
 		fault       Fault
@@ -60,7 +60,7 @@
 	}{{FaultNone, 200, 1}, {FaultRefuse, 503, 1}, {FaultInternalError, 500, 2}, {FaultDropConnection, 0, 3}, {FaultMalformedResponse, 0, 4}, {FaultNone, 200, 5}} {
 		n.SetFault(c.fault)
 		id := fmt.Sprint("id", i)
-		status, a := ask(t, ctx, n, id, id)
+		status, a := sendToNode(t, ctx, n, id, id)
 		if ran, _, _ := l.Totals(); status != c.status || ran != c.ran || status == 200 && a != (Response{id, id, "n"}) {
 			t.Errorf("fault %d: status %d, %d have run, answer %+v; want %d, %d", c.fault, status, ran, a, c.status, c.ran)
 		}
@@ -68,10 +68,10 @@
 	n.SetFault(FaultStall)
 	came := make(chan int, 1)
 	go func() {
-		status, _ := ask(t, ctx, n, "stalled", "stalled")
+		status, _ := sendToNode(t, ctx, n, "stalled", "stalled")
 		came <- status
 	}()
-	for end := time.Now().Add(patience); len(n.ArrivalTimes()) < 7 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); len(n.ArrivalTimes()) < 7 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	select {
@@ -86,32 +86,32 @@
 	if err := n.Stop(); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := ask(t, ctx, n, "x", "x"); status != 0 {
+	if status, _ := sendToNode(t, ctx, n, "x", "x"); status != 0 {
 		t.Errorf("a node that has stopped answers %d", status)
 	}
 	if err := n.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if status, _ := ask(t, ctx, n, "y", "y"); status != 200 || n.DiscoveryEntry("up").StartedAtUnixMilli == 0 {
+	if status, _ := sendToNode(t, ctx, n, "y", "y"); status != 200 || n.DiscoveryEntry("up").StartedAtUnixMilli == 0 {
 		t.Errorf("after its start it answers %d, listed as %+v", status, n.DiscoveryEntry("up"))
 	}
 }
 
 // A node with its slots and its queue full turns away, and its report says what it holds.
-func TestQueue(t *testing.T) {
-	n := newNode(t, NodeConfig{ID: "n", Concurrency: 1, QueueCapacity: 1})
+func TestNodeRefusesWhenQueueIsFull(t *testing.T) {
+	n := startNode(t, NodeConfig{ID: "n", Concurrency: 1, QueueCapacity: 1})
 	n.SetFault(FaultStall)
 	done := make(chan int, 2)
 	for i := range 2 {
 		go func() {
-			status, _ := ask(t, context.Background(), n, fmt.Sprint(i), fmt.Sprint(i))
+			status, _ := sendToNode(t, context.Background(), n, fmt.Sprint(i), fmt.Sprint(i))
 			done <- status
 		}()
 	}
-	for end := time.Now().Add(patience); len(n.ArrivalTimes()) < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); len(n.ArrivalTimes()) < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if status, _ := ask(t, context.Background(), n, "3", "3"); status != 503 {
+	if status, _ := sendToNode(t, context.Background(), n, "3", "3"); status != 503 {
 		t.Errorf("a full node answers %d", status)
 	}
 	resp, err := http.Get("http://" + n.DiscoveryEntry("").HostPort + "/load")
@@ -132,7 +132,7 @@
 }
 
 // Repeats within the window are dropped and later ones run again.
-func TestLedger(t *testing.T) {
+func TestExecutionLogDropsRepeatsWithinWindow(t *testing.T) {
 	l := &ExecutionLog{RepeatWindow: time.Hour}
 	l.Record("1", "k")
 	l.Record("2", "k")
@@ -147,9 +147,9 @@
 	}
 }
 
-func call(t *testing.T, d *Discovery, query string) (discovery.List, int) {
+func requestList(t *testing.T, d *Discovery, query string) (discovery.List, int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr()+"/v1/servers"+query, nil)
 	if err != nil {
@@ -171,7 +171,7 @@
 }
 
 // Discovery gives whole lists and changes, waits for news, and goes down in either form.
-func TestDiscovery(t *testing.T) {
+func TestDiscoveryServesListsChangesAndOutages(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		d, err := NewDiscovery("127.0.0.1:0", asked)
 		if err != nil {
@@ -181,24 +181,24 @@
 		a, b := discovery.Instance{ID: "a", HostPort: "127.0.0.1:1", Lifecycle: "up"}, discovery.Instance{ID: "b", HostPort: "127.0.0.1:2", Lifecycle: "up"}
 		d.Update(a)
 		d.Update(b)
-		if l, _ := call(t, d, ""); !l.Full || len(l.Instances) != 2 || l.Generation != 2 || l.Check() != nil {
+		if l, _ := requestList(t, d, ""); !l.Full || len(l.Instances) != 2 || l.Generation != 2 || l.Check() != nil {
 			t.Errorf("whole: %+v", l)
 		}
-		if l, _ := call(t, d, "?index=1&wait=1"); l.Full || len(l.Instances) != 1 || l.Instances[0].ID != "b" {
+		if l, _ := requestList(t, d, "?index=1&wait=1"); l.Full || len(l.Instances) != 1 || l.Instances[0].ID != "b" {
 			t.Errorf("changes: %+v", l)
 		}
-		if l, _ := call(t, d, "?index=2&wait=1"); l.Full || len(l.Instances) != 0 || l.Generation != 2 {
+		if l, _ := requestList(t, d, "?index=2&wait=1"); l.Full || len(l.Instances) != 0 || l.Generation != 2 {
 			t.Errorf("no changes: %+v", l)
 		}
-		if l, _ := call(t, d, "?index=99&wait=1"); !l.Full || len(l.Instances) != 2 {
+		if l, _ := requestList(t, d, "?index=99&wait=1"); !l.Full || len(l.Instances) != 2 {
 			t.Errorf("a version of the future: %+v", l)
 		}
 		got := make(chan discovery.List, 1)
 		go func() {
-			l, _ := call(t, d, "?index=2&wait=20000")
+			l, _ := requestList(t, d, "?index=2&wait=20000")
 			got <- l
 		}()
-		for end := time.Now().Add(patience); d.RequestCount() < 5 && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); d.RequestCount() < 5 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		a.Lifecycle = "removed"
@@ -209,22 +209,22 @@
 		if l := d.List(); len(l.Instances) != 1 {
 			t.Errorf("whole, after a removal: %+v", l)
 		}
-		if _, status := call(t, d, "?index=x"); status != 400 {
+		if _, status := requestList(t, d, "?index=x"); status != 400 {
 			t.Errorf("a bad version: %d", status)
 		}
 		d.SetDown(true)
 		if asked {
-			if _, status := call(t, d, ""); status != 503 {
+			if _, status := requestList(t, d, ""); status != 503 {
 				t.Errorf("down: %d", status)
 			}
 			continue
 		}
 		silent := make(chan int, 1)
 		go func() {
-			_, status := call(t, d, "")
+			_, status := requestList(t, d, "")
 			silent <- status
 		}()
-		for end := time.Now().Add(patience); d.RequestCount() < 6 && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); d.RequestCount() < 6 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		select {
@@ -240,7 +240,7 @@
 }
 
 // The caller tells answers apart, and takes none that was made for another.
-func TestCaller(t *testing.T) {
+func TestCallerClassifiesResponses(t *testing.T) {
 	reply := func(text string) string {
 		return StartTCPServer(t, func(c net.Conn) {
 			defer c.Close()
@@ -262,7 +262,7 @@
 		"refused": {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), OutcomeRefused}, "failed": {reply("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"), OutcomeFailed},
 		"cut": {reply("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nx"), OutcomeNoResponse}, "none": {reply(""), OutcomeNoResponse},
 	} {
-		if got := c.Do(context.Background(), k.addr, CallerRequest{ID: "1", Class: "c", IdempotencyKey: "k", Body: "x", Timeout: patience}, 0); got != k.want {
+		if got := c.Do(context.Background(), k.addr, CallerRequest{ID: "1", Class: "c", IdempotencyKey: "k", Body: "x", Timeout: testTimeout}, 0); got != k.want {
 			t.Errorf("%s: %v, want %v", name, got, k.want)
 		}
 	}
--- a/internal/fake/bulk.go
+++ b/internal/fake/largebody.go
@@ -23,16 +23,16 @@
 			return
 		}
 		w.Header().Set("Content-Length", strconv.FormatInt(answer, 10))
-		io.CopyN(w, zeros{}, answer)
+		io.CopyN(w, fillerReader{}, answer)
 	})}
 	go s.Serve(l)
 	return s, l.Addr().String(), nil
 }
 
-// zeros is read without end.
-type zeros struct{}
+// fillerReader is read without end.
+type fillerReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
+func (fillerReader) Read(p []byte) (int, error) { return len(p), nil }
 
 // LargeBodyCaller sends a long body and reads a long answer on a connection of its own.
 type LargeBodyCaller struct {
@@ -42,23 +42,23 @@
 	Timeout                  time.Duration
 }
 
-// pieceTime is how often a caller with a rate sends or reads.
-const pieceTime = 50 * time.Millisecond
+// transferInterval is how often a caller with a rate sends or reads.
+const transferInterval = 50 * time.Millisecond
 
-// paced copies n bytes at a rate.
-func paced(to io.Writer, from io.Reader, n, rate int64) error {
+// copyAtRate copies n bytes at a rate.
+func copyAtRate(to io.Writer, from io.Reader, n, rate int64) error {
 	if rate == 0 {
 		_, err := io.CopyBuffer(struct{ io.Writer }{to}, io.LimitReader(from, n), make([]byte, 64<<10))
 		return err
 	}
-	piece := max(rate*int64(pieceTime)/int64(time.Second), 1)
+	piece := max(rate*int64(transferInterval)/int64(time.Second), 1)
 	for n > 0 {
 		m, err := io.CopyN(to, from, min(piece, n))
 		if err != nil {
 			return err
 		}
 		n -= m
-		time.Sleep(pieceTime)
+		time.Sleep(transferInterval)
 	}
 	return nil
 }
@@ -75,7 +75,7 @@
 	go func() {
 		_, err := fmt.Fprintf(c, "POST /api/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nIdempotency-Key: %s\r\nX-Priority-Class: %s\r\n"+
 			"X-Timeout: %dm\r\nContent-Length: %d\r\n\r\n", b.Path, b.ID, b.ID, b.Class, b.Timeout.Milliseconds(), b.BodyBytes)
-		sent <- errors.Join(err, paced(c, zeros{}, b.BodyBytes, b.BytesPerSecond))
+		sent <- errors.Join(err, copyAtRate(c, fillerReader{}, b.BodyBytes, b.BytesPerSecond))
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -85,5 +85,5 @@
 	if resp.StatusCode != http.StatusOK || resp.ContentLength != b.ResponseBytes {
 		return fmt.Errorf("stand-in caller: %s, %d bytes", resp.Status, resp.ContentLength)
 	}
-	return errors.Join(paced(io.Discard, resp.Body, b.ResponseBytes, b.BytesPerSecond), <-sent)
+	return errors.Join(copyAtRate(io.Discard, resp.Body, b.ResponseBytes, b.BytesPerSecond), <-sent)
 }
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -47,24 +47,24 @@
 	cfg   NodeConfig
 	slots chan struct{}
 
-	mu       sync.Mutex
-	addr     string
-	server   *http.Server
-	fault    Fault
-	mended   chan struct{} // closed as the fault changes
-	inFlight int
-	started  time.Time
-	arrivals []time.Time
+	mu           sync.Mutex
+	addr         string
+	server       *http.Server
+	fault        Fault
+	faultChanged chan struct{} // closed as the fault changes
+	inFlight     int
+	startedAt    time.Time
+	arrivalTimes []time.Time
 }
 
 // NewNode starts a node.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	cfg.Concurrency = max(cfg.Concurrency, 1)
-	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Concurrency), addr: cfg.Addr, mended: make(chan struct{})}
+	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Concurrency), addr: cfg.Addr, faultChanged: make(chan struct{})}
 	if err := n.Start(); err != nil {
 		return nil, err
 	}
-	n.started = time.Time{} // it has run for long
+	n.startedAt = time.Time{} // it has run for long
 	return n, nil
 }
 
@@ -77,10 +77,10 @@
 		return fmt.Errorf("stand-in node %s: %w", n.cfg.ID, err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /load", n.load)
+	mux.HandleFunc("GET /load", n.serveLoad)
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
-	mux.HandleFunc("/api/", n.serve)
-	n.addr, n.server, n.started = l.Addr().String(), &http.Server{Handler: mux}, time.Now()
+	mux.HandleFunc("/api/", n.serveRequest)
+	n.addr, n.server, n.startedAt = l.Addr().String(), &http.Server{Handler: mux}, time.Now()
 	go n.server.Serve(l)
 	return nil
 }
@@ -97,22 +97,22 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fault = f
-	close(n.mended)
-	n.mended = make(chan struct{})
+	close(n.faultChanged)
+	n.faultChanged = make(chan struct{})
 }
 
 // ArrivalTimes are the times at which requests came to the node, probes aside.
 func (n *Node) ArrivalTimes() []time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.Clone(n.arrivals)
+	return slices.Clone(n.arrivalTimes)
 }
 
 // StartedAt is when the node's process last started; zero is long ago.
 func (n *Node) StartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.started
+	return n.startedAt
 }
 
 // DiscoveryEntry is the node as discovery lists it.
@@ -120,14 +120,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	in := discovery.Instance{ID: n.cfg.ID, HostPort: n.addr, Zone: n.cfg.Zone, Lifecycle: lifecycle}
-	if !n.started.IsZero() {
-		in.StartedAtUnixMilli = n.started.UnixMilli()
+	if !n.startedAt.IsZero() {
+		in.StartedAtUnixMilli = n.startedAt.UnixMilli()
 	}
 	return in
 }
 
-// load answers a probe, see PROTOCOL, "Sidecars to endpoints".
-func (n *Node) load(w http.ResponseWriter, _ *http.Request) {
+// serveLoad answers a probe, see PROTOCOL, "Sidecars to endpoints".
+func (n *Node) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	n.mu.Lock()
 	inFlight := n.inFlight
 	n.mu.Unlock()
@@ -140,18 +140,18 @@
 	ID, Key, Node string
 }
 
-var errFull = errors.New("queue full")
+var errQueueFull = errors.New("queue full")
 
-// serve runs a request, once its last byte has come.
-func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
+// serveRequest runs a request, once its last byte has come.
+func (n *Node) serveRequest(w http.ResponseWriter, r *http.Request) {
 	id, key := r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key")
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || id == "" {
 		http.Error(w, "no request", http.StatusNotFound)
 		return
 	}
-	fault, err := n.work(r, id, key)
+	fault, err := n.execute(r, id, key)
 	switch {
-	case errors.Is(err, errFull), fault == FaultRefuse:
+	case errors.Is(err, errQueueFull), fault == FaultRefuse:
 		w.Header().Set("X-Not-Processed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case fault == FaultDropConnection:
@@ -169,14 +169,14 @@
 	}
 }
 
-// work queues for a slot and runs a request, by the fault at hand when it came.
-func (n *Node) work(r *http.Request, id, key string) (Fault, error) {
+// execute queues for a slot and runs a request, by the fault at hand when it came.
+func (n *Node) execute(r *http.Request, id, key string) (Fault, error) {
 	n.mu.Lock()
-	n.arrivals = append(n.arrivals, time.Now())
-	fault, mended := n.fault, n.mended
+	n.arrivalTimes = append(n.arrivalTimes, time.Now())
+	fault, mended := n.fault, n.faultChanged
 	if fault == FaultRefuse || n.inFlight >= n.cfg.Concurrency+n.cfg.QueueCapacity {
 		n.mu.Unlock()
-		return fault, errFull
+		return fault, errQueueFull
 	}
 	n.inFlight++
 	n.mu.Unlock()
@@ -218,31 +218,31 @@
 type ExecutionLog struct {
 	RepeatWindow time.Duration
 
-	mu       sync.Mutex
-	runs     map[string]int // by key, or by id where there is none: effects
-	last     map[string]time.Time
-	attempts int
-	repeats  int
+	mu             sync.Mutex
+	effects        map[string]int // by key, or by id where there is none: effects
+	lastEffectAt   map[string]time.Time
+	attempts       int
+	droppedRepeats int
 }
 
 // Record notes that a request runs.
 func (l *ExecutionLog) Record(id, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.runs == nil {
-		l.runs, l.last = make(map[string]int), make(map[string]time.Time)
+	if l.effects == nil {
+		l.effects, l.lastEffectAt = make(map[string]int), make(map[string]time.Time)
 	}
 	l.attempts++
 	name, now := id, time.Now()
 	if key != "" {
 		name = "key " + key
-		if at, ok := l.last[name]; ok && now.Sub(at) < l.RepeatWindow {
-			l.repeats++
+		if at, ok := l.lastEffectAt[name]; ok && now.Sub(at) < l.RepeatWindow {
+			l.droppedRepeats++
 			return
 		}
-		l.last[name] = now
+		l.lastEffectAt[name] = now
 	}
-	l.runs[name]++
+	l.effects[name]++
 }
 
 // Totals returns how many attempts have run, how many repeats were dropped, and for how many
@@ -250,10 +250,10 @@
 func (l *ExecutionLog) Totals() (attempts, repeats, twice int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, n := range l.runs {
+	for _, n := range l.effects {
 		if n > 1 {
 			twice++
 		}
 	}
-	return l.attempts, l.repeats, twice
+	return l.attempts, l.droppedRepeats, twice
 }
