--- a/internal/fake/bench.go
+++ b/internal/fake/bench.go
@@ -12,66 +12,69 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-// BenchNode is a node that answers at once and does as little as a node can, so that what is
-// measured before it is not its own work. A request to /api/hold is answered after QuickHold.
+// BenchNode is a node for benchmarks. It responds at once and does as little work as possible, so that
+// its own work does not distort the measurement of the program in front of it. It responds to a
+// request to /api/hold after BenchHoldTime.
 type BenchNode struct {
 	listener net.Listener
-	response []byte
+	response []byte // head and body
 	inFlight atomic.Int64
 }
 
-// BenchHoldTime is how long a Quick holds a request to /api/hold.
+// BenchHoldTime is how long a BenchNode delays its response to a request to /api/hold.
 const BenchHoldTime = 1200 * time.Millisecond
 
-// NewBenchNode starts a node on loopback whose answers have so many bytes of body.
-func NewBenchNode(body int) (*BenchNode, error) {
+// NewBenchNode starts a node on a free loopback port. Its responses have a body of bodyBytes bytes.
+func NewBenchNode(bodyBytes int) (*BenchNode, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stand-in node: %w", err)
+		return nil, fmt.Errorf("fake node: %w", err)
 	}
-	q := &BenchNode{listener: l}
-	q.response = append(benchResponseHead(body), bytes.Repeat([]byte("x"), body)...)
+	node := &BenchNode{listener: l}
+	node.response = append(benchResponseHead(bodyBytes), bytes.Repeat([]byte("x"), bodyBytes)...)
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go q.serveConn(c)
+			go node.serveConn(c)
 		}
 	}()
-	return q, nil
+	return node, nil
 }
 
-func benchResponseHead(body int) []byte {
+// benchResponseHead returns the head of a response with status 200 and a body of bodyBytes bytes.
+func benchResponseHead(bodyBytes int) []byte {
 	b := http1.AppendField(http1.AppendStatusLine(nil, 200), "Content-Type", "text/plain")
-	return http1.AppendHeadEnd(http1.AppendContentLength(b, int64(body)))
+	return http1.AppendHeadEnd(http1.AppendContentLength(b, int64(bodyBytes)))
 }
 
-// Addr is where the node listens.
+// Addr returns the address that the node listens on.
 func (q *BenchNode) Addr() string { return q.listener.Addr().String() }
 
-// Close stops listening.
+// Close closes the listener. Open connections are still served.
 func (q *BenchNode) Close() error { return q.listener.Close() }
 
+// serveConn responds to the requests of a connection until it fails or a request is malformed.
 func (q *BenchNode) serveConn(c net.Conn) {
 	defer c.Close()
 	r := http1.NewRequest(http1.DefaultLimits)
 	var buf http1.Buffer
-	var out []byte
+	var response []byte
 	for {
 		r.Reset()
-		n, err := r.Parse(buf.Bytes())
-		whole := n + int(max(r.ContentLength(), 0))
-		for n == 0 && err == nil || n > 0 && buf.Len() < whole {
-			var m int
-			if m, err = c.Read(buf.Reserve(2048)); err != nil {
+		headBytes, err := r.Parse(buf.Bytes())
+		requestBytes := headBytes + int(max(r.ContentLength(), 0))
+		for headBytes == 0 && err == nil || headBytes > 0 && buf.Len() < requestBytes {
+			var n int
+			if n, err = c.Read(buf.Reserve(2048)); err != nil {
 				return
 			}
-			buf.Commit(m)
-			if n == 0 {
-				n, err = r.Parse(buf.Bytes())
-				whole = n + int(max(r.ContentLength(), 0))
+			buf.Commit(n)
+			if headBytes == 0 {
+				headBytes, err = r.Parse(buf.Bytes())
+				requestBytes = headBytes + int(max(r.ContentLength(), 0))
 			}
 		}
 		if err != nil {
@@ -79,15 +82,15 @@
 		}
 		q.inFlight.Add(1)
 		path := r.Path()
-		out = q.response
+		response = q.response
 		if string(path) == "/api/hold" {
 			time.Sleep(BenchHoldTime)
 		} else if string(path) == "/load" {
 			text := fmt.Sprintf("TEXT inflight=%d, queue=0, util=0.00", q.inFlight.Load()-1)
-			out = append(benchResponseHead(len(text)), text...)
+			response = append(benchResponseHead(len(text)), text...)
 		}
-		buf.Consume(whole)
-		_, err = c.Write(out)
+		buf.Consume(requestBytes)
+		_, err = c.Write(response)
 		q.inFlight.Add(-1)
 		if err != nil {
 			return
@@ -95,42 +98,45 @@
 	}
 }
 
-// BenchCaller asks on one connection, one request after another, and allocates nothing for
-// that: what is measured beside it is not its own work.
+// BenchCaller is a caller for benchmarks: it sends one request after another on one connection. Do does
+// not allocate, so that the caller's own work does not distort the measurement of the program that it
+// sends to. A BenchCaller must not be used by several goroutines at the same time.
 type BenchCaller struct {
 	conn         net.Conn
-	requestBytes []byte
-	idDigits     []byte // the digits of the request's id and key in text
-	keyDigits    []byte
+	requestBytes []byte // head and body; the digits of the IDs are overwritten for each request
+	idDigits     []byte // part of requestBytes: the request ID
+	keyDigits    []byte // part of requestBytes: the idempotency key
 	lastID       uint64
 	response     *http1.Response
 	buf          http1.Buffer
 }
 
-// NewBenchCaller connects to an address. Its requests are of a class, go to a path under /api/,
-// carry so many bytes and wait for up to timeout. first is the first of its ids; each caller
-// needs its own range.
-func NewBenchCaller(addr, class, path string, body int, timeout time.Duration, first uint64) (*BenchCaller, error) {
+// NewBenchCaller connects to an address. Do will send requests of the class to /api/ and path, with a
+// body of bodyBytes bytes and timeout as their X-Timeout. The request IDs and idempotency keys count up
+// from baseID+1 in hexadecimal digits; callers must give each BenchCaller a range of its own.
+func NewBenchCaller(addr, class, path string, bodyBytes int, timeout time.Duration, baseID uint64) (*BenchCaller, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in caller: %w", err)
+		return nil, fmt.Errorf("fake caller: %w", err)
 	}
-	q := &BenchCaller{conn: c, lastID: first, response: http1.NewResponse(http1.DefaultLimits)}
+	caller := &BenchCaller{conn: c, lastID: baseID, response: http1.NewResponse(http1.DefaultLimits)}
 	const digits = "0000000000000000"
 	b := http1.AppendRequestLine(nil, []byte("POST"), []byte("/api/"+path))
 	b = http1.AppendField(b, "Host", "origin.svc")
 	b = http1.AppendField(b, "X-Priority-Class", class)
 	b = http1.AppendField(b, "X-Timeout", strconv.FormatInt(timeout.Milliseconds(), 10)+"m")
 	b = http1.AppendField(b, "X-Request-ID", digits)
-	id := len(b) - 2 - len(digits)
+	idOffset := len(b) - 2 - len(digits) // 2 for the CRLF after the value
 	b = http1.AppendField(b, "Idempotency-Key", digits)
-	key := len(b) - 2 - len(digits)
-	b = append(http1.AppendHeadEnd(http1.AppendContentLength(b, int64(body))), bytes.Repeat([]byte("x"), body)...)
-	q.requestBytes, q.idDigits, q.keyDigits = b, b[id:id+len(digits)], b[key:key+len(digits)]
-	return q, nil
+	keyOffset := len(b) - 2 - len(digits)
+	b = append(http1.AppendHeadEnd(http1.AppendContentLength(b, int64(bodyBytes))), bytes.Repeat([]byte("x"), bodyBytes)...)
+	caller.requestBytes, caller.idDigits, caller.keyDigits = b, b[idOffset:idOffset+len(digits)], b[keyOffset:keyOffset+len(digits)]
+	return caller, nil
 }
 
-// Do asks once and returns the answer's status.
+// Do sends the next request, waits for the response with its whole body, and returns its status. It
+// fails if the response has no Content-Length or is followed by further bytes. There is no timeout on
+// the caller's side.
 func (q *BenchCaller) Do() (status int, err error) {
 	q.lastID++
 	for i, n := len(q.idDigits)-1, q.lastID; i >= 0; i, n = i-1, n>>4 {
@@ -142,31 +148,31 @@
 	}
 	q.response.Reset()
 	q.buf.Reset()
-	for head := 0; ; {
+	for headBytes := 0; ; {
 		n, err := q.conn.Read(q.buf.Reserve(2048))
 		if err != nil {
 			return 0, err
 		}
 		q.buf.Commit(n)
-		if head == 0 {
-			if head, err = q.response.Parse(q.buf.Bytes()); err != nil {
+		if headBytes == 0 {
+			if headBytes, err = q.response.Parse(q.buf.Bytes()); err != nil {
 				return 0, err
 			}
-			if head == 0 {
+			if headBytes == 0 {
 				continue
 			}
 			if q.response.ContentLength() < 0 {
-				return 0, errors.New("stand-in caller: an answer without a length")
+				return 0, errors.New("fake caller: response has no Content-Length")
 			}
 		}
-		switch whole := head + int(q.response.ContentLength()); {
-		case q.buf.Len() > whole:
-			return 0, errors.New("stand-in caller: more than an answer came")
-		case q.buf.Len() == whole:
+		switch responseBytes := headBytes + int(q.response.ContentLength()); {
+		case q.buf.Len() > responseBytes:
+			return 0, errors.New("fake caller: unexpected bytes after the response")
+		case q.buf.Len() == responseBytes:
 			return q.response.Status(), nil
 		}
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (q *BenchCaller) Close() error { return q.conn.Close() }
--- a/internal/fake/caller.go
+++ b/internal/fake/caller.go
@@ -16,38 +16,39 @@
 type CallerRequest struct {
 	ID, Class, Tenant string
 	IdempotencyKey    string // empty for a class without keys
-	Path              string // from /api/ on; empty is "order"
+	Path              string // without the leading /api/; empty means "order"
 	Body              string
-	Timeout           time.Duration // the caller's patience
-	Retried           bool
+	Timeout           time.Duration // sent as X-Timeout; 0 sends none
+	Retried           bool          // sent as X-Retried
 }
 
-// NewHTTPRequest returns an order as a request to a sidecar, see PROTOCOL, "Callers to sidecars".
-func NewHTTPRequest(ctx context.Context, sidecar string, o CallerRequest) (*http.Request, error) {
+// NewHTTPRequest returns r as an HTTP request to a sidecar at the given address, see PROTOCOL,
+// "Callers to sidecars". The method is GET for a request with neither key nor body and POST otherwise.
+func NewHTTPRequest(ctx context.Context, sidecarAddr string, r CallerRequest) (*http.Request, error) {
 	method := http.MethodPost
-	if o.IdempotencyKey == "" && o.Body == "" {
+	if r.IdempotencyKey == "" && r.Body == "" {
 		method = http.MethodGet
 	}
-	path := o.Path
+	path := r.Path
 	if path == "" {
 		path = "order"
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+sidecar+"/api/"+path, strings.NewReader(o.Body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+sidecarAddr+"/api/"+path, strings.NewReader(r.Body))
 	if err != nil {
-		return nil, fmt.Errorf("stand-in caller: %w", err)
+		return nil, fmt.Errorf("fake caller: %w", err)
 	}
 	for name, value := range map[string]string{
-		"X-Request-ID": o.ID, "X-Priority-Class": o.Class, "X-Tenant-Id": o.Tenant, "Idempotency-Key": o.IdempotencyKey,
+		"X-Request-ID": r.ID, "X-Priority-Class": r.Class, "X-Tenant-Id": r.Tenant, "Idempotency-Key": r.IdempotencyKey,
 	} {
 		if value != "" {
 			req.Header.Set(name, value)
 		}
 	}
-	if o.Retried {
+	if r.Retried {
 		req.Header.Set("X-Retried", "1")
 	}
-	if o.Timeout > 0 {
-		req.Header.Set("X-Timeout", fmt.Sprintf("%du", o.Timeout.Microseconds()))
+	if r.Timeout > 0 {
+		req.Header.Set("X-Timeout", fmt.Sprintf("%du", r.Timeout.Microseconds()))
 	}
 	return req, nil
 }
@@ -55,34 +56,35 @@
 // Outcome is how a request ended for its caller.
 type Outcome int
 
-// The verdicts. Lost is no answer in time, or one that no node made for this request.
+// The outcomes of a request.
 const (
-	OutcomeServed Outcome = iota
-	OutcomeRefused
-	OutcomeFailed
-	OutcomeNoResponse
+	OutcomeServed     Outcome = iota // 200 with a node's response to this request
+	OutcomeRefused                   // 503 or 429
+	OutcomeFailed                    // any other status
+	OutcomeNoResponse                // no complete response in time, or a 200 whose body no node made for this request
 	outcomeCount
 )
 
-func (v Outcome) String() string { return [...]string{"served", "refused", "failed", "lost"}[v] }
+func (o Outcome) String() string { return [...]string{"served", "refused", "failed", "no response"}[o] }
 
-// Caller sends orders and counts what became of them. It tries none again; its library sends one
-// once more if the connection it was written to turns out to be closed, as PROTOCOL has it.
+// Caller sends requests and counts their outcomes. It does not retry; but net/http's client, which it
+// uses, sends a request once more if the reused connection that it was written to turns out to be
+// closed, as PROTOCOL allows. A Caller may be used by several goroutines.
 type Caller struct {
 	client http.Client
 
 	mu                sync.Mutex
 	counts            [outcomeCount]int
-	latencies         []time.Duration // of those served
-	noResponseReasons map[string]int  // what was lost, by reason
+	latencies         []time.Duration // of served requests
+	noResponseReasons map[string]int  // count of OutcomeNoResponse by error text
 	lastID            atomic.Int64
 }
 
-// NewCaller returns a Caller that keeps so many connections to a sidecar.
-func NewCaller(connections int) *Caller {
+// NewCaller returns a Caller that keeps up to maxIdleConnections idle connections open.
+func NewCaller(maxIdleConnections int) *Caller {
 	return &Caller{
 		client: http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: connections, MaxIdleConns: connections,
+			MaxIdleConnsPerHost: maxIdleConnections, MaxIdleConns: maxIdleConnections,
 			DisableCompression: true,
 		}},
 		noResponseReasons: make(map[string]int),
@@ -92,27 +94,29 @@
 // Close closes the caller's idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-// Do sends an order and notes its verdict. spare is the time beyond the order's own that an
-// answer may be late by for what lies between caller and sidecar.
-func (c *Caller) Do(ctx context.Context, sidecar string, o CallerRequest, spare time.Duration) Outcome {
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, o.Timeout+spare)
+// Do sends a request to the sidecar at sidecarAddr, waits for the response, and counts and returns the
+// outcome. It waits for r.Timeout and slack, which allows for the time that the response takes between
+// sidecar and caller.
+func (c *Caller) Do(ctx context.Context, sidecarAddr string, r CallerRequest, slack time.Duration) Outcome {
+	startedAt := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, r.Timeout+slack)
 	defer cancel()
-	v, why := c.send(ctx, sidecar, o)
+	outcome, reason := c.send(ctx, sidecarAddr, r)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts[v]++
-	if v == OutcomeServed {
-		c.latencies = append(c.latencies, time.Since(began))
+	c.counts[outcome]++
+	if outcome == OutcomeServed {
+		c.latencies = append(c.latencies, time.Since(startedAt))
 	}
-	if v == OutcomeNoResponse {
-		c.noResponseReasons[why]++
+	if outcome == OutcomeNoResponse {
+		c.noResponseReasons[reason]++
 	}
-	return v
+	return outcome
 }
 
-func (c *Caller) send(ctx context.Context, sidecar string, o CallerRequest) (Outcome, string) {
-	req, err := NewHTTPRequest(ctx, sidecar, o)
+// send sends a request and returns its outcome, with the reason for OutcomeNoResponse.
+func (c *Caller) send(ctx context.Context, sidecarAddr string, r CallerRequest) (Outcome, string) {
+	req, err := NewHTTPRequest(ctx, sidecarAddr, r)
 	if err != nil {
 		return OutcomeNoResponse, err.Error()
 	}
@@ -127,9 +131,9 @@
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		var a Response
-		if err := json.Unmarshal(body, &a); err != nil || a.ID != o.ID {
-			return OutcomeNoResponse, fmt.Sprintf("answered with %.60q", body)
+		var nodeResponse Response
+		if err := json.Unmarshal(body, &nodeResponse); err != nil || nodeResponse.ID != r.ID {
+			return OutcomeNoResponse, fmt.Sprintf("unexpected response body %.60q", body)
 		}
 		return OutcomeServed, ""
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -139,19 +143,20 @@
 	}
 }
 
-// NextID returns an id that this caller has not used.
+// NextID returns a request ID that this caller has not returned before.
 func (c *Caller) NextID() string { return fmt.Sprintf("%016x", uint64(c.lastID.Add(1))) }
 
-// Results returns how many orders ended with each verdict, and how long those served took.
-func (c *Caller) Results() (counts map[Outcome]int, took []time.Duration, lost map[string]int) {
+// Results returns the number of requests by outcome, the latencies of the served ones in the order in
+// which they ended, and the number of those without a response by reason. The caller owns the results.
+func (c *Caller) Results() (counts map[Outcome]int, latencies []time.Duration, noResponseReasons map[string]int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	counts, lost = make(map[Outcome]int), make(map[string]int)
-	for v, n := range c.counts {
-		counts[Outcome(v)] = n
+	counts, noResponseReasons = make(map[Outcome]int), make(map[string]int)
+	for outcome, n := range c.counts {
+		counts[Outcome(outcome)] = n
 	}
-	for why, n := range c.noResponseReasons {
-		lost[why] = n
+	for reason, n := range c.noResponseReasons {
+		noResponseReasons[reason] = n
 	}
-	return counts, append([]time.Duration(nil), c.latencies...), lost
+	return counts, append([]time.Duration(nil), c.latencies...), noResponseReasons
 }
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,7 +1,6 @@
-// Package fake stands in for what a sidecar meets on its network: the endpoints of a
-// tier, with faults on command; discovery, pushed or asked; and callers that keep count of
-// what they were answered. It is written from PROTOCOL, listens on loopback only, and serves
-// tests and the lab alike.
+// Package fake simulates a sidecar's network peers for tests and for the lab: the endpoints of
+// a tier, with faults that can be switched on and off; discovery, pushed or polled; and callers
+// that count the outcomes of their requests. It follows PROTOCOL and listens on loopback only.
 package fake
 
 import (
@@ -17,23 +16,26 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-// TestingT is the part of testing.TB that the helpers for tests use.
+// TestingT is the part of testing.TB that the package's test helpers use.
 type TestingT interface {
 	Helper()
 	Cleanup(func())
 	Fatal(args ...any)
 }
 
-// StartHTTPServer serves an address by a handler until the test ends.
-func StartHTTPServer(t TestingT, h http.HandlerFunc) (addr string) {
+// StartHTTPServer starts an HTTP server with the handler on a free loopback port and returns its
+// address. The server is closed when the test ends.
+func StartHTTPServer(t TestingT, handler http.HandlerFunc) (addr string) {
 	t.Helper()
-	s := httptest.NewServer(h)
+	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// StartTCPServer serves each connection to an address by f until the test ends.
-func StartTCPServer(t TestingT, f func(c net.Conn)) (addr string) {
+// StartTCPServer listens on a free loopback port and returns its address. Each accepted connection
+// is passed to serve, in a goroutine of its own; serve must close it. The listener is closed when
+// the test ends.
+func StartTCPServer(t TestingT, serve func(c net.Conn)) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,15 +48,15 @@
 			if err != nil {
 				return
 			}
-			go f(c)
+			go serve(c)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// DiscardRequest reads a request whole and drops it.
-func DiscardRequest(in *bufio.Reader) error {
-	r, err := http.ReadRequest(in)
+// DiscardRequest reads one request with its whole body and discards it.
+func DiscardRequest(reader *bufio.Reader) error {
+	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return err
 	}
@@ -62,8 +64,9 @@
 	return err
 }
 
-// PlatformSettingsJSON are a platform's settings for tests, with a class of each kind. Reports come in answers only, so that no
-// probe is needed before a request goes out.
+// PlatformSettingsJSON holds a platform's settings for tests, with one class of each kind: safe, keyed
+// and unsafe. Load is reported in responses only, so that a request can be sent without a probe
+// before it.
 const PlatformSettingsJSON = `{"balancers": 1, "me": 0, "tier": 0, "zone": 0, "zones": ["a", "b"],
 "classes": [
  {"name": "read", "goalTimeNs": 20000000000, "hardLimitNs": 30000000000, "importance": 1, "semantics": "safe"},
@@ -75,7 +78,8 @@
 "loadInfo": {"fields": ["busy_reqs"], "how": "piggyback"},
 "rules": {"drainGraceNs": 500000000}, "discovery": "push", "stepNs": 1000000}`
 
-// EndpointList lists endpoints at these addresses, in service.
+// EndpointList returns a full discovery list with one endpoint in service at each address. Their
+// IDs are s-0, s-1 and so on, and their zone is "a".
 func EndpointList(addrs ...string) discovery.List {
 	l := discovery.List{Generation: 1, Full: true}
 	for i, addr := range addrs {
@@ -84,7 +88,8 @@
 	return l
 }
 
-// NewConfig is a platform's configuration for tests that knows of endpoints, with Settings.
+// NewConfig returns a configuration for tests: a platform's configuration with PlatformSettingsJSON
+// and the endpoints known at the start, merged with the operators' default settings.
 func NewConfig(t TestingT, known discovery.List) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
--- a/internal/fake/fake_test.go
+++ b/internal/fake/fake_test.go
@@ -15,8 +15,10 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
+// testTimeout bounds each wait of a test.
 const testTimeout = 20 * time.Second
 
+// startNode starts a node on a free loopback port and stops it when the test ends.
 func startNode(t *testing.T, cfg NodeConfig) *Node {
 	t.Helper()
 	cfg.Addr = "127.0.0.1:0"
@@ -28,91 +30,94 @@
 	return n
 }
 
-// sendToNode sends a request straight to a node and returns the status, 0 for none, and the answer.
+// sendToNode sends a request directly to a node. It returns the status, 0 if there was no valid
+// response, and the response body. Every 503 must carry X-Not-Processed.
 func sendToNode(t *testing.T, ctx context.Context, n *Node, id, key string) (int, Response) {
 	t.Helper()
 	req, err := NewHTTPRequest(ctx, n.DiscoveryEntry("").HostPort, CallerRequest{ID: id, Class: "c", IdempotencyKey: key, Body: "x", Timeout: testTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
-	req.Close = true // on a connection used before, the library would send a keyed request again by itself
+	req.Close = true // on a reused connection net/http would send a keyed request again by itself
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, Response{}
 	}
 	defer resp.Body.Close()
-	var a Response
-	json.NewDecoder(resp.Body).Decode(&a)
+	var response Response
+	json.NewDecoder(resp.Body).Decode(&response)
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("X-Not-Processed") != "1" {
-		t.Error("a 503 without X-Not-Processed")
+		t.Error("503 without X-Not-Processed")
 	}
-	return resp.StatusCode, a
+	return resp.StatusCode, response
 }
 
-// Each fault is what PROTOCOL says of it, and the ledger knows what has run.
+// Checks for each fault the response that PROTOCOL defines and whether the request ran, and that a node
+// can be stopped and started again.
 func TestNodeFaults(t *testing.T) {
-	l := &ExecutionLog{RepeatWindow: time.Hour}
-	n := startNode(t, NodeConfig{ID: "n", ExecutionLog: l})
+	executions := &ExecutionLog{RepeatWindow: time.Hour}
+	n := startNode(t, NodeConfig{ID: "n", ExecutionLog: executions})
 	ctx := context.Background()
 	for i, c := range []struct {
-		fault       Fault
-		status, ran int
+		fault                 Fault
+		status, totalAttempts int // totalAttempts counts those that have run so far
 	}{{FaultNone, 200, 1}, {FaultRefuse, 503, 1}, {FaultInternalError, 500, 2}, {FaultDropConnection, 0, 3}, {FaultMalformedResponse, 0, 4}, {FaultNone, 200, 5}} {
 		n.SetFault(c.fault)
 		id := fmt.Sprint("id", i)
-		status, a := sendToNode(t, ctx, n, id, id)
-		if ran, _, _ := l.Totals(); status != c.status || ran != c.ran || status == 200 && a != (Response{id, id, "n"}) {
-			t.Errorf("fault %d: status %d, %d have run, answer %+v; want %d, %d", c.fault, status, ran, a, c.status, c.ran)
+		status, response := sendToNode(t, ctx, n, id, id)
+		if attempts, _, _ := executions.Totals(); status != c.status || attempts != c.totalAttempts || status == 200 && response != (Response{id, id, "n"}) {
+			t.Errorf("fault %d: status %d, %d attempts have run, response %+v; want status %d, %d attempts", c.fault, status, attempts, response, c.status, c.totalAttempts)
 		}
 	}
 	n.SetFault(FaultStall)
-	came := make(chan int, 1)
+	stalledStatus := make(chan int, 1)
 	go func() {
 		status, _ := sendToNode(t, ctx, n, "stalled", "stalled")
-		came <- status
+		stalledStatus <- status
 	}()
-	for end := time.Now().Add(testTimeout); len(n.ArrivalTimes()) < 7 && time.Now().Before(end); {
+	for deadline := time.Now().Add(testTimeout); len(n.ArrivalTimes()) < 7 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	select {
-	case status := <-came:
-		t.Errorf("answered %d while it stalls", status)
+	case status := <-stalledStatus:
+		t.Errorf("response %d while the node is stalled", status)
 	default:
 	}
 	n.SetFault(FaultNone)
-	if status := <-came; status != 200 {
-		t.Errorf("answered %d after the stall", status)
+	if status := <-stalledStatus; status != 200 {
+		t.Errorf("status %d after the stall, want 200", status)
 	}
 	if err := n.Stop(); err != nil {
 		t.Fatal(err)
 	}
 	if status, _ := sendToNode(t, ctx, n, "x", "x"); status != 0 {
-		t.Errorf("a node that has stopped answers %d", status)
+		t.Errorf("stopped node responded with %d", status)
 	}
 	if err := n.Start(); err != nil {
 		t.Fatal(err)
 	}
 	if status, _ := sendToNode(t, ctx, n, "y", "y"); status != 200 || n.DiscoveryEntry("up").StartedAtUnixMilli == 0 {
-		t.Errorf("after its start it answers %d, listed as %+v", status, n.DiscoveryEntry("up"))
+		t.Errorf("restarted node: status %d, discovery entry %+v", status, n.DiscoveryEntry("up"))
 	}
 }
 
-// A node with its slots and its queue full turns away, and its report says what it holds.
+// Checks that a node with all slots and its queue full refuses a request, and that its load report
+// counts the requests in the slot and in the queue.
 func TestNodeRefusesWhenQueueIsFull(t *testing.T) {
 	n := startNode(t, NodeConfig{ID: "n", Concurrency: 1, QueueCapacity: 1})
 	n.SetFault(FaultStall)
-	done := make(chan int, 2)
+	statuses := make(chan int, 2)
 	for i := range 2 {
 		go func() {
 			status, _ := sendToNode(t, context.Background(), n, fmt.Sprint(i), fmt.Sprint(i))
-			done <- status
+			statuses <- status
 		}()
 	}
-	for end := time.Now().Add(testTimeout); len(n.ArrivalTimes()) < 2 && time.Now().Before(end); {
+	for deadline := time.Now().Add(testTimeout); len(n.ArrivalTimes()) < 2 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _ := sendToNode(t, context.Background(), n, "3", "3"); status != 503 {
-		t.Errorf("a full node answers %d", status)
+		t.Errorf("full node: status %d, want 503", status)
 	}
 	resp, err := http.Get("http://" + n.DiscoveryEntry("").HostPort + "/load")
 	if err != nil {
@@ -121,32 +126,34 @@
 	text, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if string(text) != "TEXT inflight=2, queue=1, util=1.00" {
-		t.Errorf("reports %q", text)
+		t.Errorf("load report %q", text)
 	}
 	n.SetFault(FaultNone)
 	for range 2 {
-		if status := <-done; status != 200 {
-			t.Errorf("answered %d", status)
+		if status := <-statuses; status != 200 {
+			t.Errorf("status %d, want 200", status)
 		}
 	}
 }
 
-// Repeats within the window are dropped and later ones run again.
+// Checks that a repeated key within the window is dropped and that a later one has its effect again.
 func TestExecutionLogDropsRepeatsWithinWindow(t *testing.T) {
 	l := &ExecutionLog{RepeatWindow: time.Hour}
 	l.Record("1", "k")
 	l.Record("2", "k")
 	l.Record("3", "")
-	if attempts, repeats, twice := l.Totals(); attempts != 3 || repeats != 1 || twice != 0 {
-		t.Errorf("%d, %d, %d", attempts, repeats, twice)
+	if attempts, droppedRepeats, repeatedEffects := l.Totals(); attempts != 3 || droppedRepeats != 1 || repeatedEffects != 0 {
+		t.Errorf("%d attempts, %d dropped repeats, %d repeated effects; want 3, 1, 0", attempts, droppedRepeats, repeatedEffects)
 	}
 	l.RepeatWindow = 0
 	l.Record("4", "k")
-	if _, _, twice := l.Totals(); twice != 1 {
-		t.Errorf("%d effects happened twice, want 1", twice)
+	if _, _, repeatedEffects := l.Totals(); repeatedEffects != 1 {
+		t.Errorf("%d repeated effects, want 1", repeatedEffects)
 	}
 }
 
+// requestList requests /v1/servers with a query and returns the list and the status, 0 if there was no
+// response.
 func requestList(t *testing.T, d *Discovery, query string) (discovery.List, int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -157,7 +164,7 @@
 	}
 	var l discovery.List
 	resp, err := http.DefaultClient.Do(req)
-	if err != nil { // not Fatal: some calls are made beside the test's own goroutine
+	if err != nil { // not Fatal: some requests are sent from other goroutines than the test's
 		t.Error(err)
 		return l, 0
 	}
@@ -170,10 +177,11 @@
 	return l, resp.StatusCode
 }
 
-// Discovery gives whole lists and changes, waits for news, and goes down in either form.
+// Checks full lists, changes since a generation, watches that wait for a change, and an outage of a
+// pushed and of a polled service.
 func TestDiscoveryServesListsChangesAndOutages(t *testing.T) {
-	for _, asked := range []bool{false, true} {
-		d, err := NewDiscovery("127.0.0.1:0", asked)
+	for _, polled := range []bool{false, true} {
+		d, err := NewDiscovery("127.0.0.1:0", polled)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -182,7 +190,7 @@
 		d.Update(a)
 		d.Update(b)
 		if l, _ := requestList(t, d, ""); !l.Full || len(l.Instances) != 2 || l.Generation != 2 || l.Check() != nil {
-			t.Errorf("whole: %+v", l)
+			t.Errorf("full list: %+v", l)
 		}
 		if l, _ := requestList(t, d, "?index=1&wait=1"); l.Full || len(l.Instances) != 1 || l.Instances[0].ID != "b" {
 			t.Errorf("changes: %+v", l)
@@ -191,57 +199,59 @@
 			t.Errorf("no changes: %+v", l)
 		}
 		if l, _ := requestList(t, d, "?index=99&wait=1"); !l.Full || len(l.Instances) != 2 {
-			t.Errorf("a version of the future: %+v", l)
+			t.Errorf("generation of another service: %+v", l)
 		}
-		got := make(chan discovery.List, 1)
+		watched := make(chan discovery.List, 1)
 		go func() {
 			l, _ := requestList(t, d, "?index=2&wait=20000")
-			got <- l
+			watched <- l
 		}()
-		for end := time.Now().Add(testTimeout); d.RequestCount() < 5 && time.Now().Before(end); {
+		for deadline := time.Now().Add(testTimeout); d.RequestCount() < 5 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
 		a.Lifecycle = "removed"
 		d.Update(a)
-		if l := <-got; len(l.Instances) != 1 || l.Instances[0].Lifecycle != "removed" {
-			t.Errorf("news: %+v", l)
+		if l := <-watched; len(l.Instances) != 1 || l.Instances[0].Lifecycle != "removed" {
+			t.Errorf("change during a watch: %+v", l)
 		}
 		if l := d.List(); len(l.Instances) != 1 {
-			t.Errorf("whole, after a removal: %+v", l)
+			t.Errorf("full list after a removal: %+v", l)
 		}
 		if _, status := requestList(t, d, "?index=x"); status != 400 {
-			t.Errorf("a bad version: %d", status)
+			t.Errorf("malformed index: status %d", status)
 		}
 		d.SetDown(true)
-		if asked {
+		if polled {
 			if _, status := requestList(t, d, ""); status != 503 {
-				t.Errorf("down: %d", status)
+				t.Errorf("down: status %d", status)
 			}
 			continue
 		}
-		silent := make(chan int, 1)
+		downStatus := make(chan int, 1)
 		go func() {
 			_, status := requestList(t, d, "")
-			silent <- status
+			downStatus <- status
 		}()
-		for end := time.Now().Add(testTimeout); d.RequestCount() < 6 && time.Now().Before(end); {
+		for deadline := time.Now().Add(testTimeout); d.RequestCount() < 6 && time.Now().Before(deadline); {
 			time.Sleep(time.Millisecond)
 		}
 		select {
-		case status := <-silent:
-			t.Errorf("an agent that is down answers %d", status)
+		case status := <-downStatus:
+			t.Errorf("agent that is down responded with %d", status)
 		default:
 		}
 		d.SetDown(false)
-		if status := <-silent; status != 200 {
-			t.Errorf("back: %d", status)
+		if status := <-downStatus; status != 200 {
+			t.Errorf("up again: status %d", status)
 		}
 	}
 }
 
-// The caller tells answers apart, and takes none that was made for another.
+// Checks that the caller assigns each kind of response its outcome and rejects a response that was made
+// for another request.
 func TestCallerClassifiesResponses(t *testing.T) {
-	reply := func(text string) string {
+	// respondWith starts a server that sends text in response to a request.
+	respondWith := func(text string) string {
 		return StartTCPServer(t, func(c net.Conn) {
 			defer c.Close()
 			if DiscardRequest(bufio.NewReader(c)) == nil {
@@ -249,29 +259,29 @@
 			}
 		})
 	}
-	ok := func(body string) string {
-		return reply(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
+	respondOK := func(body string) string {
+		return respondWith(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(body), body))
 	}
 	c := NewCaller(1)
 	defer c.Close()
-	for name, k := range map[string]struct {
+	for name, test := range map[string]struct {
 		addr string
 		want Outcome
 	}{
-		"served": {ok(`{"ID":"1"}`), OutcomeServed}, "another's": {ok(`{"ID":"2"}`), OutcomeNoResponse}, "noise": {ok("x"), OutcomeNoResponse},
-		"refused": {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), OutcomeRefused}, "failed": {reply("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"), OutcomeFailed},
-		"cut": {reply("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nx"), OutcomeNoResponse}, "none": {reply(""), OutcomeNoResponse},
+		"served": {respondOK(`{"ID":"1"}`), OutcomeServed}, "other request's ID": {respondOK(`{"ID":"2"}`), OutcomeNoResponse}, "body is not JSON": {respondOK("x"), OutcomeNoResponse},
+		"refused": {respondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), OutcomeRefused}, "failed": {respondWith("HTTP/1.1 502 No\r\nContent-Length: 0\r\n\r\n"), OutcomeFailed},
+		"body cut short": {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nx"), OutcomeNoResponse}, "no response": {respondWith(""), OutcomeNoResponse},
 	} {
-		if got := c.Do(context.Background(), k.addr, CallerRequest{ID: "1", Class: "c", IdempotencyKey: "k", Body: "x", Timeout: testTimeout}, 0); got != k.want {
-			t.Errorf("%s: %v, want %v", name, got, k.want)
+		if got := c.Do(context.Background(), test.addr, CallerRequest{ID: "1", Class: "c", IdempotencyKey: "k", Body: "x", Timeout: testTimeout}, 0); got != test.want {
+			t.Errorf("%s: %v, want %v", name, got, test.want)
 		}
 	}
-	counts, took, why := c.Results()
-	if counts[OutcomeServed] != 1 || counts[OutcomeNoResponse] != 4 || len(took) != 1 || len(why) == 0 {
-		t.Errorf("%v %v %v", counts, took, why)
+	counts, latencies, noResponseReasons := c.Results()
+	if counts[OutcomeServed] != 1 || counts[OutcomeNoResponse] != 4 || len(latencies) != 1 || len(noResponseReasons) == 0 {
+		t.Errorf("counts %v, latencies %v, reasons %v", counts, latencies, noResponseReasons)
 	}
 	if req, err := NewHTTPRequest(context.Background(), "127.0.0.1:1", CallerRequest{ID: "1", Class: "c", Timeout: 1500 * time.Microsecond}); err != nil ||
 		req.Method != "GET" || req.Header.Get("X-Timeout") != "1500u" || !strings.HasPrefix(req.URL.Path, "/api/") {
-		t.Errorf("%v %v", req, err)
+		t.Errorf("request without key and body: %v, %v", req, err)
 	}
 }
--- a/internal/fake/largebody.go
+++ b/internal/fake/largebody.go
@@ -11,63 +11,67 @@
 	"time"
 )
 
-// NewLargeBodyServer starts a node on loopback that takes bodies of any length and answers with so many
-// bytes once it has read one whole. It is net/http's server; Close ends it.
-func NewLargeBodyServer(answer int64) (*http.Server, string, error) {
+// NewLargeBodyServer starts a node on a free loopback port that accepts request bodies of any length
+// and returns it with its address. After it has read a whole request it responds with a body of
+// responseBytes bytes. The node is net/http's server; callers must call Close.
+func NewLargeBodyServer(responseBytes int64) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, "", fmt.Errorf("stand-in node: %w", err)
+		return nil, "", fmt.Errorf("fake node: %w", err)
 	}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		w.Header().Set("Content-Length", strconv.FormatInt(answer, 10))
-		io.CopyN(w, fillerReader{}, answer)
+		w.Header().Set("Content-Length", strconv.FormatInt(responseBytes, 10))
+		io.CopyN(w, fillerReader{}, responseBytes)
 	})}
 	go s.Serve(l)
 	return s, l.Addr().String(), nil
 }
 
-// fillerReader is read without end.
+// fillerReader is an endless io.Reader. It leaves the buffer's bytes as they are: the content of the
+// bodies does not matter.
 type fillerReader struct{}
 
 func (fillerReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// LargeBodyCaller sends a long body and reads a long answer on a connection of its own.
+// LargeBodyCaller sends one request with a long body on a new connection and reads a long response.
 type LargeBodyCaller struct {
-	Addr, Class, Path, ID    string
+	Addr, Class, Path, ID    string // Path without the leading /api/
 	BodyBytes, ResponseBytes int64
-	BytesPerSecond           int64 // bytes a second either way, 0 for as fast as it goes
-	Timeout                  time.Duration
+	BytesPerSecond           int64         // in each direction; 0 means unlimited
+	Timeout                  time.Duration // for the whole exchange; also sent as X-Timeout
 }
 
-// transferInterval is how often a caller with a rate sends or reads.
+// transferInterval is the time between two writes or reads of a caller with limited BytesPerSecond.
 const transferInterval = 50 * time.Millisecond
 
-// copyAtRate copies n bytes at a rate.
-func copyAtRate(to io.Writer, from io.Reader, n, rate int64) error {
-	if rate == 0 {
-		_, err := io.CopyBuffer(struct{ io.Writer }{to}, io.LimitReader(from, n), make([]byte, 64<<10))
+// copyAtRate copies n bytes at bytesPerSecond; 0 means unlimited.
+func copyAtRate(dst io.Writer, src io.Reader, n, bytesPerSecond int64) error {
+	if bytesPerSecond == 0 {
+		// The wrapper hides ReadFrom, so that CopyBuffer uses the buffer.
+		_, err := io.CopyBuffer(struct{ io.Writer }{dst}, io.LimitReader(src, n), make([]byte, 64<<10))
 		return err
 	}
-	piece := max(rate*int64(transferInterval)/int64(time.Second), 1)
+	bytesPerInterval := max(bytesPerSecond*int64(transferInterval)/int64(time.Second), 1)
 	for n > 0 {
-		m, err := io.CopyN(to, from, min(piece, n))
+		copied, err := io.CopyN(dst, src, min(bytesPerInterval, n))
 		if err != nil {
 			return err
 		}
-		n -= m
+		n -= copied
 		time.Sleep(transferInterval)
 	}
 	return nil
 }
 
-// Do asks once. An error tells that the answer was none, or not whole.
+// Do sends the request and reads the response. It returns an error unless the response has status
+// 200 and a complete body of ResponseBytes bytes, and the whole request was sent.
 func (b LargeBodyCaller) Do() error {
 	c, err := net.Dial("tcp", b.Addr)
 	if err != nil {
-		return fmt.Errorf("stand-in caller: %w", err)
+		return fmt.Errorf("fake caller: %w", err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(b.Timeout))
@@ -79,11 +83,11 @@
 	}()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return fmt.Errorf("stand-in caller: %w", err)
+		return fmt.Errorf("fake caller: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK || resp.ContentLength != b.ResponseBytes {
-		return fmt.Errorf("stand-in caller: %s, %d bytes", resp.Status, resp.ContentLength)
+		return fmt.Errorf("fake caller: unexpected response: %s, Content-Length %d", resp.Status, resp.ContentLength)
 	}
 	return errors.Join(copyAtRate(io.Discard, resp.Body, b.ResponseBytes, b.BytesPerSecond), <-sent)
 }
--- a/internal/fake/node.go
+++ b/internal/fake/node.go
@@ -15,66 +15,67 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-// Fault is what a node does to the requests that reach it.
+// Fault is a fault that a node applies to the requests it receives.
 type Fault int
 
-// The faults.
+// The faults of a node.
 const (
 	FaultNone              Fault = iota
-	FaultRefuse                  // 503 with X-Not-Processed: it has not run
-	FaultInternalError           // 500: it has run
-	FaultDropConnection          // the connection closes after the request has run
-	FaultStall                   // nothing, until the fault ends: then it runs
-	FaultMalformedResponse       // it runs, and its answer can't be read
+	FaultRefuse                  // 503 with X-Not-Processed; the request has not run
+	FaultInternalError           // 500; the request has run
+	FaultDropConnection          // closes the connection without a response after the request has run
+	FaultStall                   // neither runs the request nor responds until the fault changes; then runs it
+	FaultMalformedResponse       // runs the request and sends bytes that are not an HTTP response
 )
 
-// NodeConfig says what a node is.
+// NodeConfig configures a Node.
 type NodeConfig struct {
 	ID, Zone      string
-	Addr          string        // of loopback; ":0" picks a port
-	Concurrency   int           // requests in work together; 0 is 1
-	QueueCapacity int           // requests that wait beyond them
-	ServiceTime   time.Duration // for each request
-	ExecutionLog  *ExecutionLog // shared by the nodes of a tier; nil notes nothing
+	Addr          string        // on loopback; port 0 picks a free port
+	Concurrency   int           // requests that run at the same time; 0 means 1
+	QueueCapacity int           // requests that may wait beyond those that run
+	ServiceTime   time.Duration // how long each request runs
+	ExecutionLog  *ExecutionLog // shared by the nodes of a tier; may be nil
 
-	// Forward carries a request on to the next tier, through a sidecar of the node's own; nil for
-	// the last tier. An error fails the request.
+	// Forward sends the request on to the next tier, through the node's own sidecar; nil for
+	// the last tier. If it returns an error, the node responds with 500.
 	Forward func(ctx context.Context, r *http.Request) error
 }
 
-// Node is one endpoint of a tier.
+// Node is a simulated endpoint of a tier.
 type Node struct {
 	cfg   NodeConfig
-	slots chan struct{}
+	slots chan struct{} // holds one element for each request that runs
 
 	mu           sync.Mutex
 	addr         string
 	server       *http.Server
 	fault        Fault
-	faultChanged chan struct{} // closed as the fault changes
-	inFlight     int
-	startedAt    time.Time
+	faultChanged chan struct{} // closed and replaced when the fault is set
+	inFlight     int           // requests that run, wait or are stalled
+	startedAt    time.Time     // zero for a node that counts as warm
 	arrivalTimes []time.Time
 }
 
-// NewNode starts a node.
+// NewNode starts a node. It counts as warm: StartedAt is zero until the node is started again.
 func NewNode(cfg NodeConfig) (*Node, error) {
 	cfg.Concurrency = max(cfg.Concurrency, 1)
 	n := &Node{cfg: cfg, slots: make(chan struct{}, cfg.Concurrency), addr: cfg.Addr, faultChanged: make(chan struct{})}
 	if err := n.Start(); err != nil {
 		return nil, err
 	}
-	n.startedAt = time.Time{} // it has run for long
+	n.startedAt = time.Time{} // not a cold endpoint
 	return n, nil
 }
 
-// Start has a node that was stopped listen again at its address, as a new process.
+// Start starts a stopped node again at the same address, as a new process: StartedAt is the
+// current time afterwards.
 func (n *Node) Start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l, err := net.Listen("tcp", n.addr)
 	if err != nil {
-		return fmt.Errorf("stand-in node %s: %w", n.cfg.ID, err)
+		return fmt.Errorf("fake node %s: %w", n.cfg.ID, err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /load", n.serveLoad)
@@ -85,14 +86,16 @@
 	return nil
 }
 
-// Stop ends the node's process: its connections break and new ones are refused.
+// Stop stops the node as if its process had ended: its connections are closed and new ones are
+// refused.
 func (n *Node) Stop() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.server.Close()
 }
 
-// SetFault has the node show a fault, or none.
+// SetFault sets the fault for requests that arrive from now on; FaultNone ends it. Stalled requests
+// continue.
 func (n *Node) SetFault(f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,32 +104,34 @@
 	n.faultChanged = make(chan struct{})
 }
 
-// ArrivalTimes are the times at which requests came to the node, probes aside.
+// ArrivalTimes returns the times at which the node received requests, without probes. Refused
+// requests are included.
 func (n *Node) ArrivalTimes() []time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.arrivalTimes)
 }
 
-// StartedAt is when the node's process last started; zero is long ago.
+// StartedAt returns when the node was last started by Start. It is zero for a node that has run
+// since NewNode and so counts as warm.
 func (n *Node) StartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.startedAt
 }
 
-// DiscoveryEntry is the node as discovery lists it.
+// DiscoveryEntry returns the node's entry for a discovery list, with the given lifecycle.
 func (n *Node) DiscoveryEntry(lifecycle string) discovery.Instance {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	in := discovery.Instance{ID: n.cfg.ID, HostPort: n.addr, Zone: n.cfg.Zone, Lifecycle: lifecycle}
+	instance := discovery.Instance{ID: n.cfg.ID, HostPort: n.addr, Zone: n.cfg.Zone, Lifecycle: lifecycle}
 	if !n.startedAt.IsZero() {
-		in.StartedAtUnixMilli = n.startedAt.UnixMilli()
+		instance.StartedAtUnixMilli = n.startedAt.UnixMilli()
 	}
-	return in
+	return instance
 }
 
-// serveLoad answers a probe, see PROTOCOL, "Sidecars to endpoints".
+// serveLoad responds to a load probe, see PROTOCOL, "Sidecars to endpoints".
 func (n *Node) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	n.mu.Lock()
 	inFlight := n.inFlight
@@ -135,14 +140,15 @@
 	fmt.Fprintf(w, "TEXT inflight=%d, queue=%d, util=%.2f", inFlight, inFlight-busy, float64(busy)/float64(n.cfg.Concurrency))
 }
 
-// Response is the body of a node's answer.
+// Response is the JSON body of a node's response: the request's ID and idempotency key, and the
+// ID of the node.
 type Response struct {
 	ID, Key, Node string
 }
 
 var errQueueFull = errors.New("queue full")
 
-// serveRequest runs a request, once its last byte has come.
+// serveRequest reads a request with its whole body, runs it, and responds as the fault requires.
 func (n *Node) serveRequest(w http.ResponseWriter, r *http.Request) {
 	id, key := r.Header.Get("X-Request-ID"), r.Header.Get("Idempotency-Key")
 	if _, err := io.Copy(io.Discard, r.Body); err != nil || id == "" {
@@ -169,11 +175,12 @@
 	}
 }
 
-// execute queues for a slot and runs a request, by the fault at hand when it came.
+// execute waits for a slot and runs the request. It returns the fault that was set when the request
+// arrived, and errQueueFull if the request did not run because the node was full or refuses.
 func (n *Node) execute(r *http.Request, id, key string) (Fault, error) {
 	n.mu.Lock()
 	n.arrivalTimes = append(n.arrivalTimes, time.Now())
-	fault, mended := n.fault, n.faultChanged
+	fault, faultChanged := n.fault, n.faultChanged
 	if fault == FaultRefuse || n.inFlight >= n.cfg.Concurrency+n.cfg.QueueCapacity {
 		n.mu.Unlock()
 		return fault, errQueueFull
@@ -188,7 +195,7 @@
 	ctx := r.Context()
 	if fault == FaultStall {
 		select {
-		case <-mended:
+		case <-faultChanged:
 		case <-ctx.Done():
 			return fault, ctx.Err()
 		}
@@ -213,19 +220,21 @@
 	return fault, nil
 }
 
-// ExecutionLog notes what has run in a tier. A repeat of a key within the window is dropped, as
-// by endpoints that share which keys they have seen; a request with no key counts each time.
+// ExecutionLog counts the attempts that have run in a tier and their effects. A repeated idempotency
+// key within RepeatWindow is dropped without an effect, as by endpoints that share the keys they have
+// seen. An attempt without a key has an effect each time it runs. An ExecutionLog may be used by
+// several goroutines.
 type ExecutionLog struct {
-	RepeatWindow time.Duration
+	RepeatWindow time.Duration // measured from the key's last effect
 
 	mu             sync.Mutex
-	effects        map[string]int // by key, or by id where there is none: effects
-	lastEffectAt   map[string]time.Time
+	effects        map[string]int       // count by "key " and the idempotency key, or by request ID where there is none
+	lastEffectAt   map[string]time.Time // by "key " and the idempotency key
 	attempts       int
 	droppedRepeats int
 }
 
-// Record notes that a request runs.
+// Record counts one attempt that runs. An empty key means that the request has none.
 func (l *ExecutionLog) Record(id, key string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,7 +245,7 @@
 	name, now := id, time.Now()
 	if key != "" {
 		name = "key " + key
-		if at, ok := l.lastEffectAt[name]; ok && now.Sub(at) < l.RepeatWindow {
+		if effectAt, ok := l.lastEffectAt[name]; ok && now.Sub(effectAt) < l.RepeatWindow {
 			l.droppedRepeats++
 			return
 		}
@@ -245,15 +254,15 @@
 	l.effects[name]++
 }
 
-// Totals returns how many attempts have run, how many repeats were dropped, and for how many
-// requests the effect has happened more than once.
-func (l *ExecutionLog) Totals() (attempts, repeats, twice int) {
+// Totals returns how many attempts have run, how many of them were dropped as repeats, and how many
+// requests had their effect more than once.
+func (l *ExecutionLog) Totals() (attempts, droppedRepeats, repeatedEffects int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, n := range l.effects {
 		if n > 1 {
-			twice++
+			repeatedEffects++
 		}
 	}
-	return l.attempts, l.droppedRepeats, twice
+	return l.attempts, l.droppedRepeats, repeatedEffects
 }
