--- a/internal/lab/compare.go
+++ b/internal/lab/compare.go
@@ -48,34 +48,34 @@
 	return nil
 }
 
-// side is one of the programs that are compared.
-type side struct {
+// benchTarget is one of the programs that are compared.
+type benchTarget struct {
 	name  string
-	begin func(round int) (*process, error) // nil for none: callers ask the nodes themselves
+	start func(round int) (*process, error) // nil for none: callers ask the nodes themselves
 
-	answers      int64
-	took         *hdrhistogram.Histogram // in microseconds
-	elapsed, cpu time.Duration
-	peakKB       int64
-	wrong        int64
-	rounds       []float64 // answers a second of each
+	responses        int64
+	latencies        *hdrhistogram.Histogram // in microseconds
+	elapsed, cpuTime time.Duration
+	peakKB           int64
+	notServed        int64
+	roundRates       []float64 // answers a second of each
 
-	baseKB, idleKB, openKB int64 // resident memory: at the start, with idle callers, with open calls
-	open                   int   // calls that were open then
+	startKB, idleKB, openKB int64 // resident memory: at the start, with idle callers, with open calls
+	openRequests            int   // calls that were open then
 }
 
-// most is the longest time that histograms tell apart from longer ones, in microseconds.
-const most = 60_000_000
+// maxLatencyMicros is the longest time that histograms tell apart from longer ones, in microseconds.
+const maxLatencyMicros = 60_000_000
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, most, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLatencyMicros, 3) }
 
 // comparison is one run of Compare.
 type comparison struct {
 	lab
-	how   CompareOptions
-	quick []*fake.BenchNode
-	addrs []string
-	ids   uint64
+	opts         CompareOptions
+	benchNodes   []*fake.BenchNode
+	nodeAddrs    []string
+	lastCallerID uint64
 }
 
 // Compare measures the program beside the standard library's reverse proxy, a proxy of
@@ -87,7 +87,7 @@
 	if err := how.Validate(); err != nil {
 		return err
 	}
-	l := &comparison{lab: lab{cfg: cfg, calls: fake.NewCaller(1)}, how: how}
+	l := &comparison{lab: lab{cfg: cfg, nodeCaller: fake.NewCaller(1)}, opts: how}
 	defer l.close()
 	if err := l.prepare(ctx); err != nil {
 		return err
@@ -98,38 +98,38 @@
 			return err
 		}
 		defer q.Close()
-		l.quick = append(l.quick, q)
-		l.addrs = append(l.addrs, q.Addr())
+		l.benchNodes = append(l.benchNodes, q)
+		l.nodeAddrs = append(l.nodeAddrs, q.Addr())
 		l.discovery[0].Update(discovery.Instance{ID: fmt.Sprintf("n-%d", i), HostPort: q.Addr(), Zone: zones[0], Lifecycle: "up"})
 	}
-	sides := []*side{
+	sides := []*benchTarget{
 		{name: "no proxy"},
-		{name: "barleydrum, probing", begin: func(round int) (*process, error) { return l.sidecar("pull", round) }},
-		{name: "barleydrum, no reports", begin: func(round int) (*process, error) { return l.sidecar("silent", round) }},
-		{name: "httputil.ReverseProxy", begin: func(round int) (*process, error) { return l.rival(reverseProxyCommand, round) }},
-		{name: "fasthttp proxy", begin: func(round int) (*process, error) { return l.rival(fastProxyCommand, round) }},
+		{name: "barleydrum, probing", start: func(round int) (*process, error) { return l.startBenchSidecar("pull", round) }},
+		{name: "barleydrum, no reports", start: func(round int) (*process, error) { return l.startBenchSidecar("silent", round) }},
+		{name: "httputil.ReverseProxy", start: func(round int) (*process, error) { return l.startReferenceProxy(reverseProxyCommand, round) }},
+		{name: "fasthttp proxy", start: func(round int) (*process, error) { return l.startReferenceProxy(fasthttpProxyCommand, round) }},
 	}
 	length := cfg.Duration / time.Duration(how.Rounds*len(sides))
-	l.say("%d rounds of %v a side, %d callers, %d nodes that answer at once, %d and %d bytes of body, %v to think, %d cores ...",
+	l.logf("%d rounds of %v a side, %d callers, %d nodes that answer at once, %d and %d bytes of body, %v to think, %d cores ...",
 		how.Rounds, length.Round(time.Millisecond), how.Callers, how.Nodes, how.RequestBodyBytes, how.ResponseBodyBytes, how.ThinkTime, runtime.NumCPU())
 	for _, s := range sides {
-		s.took = newHistogram()
+		s.latencies = newHistogram()
 	}
 	for round := range how.Rounds {
 		for _, s := range sides {
-			if err := l.round(ctx, s, round, length); err != nil {
+			if err := l.runRound(ctx, s, round, length); err != nil {
 				return err
 			}
 		}
 	}
 	for _, s := range sides {
-		if how.OpenConnections > 0 && s.begin != nil {
-			if err := l.memory(ctx, s); err != nil {
+		if how.OpenConnections > 0 && s.start != nil {
+			if err := l.measureMemory(ctx, s); err != nil {
 				return err
 			}
 		}
 	}
-	return l.table(sides)
+	return l.printTable(sides)
 }
 
 // prepare makes the folder, builds the program unless it is given, and starts discovery.
@@ -138,8 +138,8 @@
 		return err
 	}
 	if l.program = l.cfg.Program; l.program == "" {
-		l.say("building the program ...")
-		if l.program, err = build(ctx, l.cfg.Dir); err != nil {
+		l.logf("building the program ...")
+		if l.program, err = buildSidecar(ctx, l.cfg.Dir); err != nil {
 			return err
 		}
 	}
@@ -147,27 +147,27 @@
 	return err
 }
 
-// sidecar starts the program.
-func (l *comparison) sidecar(reports string, round int) (*process, error) {
+// startBenchSidecar starts the program.
+func (l *comparison) startBenchSidecar(reports string, round int) (*process, error) {
 	name := fmt.Sprintf("%s-%d", reports, round)
 	at, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
 	}
-	sockets := max(3*(max(l.how.Callers, l.how.OpenConnections)+16)+64, sidecarSockets)
-	text, err := platform(name, at[0], 0, 0, 0, 1, sockets, l.discovery[0].Addr(), l.discovery[0].List(), reports)
+	sockets := max(3*(max(l.opts.Callers, l.opts.OpenConnections)+16)+64, sidecarSockets)
+	text, err := platformConfig(name, at[0], 0, 0, 0, 1, sockets, l.discovery[0].Addr(), l.discovery[0].List(), reports)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(l.file(name+".json"), text, 0o644); err != nil {
+	if err := os.WriteFile(l.path(name+".json"), text, 0o644); err != nil {
 		return nil, err
 	}
-	return begin(l.cfg.Dir, name, at[0], l.program, nil,
-		[]string{"PROXY_CONFIG=" + l.file(name+".json"), "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY="})
+	return startProcess(l.cfg.Dir, name, at[0], l.program, nil,
+		[]string{"PROXY_CONFIG=" + l.path(name+".json"), "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY="})
 }
 
-// rival starts one of the others.
-func (l *comparison) rival(command string, round int) (*process, error) {
+// startReferenceProxy starts one of the others.
+func (l *comparison) startReferenceProxy(command string, round int) (*process, error) {
 	at, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
@@ -176,48 +176,48 @@
 	if err != nil {
 		return nil, err
 	}
-	return begin(l.cfg.Dir, fmt.Sprintf("%s-%d", command, round), at[0], self,
-		[]string{command, "-listen", at[0], "-nodes", strings.Join(l.addrs, ",")}, []string{"GOMAXPROCS=1"})
+	return startProcess(l.cfg.Dir, fmt.Sprintf("%s-%d", command, round), at[0], self,
+		[]string{command, "-listen", at[0], "-nodes", strings.Join(l.nodeAddrs, ",")}, []string{"GOMAXPROCS=1"})
 }
 
-// up starts a side and waits until it is ready.
-func (l *comparison) up(ctx context.Context, s *side, round int) (*process, error) {
-	p, err := s.begin(round)
+// startAndWait starts a side and waits until it is ready.
+func (l *comparison) startAndWait(ctx context.Context, s *benchTarget, round int) (*process, error) {
+	p, err := s.start(round)
 	if err != nil {
 		return nil, err
 	}
 	wait, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	if err := p.ready(wait); err != nil {
+	if err := p.waitReady(wait); err != nil {
 		p.kill()
 		return nil, err
 	}
 	return p, nil
 }
 
-// caller connects a caller of its own ids.
-func (l *comparison) caller(addr, path string) (*fake.BenchCaller, error) {
-	l.ids++
-	return fake.NewBenchCaller(addr, class, path, l.how.RequestBodyBytes, deadlineMS*time.Millisecond, l.ids<<32)
+// newCaller connects a caller of its own ids.
+func (l *comparison) newCaller(addr, path string) (*fake.BenchCaller, error) {
+	l.lastCallerID++
+	return fake.NewBenchCaller(addr, className, path, l.opts.RequestBodyBytes, deadlineMS*time.Millisecond, l.lastCallerID<<32)
 }
 
-// round runs a side once.
-func (l *comparison) round(ctx context.Context, s *side, round int, length time.Duration) error {
+// runRound runs a side once.
+func (l *comparison) runRound(ctx context.Context, s *benchTarget, round int, length time.Duration) error {
 	var p *process
-	if s.begin != nil {
+	if s.start != nil {
 		var err error
-		if p, err = l.up(ctx, s, round); err != nil {
+		if p, err = l.startAndWait(ctx, s, round); err != nil {
 			return err
 		}
 	}
-	callers := make([]*fake.BenchCaller, l.how.Callers)
+	callers := make([]*fake.BenchCaller, l.opts.Callers)
 	for i := range callers {
-		addr := l.addrs[i%len(l.addrs)]
+		addr := l.nodeAddrs[i%len(l.nodeAddrs)]
 		if p != nil {
 			addr = p.addr
 		}
 		var err error
-		if callers[i], err = l.caller(addr, "order"); err != nil {
+		if callers[i], err = l.newCaller(addr, "order"); err != nil {
 			return err
 		}
 		defer callers[i].Close()
@@ -241,12 +241,12 @@
 				}
 				if status != 200 {
 					wrong[i]++
-				} else if err := took[i].RecordValue(min(max(now.Sub(at).Microseconds(), 1), most)); err != nil {
+				} else if err := took[i].RecordValue(min(max(now.Sub(at).Microseconds(), 1), maxLatencyMicros)); err != nil {
 					errs[i] = err
 					return
 				}
-				if at = now; l.how.ThinkTime > 0 {
-					time.Sleep(l.how.ThinkTime)
+				if at = now; l.opts.ThinkTime > 0 {
+					time.Sleep(l.opts.ThinkTime)
 					at = time.Now()
 				}
 			}
@@ -255,11 +255,11 @@
 	wg.Wait()
 	elapsed := time.Since(began)
 	if p != nil {
-		peak, err := p.peak()
+		peak, err := p.peakKB()
 		if err := errors.Join(err, p.stop()); err != nil {
 			return err
 		}
-		s.cpu += p.used()
+		s.cpuTime += p.cpuTime()
 		s.peakKB = max(s.peakKB, peak)
 	}
 	if err := errors.Join(errs...); err != nil {
@@ -268,30 +268,30 @@
 	var answers int64
 	for i := range callers {
 		answers += took[i].TotalCount()
-		s.took.Merge(took[i])
-		s.wrong += wrong[i]
+		s.latencies.Merge(took[i])
+		s.notServed += wrong[i]
 	}
-	s.answers += answers
+	s.responses += answers
 	s.elapsed += elapsed
-	s.rounds = append(s.rounds, float64(answers)/elapsed.Seconds())
+	s.roundRates = append(s.roundRates, float64(answers)/elapsed.Seconds())
 	return ctx.Err()
 }
 
-// memory measures what a side holds with many callers that are idle, and with as many whose
+// measureMemory measures what a side holds with many callers that are idle, and with as many whose
 // requests are open.
-func (l *comparison) memory(ctx context.Context, s *side) error {
-	p, err := l.up(ctx, s, l.how.Rounds)
+func (l *comparison) measureMemory(ctx context.Context, s *benchTarget) error {
+	p, err := l.startAndWait(ctx, s, l.opts.Rounds)
 	if err != nil {
 		return err
 	}
-	if s.baseKB, err = p.resident(); err != nil {
+	if s.startKB, err = p.residentKB(); err != nil {
 		return err
 	}
 	var mu sync.Mutex
 	answered := 0
 	ask := func(path string, open bool) error {
-		for range l.how.OpenConnections {
-			c, err := l.caller(p.addr, path)
+		for range l.opts.OpenConnections {
+			c, err := l.newCaller(p.addr, path)
 			if err != nil {
 				return err
 			}
@@ -310,14 +310,14 @@
 			}()
 		}
 		if !open {
-			s.idleKB, err = p.resident()
+			s.idleKB, err = p.residentKB()
 			return err
 		}
 		time.Sleep(fake.BenchHoldTime / 2)
 		mu.Lock()
-		s.open = l.how.OpenConnections - answered
+		s.openRequests = l.opts.OpenConnections - answered
 		mu.Unlock()
-		s.openKB, err = p.resident()
+		s.openKB, err = p.residentKB()
 		return err
 	}
 	if err := ask("order", false); err != nil {
@@ -329,28 +329,28 @@
 	return p.stop()
 }
 
-func (l *comparison) table(sides []*side) error {
+func (l *comparison) printTable(sides []*benchTarget) error {
 	w := tabwriter.NewWriter(l.cfg.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\n\tanswers/s (least, most)\tCPU an answer\tp50\tp99\tp99.9\tpeak memory\tnot served")
 	for _, s := range sides {
-		slices.Sort(s.rounds)
-		at := func(q float64) time.Duration { return time.Duration(s.took.ValueAtQuantile(q)) * time.Microsecond }
+		slices.Sort(s.roundRates)
+		at := func(q float64) time.Duration { return time.Duration(s.latencies.ValueAtQuantile(q)) * time.Microsecond }
 		cpu, peak := "", ""
-		if s.begin != nil {
-			cpu = (s.cpu / time.Duration(max(s.answers, 1))).Round(100 * time.Nanosecond).String()
+		if s.start != nil {
+			cpu = (s.cpuTime / time.Duration(max(s.responses, 1))).Round(100 * time.Nanosecond).String()
 			peak = strconv.FormatFloat(float64(s.peakKB)/1024, 'f', 1, 64) + " MB"
 		}
-		fmt.Fprintf(w, "%s\t%.0f (%.0f, %.0f)\t%s\t%v\t%v\t%v\t%s\t%d\n", s.name, float64(s.answers)/s.elapsed.Seconds(),
-			s.rounds[0], s.rounds[len(s.rounds)-1], cpu, at(50), at(99), at(99.9), peak, s.wrong)
+		fmt.Fprintf(w, "%s\t%.0f (%.0f, %.0f)\t%s\t%v\t%v\t%v\t%s\t%d\n", s.name, float64(s.responses)/s.elapsed.Seconds(),
+			s.roundRates[0], s.roundRates[len(s.roundRates)-1], cpu, at(50), at(99), at(99.9), peak, s.notServed)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if l.how.OpenConnections > 0 {
-		fmt.Fprintf(w, "\nresident memory\tat the start\twith %d idle callers\twith as many calls\tof them open\n", l.how.OpenConnections)
+	if l.opts.OpenConnections > 0 {
+		fmt.Fprintf(w, "\nresident memory\tat the start\twith %d idle callers\twith as many calls\tof them open\n", l.opts.OpenConnections)
 		for _, s := range sides {
-			if s.begin != nil {
-				fmt.Fprintf(w, "%s\t%.1f MB\t%.1f MB\t%.1f MB\t%d\n", s.name, float64(s.baseKB)/1024, float64(s.idleKB)/1024, float64(s.openKB)/1024, s.open)
+			if s.start != nil {
+				fmt.Fprintf(w, "%s\t%.1f MB\t%.1f MB\t%.1f MB\t%d\n", s.name, float64(s.startKB)/1024, float64(s.idleKB)/1024, float64(s.openKB)/1024, s.openRequests)
 			}
 		}
 		if err := w.Flush(); err != nil {
--- a/internal/lab/files.go
+++ b/internal/lab/files.go
@@ -16,10 +16,10 @@
 
 // tier is one of the tiers of the lab's service.
 type tier struct {
-	name, next string
-	nodes      int
-	workMS     int
-	calls      int // of the next tier, for each request
+	name, nextName   string
+	nodes            int
+	serviceTimeMS    int
+	nextTierRequests int // of the next tier, for each request
 }
 
 // tiers are the main site's, scaled down to one machine: a tenth of the nodes and of the work.
@@ -31,24 +31,24 @@
 
 // Figures of the lab's one class and its rules, as the main site has them.
 const (
-	class          = "place-order"
-	wantedMS       = 1540
-	deadlineMS     = 3850
-	windowMS       = 10000
-	drainGraceMS   = 500
-	coldShare      = 0.14
-	coldMS         = 22000
-	fallMultiple   = 3.0
-	fallMS         = 2000
-	connectMS      = 250
-	keepAliveMS    = 10000
-	maxRetryMS     = 2000
-	sidecarSockets = 256
-	sidecarMemory  = 64
+	className        = "place-order"
+	targetLatencyMS  = 1540
+	deadlineMS       = 3850
+	repeatWindowMS   = 10000
+	drainGraceMS     = 500
+	coldShare        = 0.14
+	coldTimeMS       = 22000
+	fallMultiple     = 3.0
+	fallTimeMS       = 2000
+	connectTimeoutMS = 250
+	keepAliveMS      = 10000
+	maxRetryAfterMS  = 2000
+	sidecarSockets   = 256
+	sidecarMemoryMB  = 64
 )
 
-// platform is what the platform tells a sidecar, as DEPLOY shows it.
-func platform(name, listen string, to, zone, number, of, sockets int, agent string, known discovery.List, reports string) ([]byte, error) {
+// platformConfig is what the platform tells a sidecar, as DEPLOY shows it.
+func platformConfig(name, listen string, to, zone, number, of, sockets int, agent string, known discovery.List, reports string) ([]byte, error) {
 	const ms = 1_000_000
 	layers := make([]string, len(tiers))
 	for i, t := range tiers {
@@ -56,25 +56,25 @@
 	}
 	return json.MarshalIndent(map[string]any{
 		"name": name, "listen": listen, "discovery": agent, "seed": fmt.Sprintf("%x", 1+number+100*to),
-		"limits": map[string]any{"cores": 1, "memory_mb": sidecarMemory, "sockets": sockets},
+		"limits": map[string]any{"cores": 1, "memory_mb": sidecarMemoryMB, "sockets": sockets},
 		"known":  known,
 		"settings": map[string]any{
 			"balancers": of, "me": number, "tier": to, "zone": zone, "zones": zones, "layers": layers,
 			"kindOfService": "chain", "discovery": "push", "stepNs": ms, "weights": "silent", "countedBy": "request",
 			"classes": []map[string]any{{
-				"name": class, "goalTimeNs": wantedMS * ms, "hardLimitNs": deadlineMS * ms, "importance": 1, "lateShare": 0,
-				"semantics": "keyed", "keyScope": "all", "repeatWindowNs": windowMS * ms, "stream": false,
+				"name": className, "goalTimeNs": targetLatencyMS * ms, "hardLimitNs": deadlineMS * ms, "importance": 1, "lateShare": 0,
+				"semantics": "keyed", "keyScope": "all", "repeatWindowNs": repeatWindowMS * ms, "stream": false,
 			}},
 			"costs": map[string]any{"crossZone": 0.005, "lateFail": 0.08, "probe": 0.002, "waste": 0.04},
 			"goal":  map[string]any{"whole": 0.9, "worstWindow": 0.1},
 			"limits": map[string]any{
 				"attemptsCap": 6, "cancel": true, "secondCopies": true, "probes": true, "retryAfter": true, "maxStreams": 1,
-				"maxRetryAfterNs": maxRetryMS * ms, "connectTimeoutNs": connectMS * ms, "keepaliveNs": keepAliveMS * ms,
+				"maxRetryAfterNs": maxRetryAfterMS * ms, "connectTimeoutNs": connectTimeoutMS * ms, "keepaliveNs": keepAliveMS * ms,
 			},
 			"loadInfo": map[string]any{"how": reports, "fields": []string{"busy_reqs", "pending", "cpu_share"}},
 			"rules": map[string]any{
-				"drainGraceNs": drainGraceMS * ms, "coldShare": coldShare, "coldNs": coldMS * ms,
-				"fallMultiple": fallMultiple, "tipAfterNs": fallMS * ms,
+				"drainGraceNs": drainGraceMS * ms, "coldShare": coldShare, "coldNs": coldTimeMS * ms,
+				"fallMultiple": fallMultiple, "tipAfterNs": fallTimeMS * ms,
 			},
 			"specifics": map[string]any{"passesDeadline": true},
 		},
@@ -83,14 +83,14 @@
 
 var zones = []string{"campus-east", "campus-west"}
 
-// operators is the operators' file of the sidecars that send to a tier.
-func operators(t tier) ([]byte, error) {
+// operatorSettings is the operators' file of the sidecars that send to a tier.
+func operatorSettings(t tier) ([]byte, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "schema = %d\n[application]\nname = %q\ntier = %q\n", config.SchemaVersion, t.name, t.name)
-	if t.next != "" {
-		fmt.Fprintf(&b, "calls = [%q]\n", t.next)
+	if t.nextName != "" {
+		fmt.Fprintf(&b, "calls = [%q]\n", t.nextName)
 	}
-	fmt.Fprintf(&b, "[class.%s]\nretry_within = \"%dms\"\n", class, wantedMS)
+	fmt.Fprintf(&b, "[class.%s]\nretry_within = \"%dms\"\n", className, targetLatencyMS)
 	s, bad := config.ParseSettings(t.name, []byte(b.String()))
 	if len(bad) > 0 {
 		return nil, errors.New(bad[0].String())
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -24,8 +24,8 @@
 	os.Exit(m.Run())
 }
 
-// program builds the sidecar once for a test.
-func program(t *testing.T) string {
+// buildTestSidecar builds the sidecar once for a test.
+func buildTestSidecar(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "barleydrum")
 	c := exec.Command("go", "build", "-o", path, "../../cmd/barleydrum")
@@ -36,12 +36,12 @@
 }
 
 // A run ends with all rules kept, through a failure and a drain, and leaves its files.
-func TestRun(t *testing.T) {
+func TestRunKeepsRulesThroughFailureAndDrain(t *testing.T) {
 	var out strings.Builder
 	dir := t.TempDir()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	err := Run(ctx, Config{Dir: dir, Program: program(t), RequestsPerSecond: 10, Duration: 6 * time.Second, DrainSlack: 2 * time.Second, Out: &out})
+	err := Run(ctx, Config{Dir: dir, Program: buildTestSidecar(t), RequestsPerSecond: 10, Duration: 6 * time.Second, DrainSlack: 2 * time.Second, Out: &out})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
@@ -56,11 +56,11 @@
 }
 
 // Both sides of the comparison serve what they are asked.
-func TestCompare(t *testing.T) {
+func TestCompareServesThroughEachProgram(t *testing.T) {
 	var out strings.Builder
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	err := Compare(ctx, Config{Dir: t.TempDir(), Program: program(t), Duration: 900 * time.Millisecond, Out: &out},
+	err := Compare(ctx, Config{Dir: t.TempDir(), Program: buildTestSidecar(t), Duration: 900 * time.Millisecond, Out: &out},
 		CompareOptions{Callers: 8, Nodes: 12, RequestBodyBytes: 20, ResponseBodyBytes: 20, ThinkTime: time.Millisecond, Rounds: 1, OpenConnections: 20})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
@@ -74,12 +74,12 @@
 }
 
 // Both sides pass on long bodies whole, slow callers' too; what can't be is refused by its name.
-func TestStreams(t *testing.T) {
+func TestCompareStreamsDeliversLongBodies(t *testing.T) {
 	var out strings.Builder
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	how := StreamOptions{ConcurrentStreams: 6, Nodes: 2, RequestBodyBytes: 300_000, ResponseBodyBytes: 400_000, SlowEvery: 3, SlowBytesPerSecond: 1 << 20}
-	if err := CompareStreams(ctx, Config{Dir: t.TempDir(), Program: program(t), Out: &out}, how); err != nil {
+	if err := CompareStreams(ctx, Config{Dir: t.TempDir(), Program: buildTestSidecar(t), Out: &out}, how); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, name := range []string{"barleydrum", "httputil.ReverseProxy"} {
@@ -101,7 +101,7 @@
 }
 
 // A comparison that can't be is refused by the name of what is wrong.
-func TestComparedIsChecked(t *testing.T) {
+func TestCompareOptionsValidateNamesBadFlag(t *testing.T) {
 	good := CompareOptions{Callers: 1, Nodes: 1, Rounds: 1}
 	for name, spoil := range map[string]func(*CompareOptions){
 		"-callers": func(c *CompareOptions) { c.Callers = 0 }, "-nodes": func(c *CompareOptions) { c.Nodes = 501 },
@@ -120,11 +120,11 @@
 }
 
 // The lab's own judgement sees what it is to see.
-func TestChecks(t *testing.T) {
+func TestRuleChecksDetectViolations(t *testing.T) {
 	n := func(served, lost int) map[fake.Outcome]int {
 		return map[fake.Outcome]int{fake.OutcomeServed: served, fake.OutcomeNoResponse: lost}
 	}
-	if checkLost(5, n(5, 0), nil) != nil || checkLost(5, n(4, 1), nil) == nil || checkLost(5, n(4, 0), nil) == nil {
+	if checkLostRequests(5, n(5, 0), nil) != nil || checkLostRequests(5, n(4, 1), nil) == nil || checkLostRequests(5, n(4, 0), nil) == nil {
 		t.Error("lost requests are not told from answered ones")
 	}
 	node, err := fake.NewNode(fake.NodeConfig{ID: "n", Addr: "127.0.0.1:0"})
@@ -135,38 +135,38 @@
 	caller := fake.NewCaller(1)
 	defer caller.Close()
 	ask := func() {
-		o := fake.CallerRequest{ID: newID(), Class: class, IdempotencyKey: "k", Body: "x", Timeout: 20 * time.Second}
+		o := fake.CallerRequest{ID: newID(), Class: className, IdempotencyKey: "k", Body: "x", Timeout: 20 * time.Second}
 		if v := caller.Do(context.Background(), node.DiscoveryEntry("").HostPort, o, 0); v != fake.OutcomeServed {
 			t.Fatalf("the stand-in node: %v", v)
 		}
 	}
 	ask()
-	if err := checkDrain(events{drained: node, drainTold: time.Now()}, 0); err != nil {
+	if err := checkDrainedNode(runEvents{drainedNode: node, drainAnnouncedAt: time.Now()}, 0); err != nil {
 		t.Errorf("what came before the drain: %v", err)
 	}
-	if err := checkDrain(events{drained: node, drainTold: time.Now().Add(-time.Minute)}, 0); err == nil {
+	if err := checkDrainedNode(runEvents{drainedNode: node, drainAnnouncedAt: time.Now().Add(-time.Minute)}, 0); err == nil {
 		t.Error("a request a minute after the drain is not seen")
 	}
 	at := time.Now()
 	for range 60 {
 		ask()
 	}
-	if err := checkCold(events{restarted: node, restartedAt: at}); err == nil {
+	if err := checkColdNode(runEvents{restartedNode: node, restartedAt: at}); err == nil {
 		t.Error("60 requests at once to a cold node are not seen")
 	}
 	ledger := &fake.ExecutionLog{RepeatWindow: time.Hour}
 	l := &lab{}
-	for i := range l.ledgers {
-		l.ledgers[i] = ledger
+	for i := range l.executionLogs {
+		l.executionLogs[i] = ledger
 	}
-	if err := l.checkTwice(); err != nil {
+	if err := l.checkRepeatedEffects(); err != nil {
 		t.Error(err)
 	}
 	ledger.RepeatWindow = 0
 	for range 2 {
 		ledger.Record("id", "key")
 	}
-	if err := l.checkTwice(); err == nil {
+	if err := l.checkRepeatedEffects(); err == nil {
 		t.Error("an effect that happened twice is not seen")
 	}
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// build builds the program into a folder and returns its path.
-func build(ctx context.Context, dir string) (string, error) {
+// buildSidecar builds the program into a folder and returns its path.
+func buildSidecar(ctx context.Context, dir string) (string, error) {
 	root, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
 		return "", fmt.Errorf("lab: run it from the repository: %w", err)
@@ -34,13 +34,13 @@
 type process struct {
 	name, addr string
 	cmd        *exec.Cmd
-	log        *os.File
-	done       chan struct{}
-	err        error // once done
+	logFile    *os.File
+	exited     chan struct{}
+	waitErr    error // once done
 }
 
-// begin starts a process that serves an address.
-func begin(dir, name, addr, program string, args, env []string) (*process, error) {
+// startProcess starts a process that serves an address.
+func startProcess(dir, name, addr, program string, args, env []string) (*process, error) {
 	log, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
 		return nil, err
@@ -51,17 +51,17 @@
 	if err := c.Start(); err != nil {
 		return nil, errors.Join(fmt.Errorf("lab: %s: %w", name, err), log.Close())
 	}
-	p := &process{name: name, addr: addr, cmd: c, log: log, done: make(chan struct{})}
+	p := &process{name: name, addr: addr, cmd: c, logFile: log, exited: make(chan struct{})}
 	go func() {
-		p.err = c.Wait()
+		p.waitErr = c.Wait()
 		log.Close()
-		close(p.done)
+		close(p.exited)
 	}()
 	return p, nil
 }
 
-// ready waits until the process answers its health check.
-func (p *process) ready(ctx context.Context) error {
+// waitReady waits until the process answers its health check.
+func (p *process) waitReady(ctx context.Context) error {
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.addr+"/healthz", nil)
 		if err != nil {
@@ -75,10 +75,10 @@
 			}
 		}
 		select {
-		case <-p.done:
-			return fmt.Errorf("lab: %s ended: %w; see %s", p.name, p.err, p.log.Name())
+		case <-p.exited:
+			return fmt.Errorf("lab: %s ended: %w; see %s", p.name, p.waitErr, p.logFile.Name())
 		case <-ctx.Done():
-			return fmt.Errorf("lab: %s is not ready: %w; see %s", p.name, ctx.Err(), p.log.Name())
+			return fmt.Errorf("lab: %s is not ready: %w; see %s", p.name, ctx.Err(), p.logFile.Name())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -87,33 +87,33 @@
 // kill ends the process at once, as a machine that fails does.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
-	<-p.done
+	<-p.exited
 }
 
 // stop ends the process by SIGTERM, and by SIGKILL if that takes too long.
 func (p *process) stop() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-p.done:
+	case <-p.exited:
 	case <-time.After(deadlineMS*time.Millisecond + 5*time.Second):
 		p.kill()
 		return fmt.Errorf("lab: %s did not end on SIGTERM", p.name)
 	}
-	if p.err != nil {
-		return fmt.Errorf("lab: %s: %w; see %s", p.name, p.err, p.log.Name())
+	if p.waitErr != nil {
+		return fmt.Errorf("lab: %s: %w; see %s", p.name, p.waitErr, p.logFile.Name())
 	}
 	return nil
 }
 
-// resident is the memory that the process has in use, in KB.
-func (p *process) resident() (int64, error) { return p.status("VmRSS:") }
+// residentKB is the memory that the process has in use, in KB.
+func (p *process) residentKB() (int64, error) { return p.statusKB("VmRSS:") }
 
-// peak is the most that it has had in use, in KB. What the kernel tells of a child that has
+// peakKB is the most that it has had in use, in KB. What the kernel tells of a child that has
 // ended counts the parent's memory at the fork too.
-func (p *process) peak() (int64, error) { return p.status("VmHWM:") }
+func (p *process) peakKB() (int64, error) { return p.statusKB("VmHWM:") }
 
-// status reads a line of /proc/PID/status, in KB.
-func (p *process) status(name string) (int64, error) {
+// statusKB reads a line of /proc/PID/status, in KB.
+func (p *process) statusKB(name string) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, fmt.Errorf("lab: %s: %w", p.name, err)
@@ -126,8 +126,8 @@
 	return 0, fmt.Errorf("lab: %s: no %s", p.name, name)
 }
 
-// used is the CPU time that the process has used; it has ended.
-func (p *process) used() time.Duration {
+// cpuTime is the CPU time that the process has used; it has ended.
+func (p *process) cpuTime() time.Duration {
 	s := p.cmd.ProcessState
 	return s.UserTime() + s.SystemTime()
 }
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -21,14 +21,14 @@
 
 // The first arguments with which the lab's program runs what the sidecar is compared with.
 const (
-	reverseProxyCommand = "reverse-proxy"
-	fastProxyCommand    = "fasthttp-proxy"
+	reverseProxyCommand  = "reverse-proxy"
+	fasthttpProxyCommand = "fasthttp-proxy"
 )
 
 // RunReferenceProxy runs one of the programs that the sidecar is compared with until SIGTERM, if the
 // arguments name one.
 func RunReferenceProxy(args []string) (ran bool, err error) {
-	if len(args) == 0 || args[0] != reverseProxyCommand && args[0] != fastProxyCommand {
+	if len(args) == 0 || args[0] != reverseProxyCommand && args[0] != fasthttpProxyCommand {
 		return false, nil
 	}
 	f := flag.NewFlagSet(args[0], flag.ContinueOnError)
@@ -42,15 +42,15 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	if args[0] == fastProxyCommand {
-		return true, fastProxy(ctx, l, strings.Split(*nodes, ","))
+	if args[0] == fasthttpProxyCommand {
+		return true, runFasthttpProxy(ctx, l, strings.Split(*nodes, ","))
 	}
-	return true, reverseProxy(ctx, l, strings.Split(*nodes, ","))
+	return true, runReverseProxy(ctx, l, strings.Split(*nodes, ","))
 }
 
-// reverseProxy is the standard library's reverse proxy over nodes in turn: the plainest program
+// runReverseProxy is the standard library's reverse proxy over nodes in turn: the plainest program
 // that does a part of the sidecar's work.
-func reverseProxy(ctx context.Context, l net.Listener, nodes []string) error {
+func runReverseProxy(ctx context.Context, l net.Listener, nodes []string) error {
 	var targets []*url.URL
 	for _, addr := range nodes {
 		targets = append(targets, &url.URL{Scheme: "http", Host: addr})
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// fastProxy is a proxy of fasthttp's server and client over random nodes: the quickest that a
+// runFasthttpProxy is a proxy of fasthttp's server and client over random nodes: the quickest that a
 // few lines of a library make.
-func fastProxy(ctx context.Context, l net.Listener, nodes []string) error {
+func runFasthttpProxy(ctx context.Context, l net.Listener, nodes []string) error {
 	var clients []*fasthttp.HostClient
 	for _, addr := range nodes {
 		clients = append(clients, &fasthttp.HostClient{Addr: addr, MaxConns: 4096, ReadTimeout: time.Minute})
--- a/internal/lab/streams.go
+++ b/internal/lab/streams.go
@@ -38,11 +38,11 @@
 	return nil
 }
 
-// streamMemory is what the program is given: its settings must fit, see check's rule streams-memory.
-const streamMemory = 128 << 20
+// streamMemoryBytes is what the program is given: its settings must fit, see check's rule streams-memory.
+const streamMemoryBytes = 128 << 20
 
-// streamWindow is the window that the settings have where they are left out.
-const streamWindow = 32 << 10
+// streamWindowBytes is the window that the settings have where they are left out.
+const streamWindowBytes = 32 << 10
 
 // CompareStreams measures the program beside the standard library's reverse proxy with long bodies, many at
 // once, one core each: how long the quick callers take, CPU, memory and descriptors.
@@ -50,7 +50,7 @@
 	if err := how.Validate(); err != nil {
 		return err
 	}
-	l := &comparison{lab: lab{cfg: cfg, calls: fake.NewCaller(1)}}
+	l := &comparison{lab: lab{cfg: cfg, nodeCaller: fake.NewCaller(1)}}
 	defer l.close()
 	if err := l.prepare(ctx); err != nil {
 		return err
@@ -61,26 +61,26 @@
 			return err
 		}
 		defer s.Close()
-		l.addrs = append(l.addrs, addr)
+		l.nodeAddrs = append(l.nodeAddrs, addr)
 		l.discovery[0].Update(discovery.Instance{ID: fmt.Sprintf("n-%d", i), HostPort: addr, Zone: zones[0], Lifecycle: "up"})
 	}
-	held := body.Limits{WindowBytes: streamWindow}.MaxBufferBytes()*int64(how.ConcurrentStreams) + body.BlockSize*int64(how.ConcurrentStreams+16)
-	l.say("%d streams of %d and %d bytes at once; the buffers come to %d MB at the most ...", how.ConcurrentStreams, how.RequestBodyBytes, how.ResponseBodyBytes, held>>20)
+	held := body.Limits{WindowBytes: streamWindowBytes}.MaxBufferBytes()*int64(how.ConcurrentStreams) + body.BlockSize*int64(how.ConcurrentStreams+16)
+	l.logf("%d streams of %d and %d bytes at once; the buffers come to %d MB at the most ...", how.ConcurrentStreams, how.RequestBodyBytes, how.ResponseBodyBytes, held>>20)
 	w := tabwriter.NewWriter(cfg.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\n\tquick callers took\tall took\tMB/s of the quick\tCPU a GiB\tpeak memory\tmost descriptors\tnot served")
-	for _, s := range []*side{
-		{name: "barleydrum", begin: func(int) (*process, error) { return l.streaming(how) }},
-		{name: "httputil.ReverseProxy", begin: func(int) (*process, error) { return l.rival(reverseProxyCommand, 0) }},
+	for _, s := range []*benchTarget{
+		{name: "barleydrum", start: func(int) (*process, error) { return l.startStreamSidecar(how) }},
+		{name: "httputil.ReverseProxy", start: func(int) (*process, error) { return l.startReferenceProxy(reverseProxyCommand, 0) }},
 	} {
-		if err := l.streams(ctx, s, how, w); err != nil {
+		if err := l.runStreams(ctx, s, how, w); err != nil {
 			return err
 		}
 	}
 	return w.Flush()
 }
 
-// streaming starts the program by an operators' file alone.
-func (l *comparison) streaming(how StreamOptions) (*process, error) {
+// startStreamSidecar starts the program by an operators' file alone.
+func (l *comparison) startStreamSidecar(how StreamOptions) (*process, error) {
 	at, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
@@ -116,16 +116,16 @@
 repeat_window = "1h"
 attempts = 3
 retry_within = "8m"
-`, at[0], l.discovery[0].Addr(), callers, how.ConcurrentStreams, streamMemory>>20, 2*callers+64, class)
-	if err := os.WriteFile(l.file("bulk.toml"), []byte(text), 0o644); err != nil {
+`, at[0], l.discovery[0].Addr(), callers, how.ConcurrentStreams, streamMemoryBytes>>20, 2*callers+64, className)
+	if err := os.WriteFile(l.path("bulk.toml"), []byte(text), 0o644); err != nil {
 		return nil, err
 	}
-	return begin(l.cfg.Dir, "bulk", at[0], l.program, []string{"-settings", l.file("bulk.toml")}, []string{"PROXY_CONFIG="})
+	return startProcess(l.cfg.Dir, "bulk", at[0], l.program, []string{"-settings", l.path("bulk.toml")}, []string{"PROXY_CONFIG="})
 }
 
-// streams runs a side once.
-func (l *comparison) streams(ctx context.Context, s *side, how StreamOptions, w *tabwriter.Writer) error {
-	p, err := l.up(ctx, s, 0)
+// runStreams runs a side once.
+func (l *comparison) runStreams(ctx context.Context, s *benchTarget, how StreamOptions, w *tabwriter.Writer) error {
+	p, err := l.startAndWait(ctx, s, 0)
 	if err != nil {
 		return err
 	}
@@ -134,9 +134,9 @@
 	var first atomic.Pointer[error]
 	began := time.Now()
 	for i := range how.ConcurrentStreams {
-		l.ids++
+		l.lastCallerID++
 		b := fake.LargeBodyCaller{
-			Addr: p.addr, Class: class, Path: "order", ID: fmt.Sprintf("%016x", l.ids), BodyBytes: how.RequestBodyBytes, ResponseBytes: how.ResponseBodyBytes, Timeout: 5 * time.Minute,
+			Addr: p.addr, Class: className, Path: "order", ID: fmt.Sprintf("%016x", l.lastCallerID), BodyBytes: how.RequestBodyBytes, ResponseBytes: how.ResponseBodyBytes, Timeout: 5 * time.Minute,
 		}
 		if how.SlowEvery > 0 && i%how.SlowEvery == 0 {
 			b.BytesPerSecond = how.SlowBytesPerSecond
@@ -175,7 +175,7 @@
 	all.Wait()
 	total := time.Since(began)
 	close(stop)
-	peak, err := p.peak()
+	peak, err := p.peakKB()
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 		return err
 	}
 	if e := first.Load(); e != nil {
-		l.say("%s: one of those not served: %v", s.name, *e)
+		l.logf("%s: one of those not served: %v", s.name, *e)
 	}
 	n := how.ConcurrentStreams
 	if how.SlowEvery > 0 {
@@ -191,7 +191,7 @@
 	}
 	bytes := float64(how.RequestBodyBytes + how.ResponseBodyBytes)
 	fmt.Fprintf(w, "%s\t%v\t%v\t%.0f\t%v\t%.1f MB\t%d\t%d\n", s.name, took.Round(10*time.Millisecond), total.Round(10*time.Millisecond),
-		float64(n)*bytes/(1<<20)/took.Seconds(), (time.Duration(float64(p.used()) / (float64(how.ConcurrentStreams) * bytes / (1 << 30)))).Round(time.Millisecond),
+		float64(n)*bytes/(1<<20)/took.Seconds(), (time.Duration(float64(p.cpuTime()) / (float64(how.ConcurrentStreams) * bytes / (1 << 30)))).Round(time.Millisecond),
 		float64(peak)/1024, <-most, wrong.Load())
 	return ctx.Err()
 }
