--- a/internal/lab/files.go
+++ b/internal/lab/files.go
@@ -14,22 +14,22 @@
 	"barleydrum.example/barleydrum/internal/discovery"
 )
 
-// tier is one of the tiers of the lab's service.
+// tier describes a tier of the lab's service.
 type tier struct {
-	name, nextName   string
+	name, nextName   string // nextName is empty for the last tier
 	nodes            int
 	serviceTimeMS    int
-	nextTierRequests int // of the next tier, for each request
+	nextTierRequests int // sent to the next tier for each request
 }
 
-// tiers are the main site's, scaled down to one machine: a tenth of the nodes and of the work.
+// tiers are the main site's tiers, scaled down to one machine: a tenth of the nodes and of the work.
 var tiers = []tier{
 	{"order-front", "order-check", 4, 40, 2},
 	{"order-check", "run-booking", 6, 30, 1},
 	{"run-booking", "", 6, 30, 0},
 }
 
-// Figures of the lab's one class and its rules, as the main site has them.
+// The settings of the lab's only class, its rules and its sidecars' limits, as on the main site.
 const (
 	className        = "place-order"
 	targetLatencyMS  = 1540
@@ -47,19 +47,22 @@
 	sidecarMemoryMB  = 64
 )
 
-// platformConfig is what the platform tells a sidecar, as DEPLOY shows it.
-func platformConfig(name, listen string, to, zone, number, of, sockets int, agent string, known discovery.List, reports string) ([]byte, error) {
+// platformConfig returns the platform's configuration of a sidecar as JSON, in the form that DEPLOY shows.
+// The sidecar is number (from 0) of balancers that send to the tier tierIndex; zone is an index of zones.
+// discoveryAddr is the address of the discovery agent, and loadReports how endpoints report their load
+// (the setting loadInfo.how).
+func platformConfig(name, listen string, tierIndex, zone, number, balancers, sockets int, discoveryAddr string, known discovery.List, loadReports string) ([]byte, error) {
 	const ms = 1_000_000
 	layers := make([]string, len(tiers))
 	for i, t := range tiers {
 		layers[i] = t.name
 	}
 	return json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "discovery": agent, "seed": fmt.Sprintf("%x", 1+number+100*to),
+		"name": name, "listen": listen, "discovery": discoveryAddr, "seed": fmt.Sprintf("%x", 1+number+100*tierIndex),
 		"limits": map[string]any{"cores": 1, "memory_mb": sidecarMemoryMB, "sockets": sockets},
 		"known":  known,
 		"settings": map[string]any{
-			"balancers": of, "me": number, "tier": to, "zone": zone, "zones": zones, "layers": layers,
+			"balancers": balancers, "me": number, "tier": tierIndex, "zone": zone, "zones": zones, "layers": layers,
 			"kindOfService": "chain", "discovery": "push", "stepNs": ms, "weights": "silent", "countedBy": "request",
 			"classes": []map[string]any{{
 				"name": className, "goalTimeNs": targetLatencyMS * ms, "hardLimitNs": deadlineMS * ms, "importance": 1, "lateShare": 0,
@@ -71,7 +74,7 @@
 				"attemptsCap": 6, "cancel": true, "secondCopies": true, "probes": true, "retryAfter": true, "maxStreams": 1,
 				"maxRetryAfterNs": maxRetryAfterMS * ms, "connectTimeoutNs": connectTimeoutMS * ms, "keepaliveNs": keepAliveMS * ms,
 			},
-			"loadInfo": map[string]any{"how": reports, "fields": []string{"busy_reqs", "pending", "cpu_share"}},
+			"loadInfo": map[string]any{"how": loadReports, "fields": []string{"busy_reqs", "pending", "cpu_share"}},
 			"rules": map[string]any{
 				"drainGraceNs": drainGraceMS * ms, "coldShare": coldShare, "coldNs": coldTimeMS * ms,
 				"fallMultiple": fallMultiple, "tipAfterNs": fallTimeMS * ms,
@@ -81,9 +84,10 @@
 	}, "", "  ")
 }
 
+// zones are the names of the zones, in the order in which the platform numbers them.
 var zones = []string{"campus-east", "campus-west"}
 
-// operatorSettings is the operators' file of the sidecars that send to a tier.
+// operatorSettings returns the operators' file of the sidecars that send to a tier, as TOML.
 func operatorSettings(t tier) ([]byte, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "schema = %d\n[application]\nname = %q\ntier = %q\n", config.SchemaVersion, t.name, t.name)
@@ -91,30 +95,32 @@
 		fmt.Fprintf(&b, "calls = [%q]\n", t.nextName)
 	}
 	fmt.Fprintf(&b, "[class.%s]\nretry_within = \"%dms\"\n", className, targetLatencyMS)
-	s, bad := config.ParseSettings(t.name, []byte(b.String()))
-	if len(bad) > 0 {
-		return nil, errors.New(bad[0].String())
+	settings, findings := config.ParseSettings(t.name, []byte(b.String()))
+	if len(findings) > 0 {
+		return nil, errors.New(findings[0].String())
 	}
-	return config.FormatSettings(s), nil
+	return config.FormatSettings(settings), nil
 }
 
-// freeAddresses returns addresses of loopback with ports that were free a moment ago.
+// freeAddresses returns n loopback addresses with different ports that were free during the call. Another
+// process may take a port before it is used.
 func freeAddresses(n int) ([]string, error) {
-	out := make([]string, n)
-	for i := range out {
+	addrs := make([]string, n)
+	for i := range addrs {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, fmt.Errorf("lab: %w", err)
 		}
-		defer l.Close() // once all have one, so that none gets another's
-		out[i] = l.Addr().String()
+		defer l.Close() // not earlier, so that no port is returned twice
+		addrs[i] = l.Addr().String()
 	}
-	return out, nil
+	return addrs, nil
 }
 
-// checkFiles checks all configuration files of a folder as drumctl does.
+// checkFiles checks all configuration files of a folder as drumctl does. It returns their number, and an
+// error with the findings for which the checker refuses them.
 func checkFiles(dir string) (files int, err error) {
-	var all []check.File
+	var configFiles []check.File
 	for _, pattern := range []string{"*.json", "*.toml"} {
 		names, err := filepath.Glob(filepath.Join(dir, pattern))
 		if err != nil {
@@ -122,13 +128,13 @@
 		}
 		for _, name := range names {
 			text, err := os.ReadFile(name)
-			all = append(all, check.File{Name: name, Text: text, Err: err})
+			configFiles = append(configFiles, check.File{Name: name, Text: text, Err: err})
 		}
 	}
-	for _, f := range check.Deployment(all) {
-		if f.Level == config.LevelRefused {
-			err = errors.Join(err, errors.New(f.String()))
+	for _, finding := range check.Deployment(configFiles) {
+		if finding.Level == config.LevelRefused {
+			err = errors.Join(err, errors.New(finding.String()))
 		}
 	}
-	return len(all), err
+	return len(configFiles), err
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,7 +1,8 @@
-// Package lab runs the real program before stand-ins on loopback: three tiers of nodes with
-// a sidecar of its own beside each caller, a bounded stream of orders, a node that fails and
-// one that drains on the way. It shows what becomes of the orders and whether the four rules
-// were kept, and leaves the configuration files for reading and changing.
+// Package lab runs the real sidecar program with fake nodes, discovery and callers on loopback. Run
+// starts three tiers of nodes with a sidecar beside each caller and sends requests at a fixed rate;
+// during the run one node fails and another drains. It reports the outcomes of the requests and whether
+// the four rules were kept, and leaves the configuration files to read and change. Compare and
+// CompareStreams measure the program beside other proxies.
 package lab
 
 import (
@@ -24,44 +25,45 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// Config says what a run of the lab is.
+// Config configures a run of the lab.
 type Config struct {
-	Dir               string        // for its files; it is made
-	Program           string        // the sidecar; empty builds it
-	RequestsPerSecond float64       // orders a second
-	Duration          time.Duration // of the stream
-	DrainSlack        time.Duration // that a busy machine may add to the grace of a drain
-	Out               io.Writer
+	Dir               string        // folder for the files of the run; created if it does not exist
+	Program           string        // path of the sidecar program; empty builds it
+	RequestsPerSecond float64       // used by Run only
+	Duration          time.Duration // how long requests are sent; not used by CompareStreams
+	DrainSlack        time.Duration // added to the drain grace in the check of the drain, for a busy machine
+	Out               io.Writer     // receives progress and the report
 }
 
 const (
-	entrySidecarCount = 2 // sidecars that take the callers' orders
-	nodeConcurrency   = 2 // requests that a node has in work together
+	entrySidecarCount = 2 // sidecars that receive the callers' requests
+	nodeConcurrency   = 2 // requests that a node runs at the same time
 	nodeQueueCapacity = 8
-	responseSlack     = 250 * time.Millisecond // that an answer may take beyond the sidecar's own margins
+	responseSlack     = 250 * time.Millisecond // how late a response may reach the caller beyond the sidecar's own margins
 )
 
-// failureDetectionDelay is how late discovery learns that a process has died.
+// failureDetectionDelay is the time from a node's failure until discovery removes it.
 const failureDetectionDelay = 2 * time.Second
 
-// lab is a run.
+// lab is the state of a run. The arrays are indexed by tier.
 type lab struct {
 	cfg           Config
-	program       string
+	program       string // path of the sidecar program
 	discovery     [3]*fake.Discovery
 	executionLogs [3]*fake.ExecutionLog
 	nodes         [3][]*fake.Node
 	entrySidecars []*process
-	removalTimer  *time.Timer // tells discovery of the node that died; nil before
+	removalTimer  *time.Timer // removes the failed node from discovery; nil before the failure
 
 	mu           sync.Mutex
-	nodeSidecars map[*fake.Node]*process // the sidecar that a node calls through
-	sidecars     []*process
-	nodeCaller   *fake.Caller // of the nodes
+	nodeSidecars map[*fake.Node]*process // the sidecar through which a node sends to the next tier
+	sidecars     []*process              // all that were started
+	nodeCaller   *fake.Caller            // sends the nodes' requests to the next tier
 	keys         int
 }
 
-// Run runs the lab. It returns an error if it could not be run, or a rule was broken.
+// Run starts the nodes and sidecars, sends requests for cfg.Duration and reports to cfg.Out. It returns
+// an error if a part of the run failed, a rule was broken, or ctx ended. It stops what it started.
 func Run(ctx context.Context, cfg Config) error {
 	l := &lab{cfg: cfg, nodeSidecars: make(map[*fake.Node]*process), nodeCaller: fake.NewCaller(64)}
 	defer l.close()
@@ -73,20 +75,22 @@
 	}
 	caller := fake.NewCaller(64)
 	defer caller.Close()
-	told := l.sendRequests(ctx, caller)
+	events := l.sendRequests(ctx, caller)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	return l.report(caller, told)
+	return l.report(caller, events)
 }
 
+// logf prints a line to the run's output.
 func (l *lab) logf(format string, args ...any) { fmt.Fprintf(l.cfg.Out, format+"\n", args...) }
 
-// start starts the stand-ins and the sidecars.
+// start starts discovery, the nodes and the sidecars, checks the written configuration files, and waits
+// until all sidecars are ready.
 func (l *lab) start(ctx context.Context) error {
 	var err error
 	if l.program = l.cfg.Program; l.program == "" {
-		l.logf("building the program ...")
+		l.logf("building the sidecar program ...")
 		if l.program, err = buildSidecar(ctx, l.cfg.Dir); err != nil {
 			return err
 		}
@@ -127,13 +131,13 @@
 	}
 	files, err := checkFiles(l.cfg.Dir)
 	if err != nil {
-		return fmt.Errorf("lab: its own files are refused: %w", err)
+		return fmt.Errorf("lab: the checker rejected the generated configuration files: %w", err)
 	}
 	l.logf("%d configuration files in %s, all accepted by the checker", files, l.cfg.Dir)
-	wait, cancel := context.WithTimeout(ctx, 30*time.Second)
+	readyCtx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
 	for _, p := range l.sidecars {
-		if err := p.waitReady(wait); err != nil {
+		if err := p.waitReady(readyCtx); err != nil {
 			return err
 		}
 	}
@@ -141,15 +145,16 @@
 	return nil
 }
 
+// path returns the path of a file in the run's folder.
 func (l *lab) path(name string) string { return filepath.Join(l.cfg.Dir, name) }
 
-// startNode starts a node of a tier.
-func (l *lab) startNode(tier, n int) error {
-	t := tiers[tier]
+// startNode starts node number of a tier and adds it to discovery.
+func (l *lab) startNode(tierIndex, number int) error {
+	t := tiers[tierIndex]
 	var node *fake.Node
 	cfg := fake.NodeConfig{
-		ID: fmt.Sprintf("%s-%d", t.name, n), Zone: zones[n%2], Addr: "127.0.0.1:0", Concurrency: nodeConcurrency, QueueCapacity: nodeQueueCapacity,
-		ServiceTime: time.Duration(t.serviceTimeMS) * time.Millisecond, ExecutionLog: l.executionLogs[tier],
+		ID: fmt.Sprintf("%s-%d", t.name, number), Zone: zones[number%2], Addr: "127.0.0.1:0", Concurrency: nodeConcurrency, QueueCapacity: nodeQueueCapacity,
+		ServiceTime: time.Duration(t.serviceTimeMS) * time.Millisecond, ExecutionLog: l.executionLogs[tierIndex],
 	}
 	if t.nextName != "" {
 		cfg.Forward = func(ctx context.Context, r *http.Request) error { return l.forward(ctx, node, t.nextTierRequests, r) }
@@ -158,26 +163,27 @@
 	if node, err = fake.NewNode(cfg); err != nil {
 		return err
 	}
-	l.nodes[tier] = append(l.nodes[tier], node)
-	l.discovery[tier].Update(node.DiscoveryEntry("up"))
+	l.nodes[tierIndex] = append(l.nodes[tierIndex], node)
+	l.discovery[tierIndex].Update(node.DiscoveryEntry("up"))
 	return nil
 }
 
-// startSidecar starts a sidecar that sends to a tier.
-func (l *lab) startSidecar(tier, number, of, zone int) (*process, error) {
-	name := fmt.Sprintf("to-%s-%d", tiers[tier].name, number)
+// startSidecar starts sidecar number of those that send to a tier; there are balancers of them. zone is
+// an index of zones. It returns without waiting until the sidecar is ready.
+func (l *lab) startSidecar(tierIndex, number, balancers, zone int) (*process, error) {
+	name := fmt.Sprintf("to-%s-%d", tiers[tierIndex].name, number)
 	addrs, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
 	}
-	text, err := platformConfig(name, addrs[0], tier, zone, number, of, sidecarSockets, l.discovery[tier].Addr(), l.discovery[tier].List(), "pull")
+	text, err := platformConfig(name, addrs[0], tierIndex, zone, number, balancers, sidecarSockets, l.discovery[tierIndex].Addr(), l.discovery[tierIndex].List(), "pull")
 	if err != nil {
 		return nil, err
 	}
 	if err := os.WriteFile(l.path(name+".json"), text, 0o644); err != nil {
 		return nil, err
 	}
-	p, err := startProcess(l.cfg.Dir, name, addrs[0], l.program, []string{"-settings", l.path(tiers[tier].name + ".toml")},
+	p, err := startProcess(l.cfg.Dir, name, addrs[0], l.program, []string{"-settings", l.path(tiers[tierIndex].name + ".toml")},
 		[]string{"PROXY_CONFIG=" + l.path(name+".json"), "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY="})
 	if err == nil {
 		l.mu.Lock()
@@ -187,41 +193,43 @@
 	return p, err
 }
 
-// forward makes a node's calls of the next tier, one after another, within what is left of the
-// request's time.
-func (l *lab) forward(ctx context.Context, node *fake.Node, calls int, r *http.Request) error {
+// forward sends count requests to the next tier through the node's sidecar, one after another, within
+// the X-Timeout of r. It returns an error at the first one that is not served.
+func (l *lab) forward(ctx context.Context, node *fake.Node, count int, r *http.Request) error {
 	l.mu.Lock()
-	p := l.nodeSidecars[node]
+	sidecar := l.nodeSidecars[node]
 	l.mu.Unlock()
-	us, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Timeout"), "u"), 10, 64)
+	timeoutMicros, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Timeout"), "u"), 10, 64)
 	if err != nil {
 		return fmt.Errorf("X-Timeout: %w", err)
 	}
-	end := time.Now().Add(time.Duration(us) * time.Microsecond)
-	for n := range calls {
-		left := time.Until(end)
-		if left <= 0 {
+	deadline := time.Now().Add(time.Duration(timeoutMicros) * time.Microsecond)
+	for n := range count {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			return context.DeadlineExceeded
 		}
-		// A repeat of the request makes the same calls: their keys say so.
-		o := fake.CallerRequest{
-			ID: newID(), Class: className, IdempotencyKey: fmt.Sprintf("%s-%d", r.Header.Get("Idempotency-Key"), n), Timeout: left,
+		// The key is derived from the key of r, so that a repeat of r sends the same keys.
+		request := fake.CallerRequest{
+			ID: newID(), Class: className, IdempotencyKey: fmt.Sprintf("%s-%d", r.Header.Get("Idempotency-Key"), n), Timeout: remaining,
 		}
-		o.Body = "call"
-		if v := l.nodeCaller.Do(ctx, p.addr, o, 0); v != fake.OutcomeServed {
-			return fmt.Errorf("call of the next tier: %s", v)
+		request.Body = "call"
+		if outcome := l.nodeCaller.Do(ctx, sidecar.addr, request, 0); outcome != fake.OutcomeServed {
+			return fmt.Errorf("request to the next tier: %s", outcome)
 		}
 	}
 	return nil
 }
 
+// newID returns 16 random hexadecimal digits.
 func newID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// runEvents are the times of what the lab did to the nodes.
+// runEvents records what the lab did to the nodes and how many requests it sent. A node is nil if its
+// event did not take place.
 type runEvents struct {
 	drainedNode                 *fake.Node
 	drainAnnouncedAt            time.Time
@@ -231,92 +239,95 @@
 	failedNodeID, drainedNodeID string
 }
 
-// sendRequests sends the orders, and has a node fail and another drain on the way.
+// sendRequests sends requests at the configured rate, in turn to the entry sidecars, and waits until all
+// have ended. On the way it makes one node fail and start again, and another drain.
 func (l *lab) sendRequests(ctx context.Context, caller *fake.Caller) runEvents {
-	var e runEvents
+	var events runEvents
 	plan := []struct {
-		at float64 // of the stream
-		do func()
+		startFraction float64 // of the run's duration
+		run           func()
 	}{
-		{0.25, func() { l.failNode(&e) }},
-		{0.5, func() { l.drainNode(&e) }},
-		{0.7, func() { l.restartNode(ctx, &e) }},
+		{0.25, func() { l.failNode(&events) }},
+		{0.5, func() { l.drainNode(&events) }},
+		{0.7, func() { l.restartNode(ctx, &events) }},
 	}
-	l.logf("sending %.0f orders a second for %v ...", l.cfg.RequestsPerSecond, l.cfg.Duration)
+	l.logf("sending %.0f requests per second for %v ...", l.cfg.RequestsPerSecond, l.cfg.Duration)
 	var wg sync.WaitGroup
-	began, said := time.Now(), time.Now()
-	gap := time.Duration(float64(time.Second) / l.cfg.RequestsPerSecond)
-	for next := began; time.Since(began) < l.cfg.Duration && ctx.Err() == nil; next = next.Add(gap) {
-		time.Sleep(time.Until(next))
-		for len(plan) > 0 && time.Since(began) >= time.Duration(plan[0].at*float64(l.cfg.Duration)) {
-			plan[0].do()
+	startedAt, lastLoggedAt := time.Now(), time.Now()
+	interval := time.Duration(float64(time.Second) / l.cfg.RequestsPerSecond)
+	for sendAt := startedAt; time.Since(startedAt) < l.cfg.Duration && ctx.Err() == nil; sendAt = sendAt.Add(interval) {
+		time.Sleep(time.Until(sendAt))
+		for len(plan) > 0 && time.Since(startedAt) >= time.Duration(plan[0].startFraction*float64(l.cfg.Duration)) {
+			plan[0].run()
 			plan = plan[1:]
 		}
-		if time.Since(said) > 2*time.Second {
-			said = time.Now()
-			c, _, _ := caller.Results()
-			l.logf("  %4.1f s: %d asked, %d served, %d refused, %d failed", time.Since(began).Seconds(), e.requestCount,
-				c[fake.OutcomeServed], c[fake.OutcomeRefused], c[fake.OutcomeFailed])
+		if time.Since(lastLoggedAt) > 2*time.Second {
+			lastLoggedAt = time.Now()
+			counts, _, _ := caller.Results()
+			l.logf("  %4.1f s: %d sent, %d served, %d refused, %d failed", time.Since(startedAt).Seconds(), events.requestCount,
+				counts[fake.OutcomeServed], counts[fake.OutcomeRefused], counts[fake.OutcomeFailed])
 		}
-		o := fake.CallerRequest{
-			ID: newID(), Class: className, IdempotencyKey: newID() + newID(), Path: fmt.Sprintf("tank-%d", e.requestCount),
+		request := fake.CallerRequest{
+			ID: newID(), Class: className, IdempotencyKey: newID() + newID(), Path: fmt.Sprintf("tank-%d", events.requestCount),
 			Body: "500 litres", Timeout: deadlineMS * time.Millisecond,
 		}
-		front := l.entrySidecars[e.requestCount%len(l.entrySidecars)]
-		e.requestCount++
+		sidecar := l.entrySidecars[events.requestCount%len(l.entrySidecars)]
+		events.requestCount++
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			caller.Do(ctx, front.addr, o, responseSlack)
+			caller.Do(ctx, sidecar.addr, request, responseSlack)
 		}()
 	}
 	wg.Wait()
-	return e
+	return events
 }
 
-// failNode ends a node of the first tier and its sidecar. Discovery learns of it later.
-func (l *lab) failNode(e *runEvents) {
+// failNode stops a node of the first tier and kills its sidecar. Discovery removes the node
+// failureDetectionDelay later.
+func (l *lab) failNode(events *runEvents) {
 	node := l.nodes[0][0]
-	e.failedNodeID = node.DiscoveryEntry("").ID
-	l.logf("  node %s dies; discovery learns of it %v later", e.failedNodeID, failureDetectionDelay)
+	events.failedNodeID = node.DiscoveryEntry("").ID
+	l.logf("  node %s fails; discovery removes it %v later", events.failedNodeID, failureDetectionDelay)
 	node.Stop()
 	l.nodeSidecars[node].kill()
 	l.removalTimer = time.AfterFunc(failureDetectionDelay, func() { l.discovery[0].Update(node.DiscoveryEntry("removed")) })
 }
 
-// drainNode has a node of the last tier leave.
-func (l *lab) drainNode(e *runEvents) {
-	e.drainedNode = l.nodes[2][1]
-	e.drainedNodeID = e.drainedNode.DiscoveryEntry("").ID
-	l.logf("  node %s drains", e.drainedNodeID)
-	l.discovery[2].Update(e.drainedNode.DiscoveryEntry("draining"))
-	e.drainAnnouncedAt = time.Now() // an agent that is waited on has told by then, or within its answer
+// drainNode makes discovery list a node of the last tier as draining.
+func (l *lab) drainNode(events *runEvents) {
+	events.drainedNode = l.nodes[2][1]
+	events.drainedNodeID = events.drainedNode.DiscoveryEntry("").ID
+	l.logf("  node %s drains", events.drainedNodeID)
+	l.discovery[2].Update(events.drainedNode.DiscoveryEntry("draining"))
+	events.drainAnnouncedAt = time.Now() // by now the open watches are notified; other sidecars get it with their next request
 }
 
-// restartNode has the node that failed start anew, cold.
-func (l *lab) restartNode(ctx context.Context, e *runEvents) {
-	l.removalTimer.Stop() // in a short run the node is back before its death was noticed
+// restartNode starts the failed node and a new sidecar for it. The node counts as a cold endpoint.
+func (l *lab) restartNode(ctx context.Context, events *runEvents) {
+	l.removalTimer.Stop() // in a short run the node starts again before discovery has removed it
 	node := l.nodes[0][0]
 	if err := node.Start(); err != nil {
-		l.logf("  node %s does not start: %v", e.failedNodeID, err)
+		l.logf("  node %s does not start: %v", events.failedNodeID, err)
 		return
 	}
-	p, err := l.startSidecar(1, 0, len(l.nodes[0]), 0)
+	sidecar, err := l.startSidecar(1, 0, len(l.nodes[0]), 0)
 	if err == nil {
-		err = p.waitReady(ctx)
+		err = sidecar.waitReady(ctx)
 	}
 	if err != nil {
-		l.logf("  node %s does not start: %v", e.failedNodeID, err)
+		l.logf("  node %s does not start: %v", events.failedNodeID, err)
 		return
 	}
 	l.mu.Lock()
-	l.nodeSidecars[node] = p
+	l.nodeSidecars[node] = sidecar
 	l.mu.Unlock()
-	e.restartedNode, e.restartedAt = node, node.StartedAt()
-	l.logf("  node %s is back, cold", e.failedNodeID)
+	events.restartedNode, events.restartedAt = node, node.StartedAt()
+	l.logf("  node %s has restarted, cold", events.failedNodeID)
 	l.discovery[0].Update(node.DiscoveryEntry("up"))
 }
 
+// close kills the sidecars that still run and stops the nodes and discovery.
 func (l *lab) close() {
 	if l.removalTimer != nil {
 		l.removalTimer.Stop()
@@ -339,66 +350,68 @@
 	l.nodeCaller.Close()
 }
 
-// report stops the sidecars and prints the table.
-func (l *lab) report(caller *fake.Caller, e runEvents) error {
-	var broken error
-	var cpu time.Duration
+// report stops the sidecars, prints the table of results and checks the rules. It returns an error for
+// each broken rule and for each sidecar that did not end as expected.
+func (l *lab) report(caller *fake.Caller, events runEvents) error {
+	var failures error
+	var cpuTime time.Duration
 	var peakKB int64
-	killed := l.nodes[0][0]
+	killedNode := l.nodes[0][0] // nil once the sidecar that failNode killed has been found
 	for _, p := range l.sidecars {
 		select {
-		case <-p.exited: // the one that was killed with its node
-			if killed == nil {
-				broken = errors.Join(broken, fmt.Errorf("%s ended by itself: %w", p.name, p.waitErr))
+		case <-p.exited:
+			if killedNode == nil {
+				failures = errors.Join(failures, fmt.Errorf("%s exited unexpectedly: %w", p.name, p.waitErr))
 			}
-			killed = nil
+			killedNode = nil
 		default:
 			peak, err := p.peakKB()
 			peakKB = max(peakKB, peak)
-			broken = errors.Join(broken, err, p.stop())
+			failures = errors.Join(failures, err, p.stop())
 		}
-		cpu += p.cpuTime()
+		cpuTime += p.cpuTime()
 	}
-	counts, took, lost := caller.Results()
+	counts, latencies, noResponseReasons := caller.Results()
 	w := tabwriter.NewWriter(l.cfg.Out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
-	share := func(v fake.Outcome) string {
-		return fmt.Sprintf("%d (%.1f%%)", counts[v], 100*float64(counts[v])/float64(max(e.requestCount, 1)))
+	countAndShare := func(outcome fake.Outcome) string {
+		return fmt.Sprintf("%d (%.1f%%)", counts[outcome], 100*float64(counts[outcome])/float64(max(events.requestCount, 1)))
 	}
 	fmt.Fprintln(w)
-	row("asked", "%d", e.requestCount)
-	row("served", "%s", share(fake.OutcomeServed))
-	row("refused", "%s", share(fake.OutcomeRefused))
-	row("failed", "%s", share(fake.OutcomeFailed))
-	slices.Sort(took)
-	row("time of those served", "p50 %v  p99 %v  p99.9 %v", quantile(took, 0.5), quantile(took, 0.99), quantile(took, 0.999))
+	row("requests", "%d", events.requestCount)
+	row("served", "%s", countAndShare(fake.OutcomeServed))
+	row("refused", "%s", countAndShare(fake.OutcomeRefused))
+	row("failed", "%s", countAndShare(fake.OutcomeFailed))
+	slices.Sort(latencies)
+	row("latency of served requests", "p50 %v  p99 %v  p99.9 %v", quantile(latencies, 0.5), quantile(latencies, 0.99), quantile(latencies, 0.999))
 	for i, t := range tiers {
-		attempts, repeats, _ := l.executionLogs[i].Totals()
-		row("attempts that ran at "+t.name, "%d, %.2f an order, %d of them repeats that were dropped", attempts,
-			float64(attempts)/float64(max(e.requestCount, 1)), repeats)
+		attempts, droppedRepeats, _ := l.executionLogs[i].Totals()
+		row("attempts that ran at "+t.name, "%d, %.2f per request, %d of them dropped as repeats", attempts,
+			float64(attempts)/float64(max(events.requestCount, 1)), droppedRepeats)
 	}
-	row("sidecars", "%d, %v of CPU in all, %d MB at the largest", len(l.sidecars), cpu.Round(time.Millisecond), peakKB>>10)
+	row("sidecars", "%d, total CPU time %v, largest peak memory %d MB", len(l.sidecars), cpuTime.Round(time.Millisecond), peakKB>>10)
 	rule := func(name string, err error) {
 		verdict := "kept"
 		if err != nil {
 			verdict = "BROKEN: " + err.Error()
-			broken = errors.Join(broken, fmt.Errorf("%s: %w", name, err))
+			failures = errors.Join(failures, fmt.Errorf("%s: %w", name, err))
 		}
 		row("rule: "+name, "%s", verdict)
 	}
-	rule("no request lost", checkLostRequests(e.requestCount, counts, lost))
+	rule("no request lost", checkLostRequests(events.requestCount, counts, noResponseReasons))
 	rule("no effect twice", l.checkRepeatedEffects())
-	rule("drains kept", checkDrainedNode(e, l.cfg.DrainSlack))
-	rule("no cold endpoint pushed over", checkColdNode(e))
+	rule("drains kept", checkDrainedNode(events, l.cfg.DrainSlack))
+	rule("no cold endpoint pushed over", checkColdNode(events))
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	l.logf("\nThe files are in %s. Try:\n  go run ./cmd/drumctl config explain %s %s", l.cfg.Dir,
 		l.path("order-front.toml"), l.path("to-order-front-0.json"))
-	return broken
+	return failures
 }
 
-// quantile is a quantile of sorted times.
+// quantile returns the quantile q, from 0 to 1, of sorted times, rounded to 10 microseconds; 0 if there
+// are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -406,68 +419,71 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)].Round(10 * time.Microsecond)
 }
 
-func checkLostRequests(asked int, counts map[fake.Outcome]int, lost map[string]int) error {
+// checkLostRequests checks that each of the requestCount requests has an outcome and a response.
+func checkLostRequests(requestCount int, counts map[fake.Outcome]int, noResponseReasons map[string]int) error {
 	sum := 0
 	for _, n := range counts {
 		sum += n
 	}
-	if n := counts[fake.OutcomeNoResponse]; n > 0 || sum != asked {
-		return fmt.Errorf("%d of %d have no answer: %v", n+asked-sum, asked, lost)
+	if n := counts[fake.OutcomeNoResponse]; n > 0 || sum != requestCount {
+		return fmt.Errorf("%d of %d requests have no response: %v", n+requestCount-sum, requestCount, noResponseReasons)
 	}
 	return nil
 }
 
+// checkRepeatedEffects checks that no request had its effect more than once in any tier.
 func (l *lab) checkRepeatedEffects() error {
 	for i, t := range tiers {
-		if _, _, twice := l.executionLogs[i].Totals(); twice > 0 {
-			return fmt.Errorf("%d orders at %s", twice, t.name)
+		if _, _, repeatedEffects := l.executionLogs[i].Totals(); repeatedEffects > 0 {
+			return fmt.Errorf("%d requests at %s", repeatedEffects, t.name)
 		}
 	}
 	return nil
 }
 
-// checkDrainedNode checks that nothing came to the node that drains later than the grace, and 50 ms
-// more as PROTOCOL has it, after the agent told of it; an agent's answer may take as long as
-// the sidecars wait between two calls.
-func checkDrainedNode(e runEvents, slack time.Duration) error {
-	if e.drainedNode == nil {
+// checkDrainedNode checks that the drained node received no request later than the drain grace after
+// the sidecars learned of the drain. PROTOCOL allows 50 ms more. A sidecar learns of it up to
+// maxNotificationDelay after discovery's update, the longest time between two of its discovery requests.
+func checkDrainedNode(events runEvents, slack time.Duration) error {
+	if events.drainedNode == nil {
 		return nil
 	}
-	const heard = 300 * time.Millisecond
+	const maxNotificationDelay = 300 * time.Millisecond
 	late := 0
-	for _, at := range e.drainedNode.ArrivalTimes() {
-		if at.Sub(e.drainAnnouncedAt) > heard+slack+(drainGraceMS+50)*time.Millisecond {
+	for _, arrivedAt := range events.drainedNode.ArrivalTimes() {
+		if arrivedAt.Sub(events.drainAnnouncedAt) > maxNotificationDelay+slack+(drainGraceMS+50)*time.Millisecond {
 			late++
 		}
 	}
 	if late > 0 {
-		return fmt.Errorf("%d requests came late to %s", late, e.drainedNodeID)
+		return fmt.Errorf("%d requests arrived at %s after the drain grace", late, events.drainedNodeID)
 	}
 	return nil
 }
 
-// checkColdNode checks the budget of a node that has just started: what comes in any window of
-// fallMS stays under the multiple of what it can do there.
-func checkColdNode(e runEvents) error {
-	if e.restartedNode == nil {
+// checkColdNode checks the load of the restarted node: in any window of fallTimeMS it may receive at most
+// fallMultiple times the requests that a node of its age can serve in that time, and 3 more.
+func checkColdNode(events runEvents) error {
+	if events.restartedNode == nil {
 		return nil
 	}
-	full := float64(nodeConcurrency) / (float64(tiers[0].serviceTimeMS) / 1000) // requests a second, at the least: calls take time besides
-	arrivals := e.restartedNode.ArrivalTimes()
-	for i, from := range arrivals {
-		if from.Before(e.restartedAt) {
+	// Requests per second of a warm node. This is an upper bound: requests to the next tier take time besides.
+	fullRate := float64(nodeConcurrency) / (float64(tiers[0].serviceTimeMS) / 1000)
+	arrivalTimes := events.restartedNode.ArrivalTimes()
+	for i, windowStart := range arrivalTimes {
+		if windowStart.Before(events.restartedAt) {
 			continue
 		}
-		n := 0
-		for _, at := range arrivals[i:] {
-			if at.Sub(from) < fallTimeMS*time.Millisecond {
-				n++
+		received := 0
+		for _, arrivedAt := range arrivalTimes[i:] {
+			if arrivedAt.Sub(windowStart) < fallTimeMS*time.Millisecond {
+				received++
 			}
 		}
-		age := float64(from.Sub(e.restartedAt).Milliseconds())
-		now := full * min(1, coldShare+(1-coldShare)*age/coldTimeMS)
-		if most := fallMultiple * now * fallTimeMS / 1000; float64(n) > most+3 { // a little slack for chance
-			return fmt.Errorf("%d requests in %d ms to a node that can do %.1f a second", n, fallTimeMS, now)
+		ageMS := float64(windowStart.Sub(events.restartedAt).Milliseconds())
+		rate := fullRate * min(1, coldShare+(1-coldShare)*ageMS/coldTimeMS)
+		if limit := fallMultiple * rate * fallTimeMS / 1000; float64(received) > limit+3 { // slack of 3 for random variation
+			return fmt.Errorf("%d requests in %d ms to a node that can serve %.1f per second", received, fallTimeMS, rate)
 		}
 	}
 	return nil
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -12,7 +12,8 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// TestMain lets the test binary stand in for the lab's own program as what it compares with.
+// TestMain runs the test binary as a reference proxy if its arguments say so: the lab starts its own
+// program for that, which is the test binary here.
 func TestMain(m *testing.M) {
 	if ran, err := RunReferenceProxy(os.Args[1:]); ran {
 		if err != nil {
@@ -24,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// buildTestSidecar builds the sidecar once for a test.
+// buildTestSidecar builds the sidecar program in a folder of the test and returns its path.
 func buildTestSidecar(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "barleydrum")
@@ -35,7 +36,8 @@
 	return path
 }
 
-// A run ends with all rules kept, through a failure and a drain, and leaves its files.
+// Checks that all rules are kept in a run with a failing and a draining node, that the report has the
+// expected parts, and that the run leaves its 15 configuration files, which the checker accepts.
 func TestRunKeepsRulesThroughFailureAndDrain(t *testing.T) {
 	var out strings.Builder
 	dir := t.TempDir()
@@ -45,9 +47,9 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
-	for _, want := range []string{"asked ", "order-front-0 dies", "run-booking-1 drains", "is back, cold", "rule: drains kept "} {
+	for _, want := range []string{"\nrequests ", "order-front-0 fails", "run-booking-1 drains", "has restarted, cold", "rule: drains kept "} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("lacks %q:\n%s", want, out.String())
+			t.Errorf("output lacks %q:\n%s", want, out.String())
 		}
 	}
 	if n, err := checkFiles(dir); n != 15 || err != nil {
@@ -55,7 +57,7 @@
 	}
 }
 
-// Both sides of the comparison serve what they are asked.
+// Checks that each compared program, and the nodes without one, serve requests and get a row in the table.
 func TestCompareServesThroughEachProgram(t *testing.T) {
 	var out strings.Builder
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
@@ -73,13 +75,14 @@
 	}
 }
 
-// Both sides pass on long bodies whole, slow callers' too; what can't be is refused by its name.
+// Checks that both programs deliver all long bodies completely, also those of slow callers, and that
+// Validate names the flag of a value out of range.
 func TestCompareStreamsDeliversLongBodies(t *testing.T) {
 	var out strings.Builder
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
-	how := StreamOptions{ConcurrentStreams: 6, Nodes: 2, RequestBodyBytes: 300_000, ResponseBodyBytes: 400_000, SlowEvery: 3, SlowBytesPerSecond: 1 << 20}
-	if err := CompareStreams(ctx, Config{Dir: t.TempDir(), Program: buildTestSidecar(t), Out: &out}, how); err != nil {
+	opts := StreamOptions{ConcurrentStreams: 6, Nodes: 2, RequestBodyBytes: 300_000, ResponseBodyBytes: 400_000, SlowEvery: 3, SlowBytesPerSecond: 1 << 20}
+	if err := CompareStreams(ctx, Config{Dir: t.TempDir(), Program: buildTestSidecar(t), Out: &out}, opts); err != nil {
 		t.Fatalf("%v\n%s", err, out.String())
 	}
 	for _, name := range []string{"barleydrum", "httputil.ReverseProxy"} {
@@ -92,7 +95,7 @@
 		"-callers": func(s *StreamOptions) { s.ConcurrentStreams = 0 }, "-nodes": func(s *StreamOptions) { s.Nodes = 501 }, "-body": func(s *StreamOptions) { s.RequestBodyBytes = 200 },
 		"-answer": func(s *StreamOptions) { s.ResponseBodyBytes = 0 }, "-slow": func(s *StreamOptions) { s.SlowEvery = -1 }, "-rate-slow": func(s *StreamOptions) { s.SlowBytesPerSecond = 1 },
 	} {
-		bad := how
+		bad := opts
 		spoil(&bad)
 		if err := bad.Validate(); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
@@ -100,32 +103,32 @@
 	}
 }
 
-// A comparison that can't be is refused by the name of what is wrong.
+// Checks that Validate names the flag of a value out of range and accepts valid options.
 func TestCompareOptionsValidateNamesBadFlag(t *testing.T) {
-	good := CompareOptions{Callers: 1, Nodes: 1, Rounds: 1}
+	valid := CompareOptions{Callers: 1, Nodes: 1, Rounds: 1}
 	for name, spoil := range map[string]func(*CompareOptions){
 		"-callers": func(c *CompareOptions) { c.Callers = 0 }, "-nodes": func(c *CompareOptions) { c.Nodes = 501 },
 		"-body": func(c *CompareOptions) { c.RequestBodyBytes = -1 }, "-answer": func(c *CompareOptions) { c.ResponseBodyBytes = 1 << 20 },
 		"-rounds": func(c *CompareOptions) { c.Rounds = 0 }, "-think": func(c *CompareOptions) { c.ThinkTime = -1 }, "-open": func(c *CompareOptions) { c.OpenConnections = 5000 },
 	} {
-		bad := good
+		bad := valid
 		spoil(&bad)
 		if err := bad.Validate(); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := good.Validate(); err != nil {
+	if err := valid.Validate(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The lab's own judgement sees what it is to see.
+// Checks that each check of a rule accepts a run that keeps it and reports one that breaks it.
 func TestRuleChecksDetectViolations(t *testing.T) {
-	n := func(served, lost int) map[fake.Outcome]int {
-		return map[fake.Outcome]int{fake.OutcomeServed: served, fake.OutcomeNoResponse: lost}
+	outcomes := func(served, noResponse int) map[fake.Outcome]int {
+		return map[fake.Outcome]int{fake.OutcomeServed: served, fake.OutcomeNoResponse: noResponse}
 	}
-	if checkLostRequests(5, n(5, 0), nil) != nil || checkLostRequests(5, n(4, 1), nil) == nil || checkLostRequests(5, n(4, 0), nil) == nil {
-		t.Error("lost requests are not told from answered ones")
+	if checkLostRequests(5, outcomes(5, 0), nil) != nil || checkLostRequests(5, outcomes(4, 1), nil) == nil || checkLostRequests(5, outcomes(4, 0), nil) == nil {
+		t.Error("checkLostRequests does not distinguish lost requests from served ones")
 	}
 	node, err := fake.NewNode(fake.NodeConfig{ID: "n", Addr: "127.0.0.1:0"})
 	if err != nil {
@@ -134,39 +137,39 @@
 	defer node.Stop()
 	caller := fake.NewCaller(1)
 	defer caller.Close()
-	ask := func() {
-		o := fake.CallerRequest{ID: newID(), Class: className, IdempotencyKey: "k", Body: "x", Timeout: 20 * time.Second}
-		if v := caller.Do(context.Background(), node.DiscoveryEntry("").HostPort, o, 0); v != fake.OutcomeServed {
-			t.Fatalf("the stand-in node: %v", v)
+	sendRequest := func() {
+		request := fake.CallerRequest{ID: newID(), Class: className, IdempotencyKey: "k", Body: "x", Timeout: 20 * time.Second}
+		if outcome := caller.Do(context.Background(), node.DiscoveryEntry("").HostPort, request, 0); outcome != fake.OutcomeServed {
+			t.Fatalf("request to the fake node: %v", outcome)
 		}
 	}
-	ask()
+	sendRequest()
 	if err := checkDrainedNode(runEvents{drainedNode: node, drainAnnouncedAt: time.Now()}, 0); err != nil {
-		t.Errorf("what came before the drain: %v", err)
+		t.Errorf("request before the drain: %v", err)
 	}
 	if err := checkDrainedNode(runEvents{drainedNode: node, drainAnnouncedAt: time.Now().Add(-time.Minute)}, 0); err == nil {
-		t.Error("a request a minute after the drain is not seen")
+		t.Error("request a minute after the drain was not reported")
 	}
-	at := time.Now()
+	restartedAt := time.Now()
 	for range 60 {
-		ask()
+		sendRequest()
 	}
-	if err := checkColdNode(runEvents{restartedNode: node, restartedAt: at}); err == nil {
-		t.Error("60 requests at once to a cold node are not seen")
+	if err := checkColdNode(runEvents{restartedNode: node, restartedAt: restartedAt}); err == nil {
+		t.Error("60 requests at once to a cold node were not reported")
 	}
-	ledger := &fake.ExecutionLog{RepeatWindow: time.Hour}
+	executions := &fake.ExecutionLog{RepeatWindow: time.Hour}
 	l := &lab{}
 	for i := range l.executionLogs {
-		l.executionLogs[i] = ledger
+		l.executionLogs[i] = executions
 	}
 	if err := l.checkRepeatedEffects(); err != nil {
 		t.Error(err)
 	}
-	ledger.RepeatWindow = 0
+	executions.RepeatWindow = 0
 	for range 2 {
-		ledger.Record("id", "key")
+		executions.Record("id", "key")
 	}
 	if err := l.checkRepeatedEffects(); err == nil {
-		t.Error("an effect that happened twice is not seen")
+		t.Error("repeated effect was not reported")
 	}
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -15,52 +15,55 @@
 	"time"
 )
 
-// buildSidecar builds the program into a folder and returns its path.
+// buildSidecar builds the sidecar program in the folder dir and returns its path. The current directory
+// must be in the repository.
 func buildSidecar(ctx context.Context, dir string) (string, error) {
 	root, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
-		return "", fmt.Errorf("lab: run it from the repository: %w", err)
+		return "", fmt.Errorf("lab: the current directory must be in the repository: %w", err)
 	}
 	program := filepath.Join(dir, "barleydrum")
 	c := exec.CommandContext(ctx, "go", "build", "-o", program, "./cmd/barleydrum")
 	c.Dir = strings.TrimSpace(string(root))
 	if text, err := c.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("lab: build: %w\n%s", err, text)
+		return "", fmt.Errorf("lab: building the sidecar program: %w\n%s", err, text)
 	}
 	return program, nil
 }
 
-// process is a program that runs until it is stopped.
+// process is a child process with an HTTP server.
 type process struct {
 	name, addr string
 	cmd        *exec.Cmd
 	logFile    *os.File
-	exited     chan struct{}
-	waitErr    error // once done
+	exited     chan struct{} // closed after the process has exited
+	waitErr    error         // result of cmd.Wait; valid after exited is closed
 }
 
-// startProcess starts a process that serves an address.
+// startProcess starts a program that will listen on addr. Its output goes to the file name.log in dir; env
+// is added to the lab's own environment. It returns without waiting until the program listens.
 func startProcess(dir, name, addr, program string, args, env []string) (*process, error) {
-	log, err := os.Create(filepath.Join(dir, name+".log"))
+	logFile, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
 		return nil, err
 	}
 	c := exec.Command(program, args...)
 	c.Env = append(os.Environ(), env...)
-	c.Stdout, c.Stderr = log, log
+	c.Stdout, c.Stderr = logFile, logFile
 	if err := c.Start(); err != nil {
-		return nil, errors.Join(fmt.Errorf("lab: %s: %w", name, err), log.Close())
+		return nil, errors.Join(fmt.Errorf("lab: %s: %w", name, err), logFile.Close())
 	}
-	p := &process{name: name, addr: addr, cmd: c, logFile: log, exited: make(chan struct{})}
+	p := &process{name: name, addr: addr, cmd: c, logFile: logFile, exited: make(chan struct{})}
 	go func() {
 		p.waitErr = c.Wait()
-		log.Close()
+		logFile.Close()
 		close(p.exited)
 	}()
 	return p, nil
 }
 
-// waitReady waits until the process answers its health check.
+// waitReady waits until the process responds to its health check with 200. It returns an error if the
+// process exits or ctx ends before.
 func (p *process) waitReady(ctx context.Context) error {
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.addr+"/healthz", nil)
@@ -76,7 +79,7 @@
 		}
 		select {
 		case <-p.exited:
-			return fmt.Errorf("lab: %s ended: %w; see %s", p.name, p.waitErr, p.logFile.Name())
+			return fmt.Errorf("lab: %s exited: %w; see %s", p.name, p.waitErr, p.logFile.Name())
 		case <-ctx.Done():
 			return fmt.Errorf("lab: %s is not ready: %w; see %s", p.name, ctx.Err(), p.logFile.Name())
 		case <-time.After(20 * time.Millisecond):
@@ -84,20 +87,22 @@
 	}
 }
 
-// kill ends the process at once, as a machine that fails does.
+// kill stops the process with SIGKILL, without a shutdown, as when a machine fails, and waits for its
+// exit.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
 	<-p.exited
 }
 
-// stop ends the process by SIGTERM, and by SIGKILL if that takes too long.
+// stop stops the process with SIGTERM. It allows a request's deadline and 5 s for the exit, then kills the
+// process. It returns an error unless the process exits in time and with status 0.
 func (p *process) stop() error {
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
 	case <-time.After(deadlineMS*time.Millisecond + 5*time.Second):
 		p.kill()
-		return fmt.Errorf("lab: %s did not end on SIGTERM", p.name)
+		return fmt.Errorf("lab: %s did not exit on SIGTERM", p.name)
 	}
 	if p.waitErr != nil {
 		return fmt.Errorf("lab: %s: %w; see %s", p.name, p.waitErr, p.logFile.Name())
@@ -105,28 +110,28 @@
 	return nil
 }
 
-// residentKB is the memory that the process has in use, in KB.
+// residentKB returns the resident memory of the running process in KB.
 func (p *process) residentKB() (int64, error) { return p.statusKB("VmRSS:") }
 
-// peakKB is the most that it has had in use, in KB. What the kernel tells of a child that has
-// ended counts the parent's memory at the fork too.
+// peakKB returns the peak resident memory of the running process in KB. The rusage of an exited child is
+// not used because the kernel includes the parent's memory at the fork in it.
 func (p *process) peakKB() (int64, error) { return p.statusKB("VmHWM:") }
 
-// statusKB reads a line of /proc/PID/status, in KB.
-func (p *process) statusKB(name string) (int64, error) {
+// statusKB returns the value of a line of /proc/PID/status in KB; field is the line's name with its colon.
+func (p *process) statusKB(field string) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, fmt.Errorf("lab: %s: %w", p.name, err)
 	}
 	for line := range strings.Lines(string(text)) {
-		if rest, ok := strings.CutPrefix(line, name); ok {
+		if rest, ok := strings.CutPrefix(line, field); ok {
 			return strconv.ParseInt(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(rest), "kB")), 10, 64)
 		}
 	}
-	return 0, fmt.Errorf("lab: %s: no %s", p.name, name)
+	return 0, fmt.Errorf("lab: %s: /proc status has no %s", p.name, field)
 }
 
-// cpuTime is the CPU time that the process has used; it has ended.
+// cpuTime returns the CPU time that the process has used. It must have exited.
 func (p *process) cpuTime() time.Duration {
 	s := p.cmd.ProcessState
 	return s.UserTime() + s.SystemTime()
--- a/internal/lab/proxies.go
+++ b/internal/lab/proxies.go
@@ -19,20 +19,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The first arguments with which the lab's program runs what the sidecar is compared with.
+// The command-line arguments that make the lab's program run as one of the reference proxies.
 const (
 	reverseProxyCommand  = "reverse-proxy"
 	fasthttpProxyCommand = "fasthttp-proxy"
 )
 
-// RunReferenceProxy runs one of the programs that the sidecar is compared with until SIGTERM, if the
-// arguments name one.
+// RunReferenceProxy runs a reference proxy, with which the sidecar is compared, until SIGTERM if the first
+// of args (the command line without the program's name) names one. ran reports whether it does.
 func RunReferenceProxy(args []string) (ran bool, err error) {
 	if len(args) == 0 || args[0] != reverseProxyCommand && args[0] != fasthttpProxyCommand {
 		return false, nil
 	}
 	f := flag.NewFlagSet(args[0], flag.ContinueOnError)
-	listen, nodes := f.String("listen", "", "address"), f.String("nodes", "", "addresses, by commas")
+	listen, nodes := f.String("listen", "", "address"), f.String("nodes", "", "addresses, separated by commas")
 	if err := f.Parse(args[1:]); err != nil {
 		return true, err
 	}
@@ -48,16 +48,16 @@
 	return true, runReverseProxy(ctx, l, strings.Split(*nodes, ","))
 }
 
-// runReverseProxy is the standard library's reverse proxy over nodes in turn: the plainest program
-// that does a part of the sidecar's work.
-func runReverseProxy(ctx context.Context, l net.Listener, nodes []string) error {
+// runReverseProxy runs the standard library's reverse proxy, which sends to the nodes in turn, until ctx
+// ends. It is the simplest program that does a part of the sidecar's work.
+func runReverseProxy(ctx context.Context, l net.Listener, nodeAddrs []string) error {
 	var targets []*url.URL
-	for _, addr := range nodes {
+	for _, addr := range nodeAddrs {
 		targets = append(targets, &url.URL{Scheme: "http", Host: addr})
 	}
-	var turn atomic.Uint64
+	var requestCount atomic.Uint64
 	proxy := &httputil.ReverseProxy{
-		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(targets[turn.Add(1)%uint64(len(targets))]) },
+		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(targets[requestCount.Add(1)%uint64(len(targets))]) },
 		Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true},
 	}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -75,23 +75,23 @@
 	return nil
 }
 
-// runFasthttpProxy is a proxy of fasthttp's server and client over random nodes: the quickest that a
-// few lines of a library make.
-func runFasthttpProxy(ctx context.Context, l net.Listener, nodes []string) error {
+// runFasthttpProxy runs a proxy of fasthttp's server and client, which sends to random nodes, until ctx
+// ends. It is the fastest proxy that a few lines on top of a library make.
+func runFasthttpProxy(ctx context.Context, l net.Listener, nodeAddrs []string) error {
 	var clients []*fasthttp.HostClient
-	for _, addr := range nodes {
+	for _, addr := range nodeAddrs {
 		clients = append(clients, &fasthttp.HostClient{Addr: addr, MaxConns: 4096, ReadTimeout: time.Minute})
 	}
-	s := &fasthttp.Server{NoDefaultServerHeader: true, Handler: func(x *fasthttp.RequestCtx) {
-		if string(x.Path()) == "/healthz" {
+	s := &fasthttp.Server{NoDefaultServerHeader: true, Handler: func(reqCtx *fasthttp.RequestCtx) {
+		if string(reqCtx.Path()) == "/healthz" {
 			return
 		}
-		x.Request.Header.Del("Connection")
-		if err := clients[rand.IntN(len(clients))].Do(&x.Request, &x.Response); err != nil {
-			x.Error(err.Error(), http.StatusBadGateway)
+		reqCtx.Request.Header.Del("Connection")
+		if err := clients[rand.IntN(len(clients))].Do(&reqCtx.Request, &reqCtx.Response); err != nil {
+			reqCtx.Error(err.Error(), http.StatusBadGateway)
 			return
 		}
-		x.Response.Header.Del("Connection")
+		reqCtx.Response.Header.Del("Connection")
 	}}
 	go func() {
 		<-ctx.Done()
--- a/internal/lab/streams.go
+++ b/internal/lab/streams.go
@@ -14,40 +14,43 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// StreamOptions says how programs are compared that pass on long bodies.
+// StreamOptions configures CompareStreams.
 type StreamOptions struct {
 	ConcurrentStreams, Nodes            int
-	RequestBodyBytes, ResponseBodyBytes int64 // bytes up and down
-	SlowEvery                           int   // every so manieth caller is slow, 0 for none
-	SlowBytesPerSecond                  int64 // bytes a second of a slow one, either way
+	RequestBodyBytes, ResponseBodyBytes int64
+	SlowEvery                           int   // one caller in SlowEvery is slow; 0 means none
+	SlowBytesPerSecond                  int64 // rate of a slow caller in each direction
 }
 
-// Validate returns an error that names the first value that can't be used.
+// Validate returns an error that names the flag of the first value out of range and the range.
 func (s StreamOptions) Validate() error {
 	for _, v := range []struct {
-		name      string
-		n, lo, hi int64
+		flagName               string
+		value, lowest, highest int64
 	}{
 		{"callers", int64(s.ConcurrentStreams), 1, 2000}, {"nodes", int64(s.Nodes), 1, 500}, {"body", s.RequestBodyBytes, 65 << 10, 1 << 30},
 		{"answer", s.ResponseBodyBytes, 65 << 10, 1 << 30}, {"slow", int64(s.SlowEvery), 0, 2000}, {"rate-slow", s.SlowBytesPerSecond, 1 << 10, 1 << 30},
 	} {
-		if v.n < v.lo || v.n > v.hi {
-			return fmt.Errorf("-%s: %d is not from %d to %d", v.name, v.n, v.lo, v.hi)
+		if v.value < v.lowest || v.value > v.highest {
+			return fmt.Errorf("-%s: %d is not from %d to %d", v.flagName, v.value, v.lowest, v.highest)
 		}
 	}
 	return nil
 }
 
-// streamMemoryBytes is what the program is given: its settings must fit, see check's rule streams-memory.
+// streamMemoryBytes is the memory limit in the program's settings. The buffers that its other settings
+// allow must fit into it, see the rule streams-memory of package check.
 const streamMemoryBytes = 128 << 20
 
-// streamWindowBytes is the window that the settings have where they are left out.
+// streamWindowBytes is the default of the stream window in the settings, which startStreamSidecar leaves
+// out.
 const streamWindowBytes = 32 << 10
 
-// CompareStreams measures the program beside the standard library's reverse proxy with long bodies, many at
-// once, one core each: how long the quick callers take, CPU, memory and descriptors.
-func CompareStreams(ctx context.Context, cfg Config, how StreamOptions) error {
-	if err := how.Validate(); err != nil {
+// CompareStreams measures the program beside the standard library's reverse proxy, on one core each, with
+// many concurrent requests with long bodies. It reports how long the callers of unlimited rate took, CPU
+// time, memory and file descriptors to cfg.Out.
+func CompareStreams(ctx context.Context, cfg Config, opts StreamOptions) error {
+	if err := opts.Validate(); err != nil {
 		return err
 	}
 	l := &comparison{lab: lab{cfg: cfg, nodeCaller: fake.NewCaller(1)}}
@@ -55,37 +58,37 @@
 	if err := l.prepare(ctx); err != nil {
 		return err
 	}
-	for i := range how.Nodes {
-		s, addr, err := fake.NewLargeBodyServer(how.ResponseBodyBytes)
+	for i := range opts.Nodes {
+		node, addr, err := fake.NewLargeBodyServer(opts.ResponseBodyBytes)
 		if err != nil {
 			return err
 		}
-		defer s.Close()
+		defer node.Close()
 		l.nodeAddrs = append(l.nodeAddrs, addr)
 		l.discovery[0].Update(discovery.Instance{ID: fmt.Sprintf("n-%d", i), HostPort: addr, Zone: zones[0], Lifecycle: "up"})
 	}
-	held := body.Limits{WindowBytes: streamWindowBytes}.MaxBufferBytes()*int64(how.ConcurrentStreams) + body.BlockSize*int64(how.ConcurrentStreams+16)
-	l.logf("%d streams of %d and %d bytes at once; the buffers come to %d MB at the most ...", how.ConcurrentStreams, how.RequestBodyBytes, how.ResponseBodyBytes, held>>20)
+	maxBufferBytes := body.Limits{WindowBytes: streamWindowBytes}.MaxBufferBytes()*int64(opts.ConcurrentStreams) + body.BlockSize*int64(opts.ConcurrentStreams+16)
+	l.logf("%d concurrent streams with bodies of %d bytes in requests and %d in responses; buffers use at most %d MB ...", opts.ConcurrentStreams, opts.RequestBodyBytes, opts.ResponseBodyBytes, maxBufferBytes>>20)
 	w := tabwriter.NewWriter(cfg.Out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\n\tquick callers took\tall took\tMB/s of the quick\tCPU a GiB\tpeak memory\tmost descriptors\tnot served")
-	for _, s := range []*benchTarget{
-		{name: "barleydrum", start: func(int) (*process, error) { return l.startStreamSidecar(how) }},
+	fmt.Fprintln(w, "\n\ttime of unlimited callers\ttime of all\tMB/s of unlimited callers\tCPU per GiB\tpeak memory\tpeak descriptors\tnot served")
+	for _, target := range []*benchTarget{
+		{name: "barleydrum", start: func(int) (*process, error) { return l.startStreamSidecar(opts) }},
 		{name: "httputil.ReverseProxy", start: func(int) (*process, error) { return l.startReferenceProxy(reverseProxyCommand, 0) }},
 	} {
-		if err := l.runStreams(ctx, s, how, w); err != nil {
+		if err := l.runStreams(ctx, target, opts, w); err != nil {
 			return err
 		}
 	}
 	return w.Flush()
 }
 
-// startStreamSidecar starts the program by an operators' file alone.
-func (l *comparison) startStreamSidecar(how StreamOptions) (*process, error) {
-	at, err := freeAddresses(1)
+// startStreamSidecar starts the program with an operators' file only, without a platform's configuration.
+func (l *comparison) startStreamSidecar(opts StreamOptions) (*process, error) {
+	addrs, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
 	}
-	callers := how.ConcurrentStreams + 16
+	callerConnections := opts.ConcurrentStreams + 16
 	text := fmt.Sprintf(`schema = 1
 [application]
 name = "bulk"
@@ -116,82 +119,83 @@
 repeat_window = "1h"
 attempts = 3
 retry_within = "8m"
-`, at[0], l.discovery[0].Addr(), callers, how.ConcurrentStreams, streamMemoryBytes>>20, 2*callers+64, className)
+`, addrs[0], l.discovery[0].Addr(), callerConnections, opts.ConcurrentStreams, streamMemoryBytes>>20, 2*callerConnections+64, className)
 	if err := os.WriteFile(l.path("bulk.toml"), []byte(text), 0o644); err != nil {
 		return nil, err
 	}
-	return startProcess(l.cfg.Dir, "bulk", at[0], l.program, []string{"-settings", l.path("bulk.toml")}, []string{"PROXY_CONFIG="})
+	return startProcess(l.cfg.Dir, "bulk", addrs[0], l.program, []string{"-settings", l.path("bulk.toml")}, []string{"PROXY_CONFIG="})
 }
 
-// runStreams runs a side once.
-func (l *comparison) runStreams(ctx context.Context, s *benchTarget, how StreamOptions, w *tabwriter.Writer) error {
-	p, err := l.startAndWait(ctx, s, 0)
+// runStreams starts a target, sends all requests of opts at once, and writes the target's row of the table
+// to w.
+func (l *comparison) runStreams(ctx context.Context, target *benchTarget, opts StreamOptions, w *tabwriter.Writer) error {
+	p, err := l.startAndWait(ctx, target, 0)
 	if err != nil {
 		return err
 	}
-	var all, quick sync.WaitGroup
-	var wrong atomic.Int64
-	var first atomic.Pointer[error]
-	began := time.Now()
-	for i := range how.ConcurrentStreams {
+	var allCallers, unlimitedCallers sync.WaitGroup
+	var notServed atomic.Int64
+	var firstErr atomic.Pointer[error]
+	startedAt := time.Now()
+	for i := range opts.ConcurrentStreams {
 		l.lastCallerID++
-		b := fake.LargeBodyCaller{
-			Addr: p.addr, Class: className, Path: "order", ID: fmt.Sprintf("%016x", l.lastCallerID), BodyBytes: how.RequestBodyBytes, ResponseBytes: how.ResponseBodyBytes, Timeout: 5 * time.Minute,
+		caller := fake.LargeBodyCaller{
+			Addr: p.addr, Class: className, Path: "order", ID: fmt.Sprintf("%016x", l.lastCallerID), BodyBytes: opts.RequestBodyBytes, ResponseBytes: opts.ResponseBodyBytes, Timeout: 5 * time.Minute,
 		}
-		if how.SlowEvery > 0 && i%how.SlowEvery == 0 {
-			b.BytesPerSecond = how.SlowBytesPerSecond
+		if opts.SlowEvery > 0 && i%opts.SlowEvery == 0 {
+			caller.BytesPerSecond = opts.SlowBytesPerSecond
 		} else {
-			quick.Add(1)
+			unlimitedCallers.Add(1)
 		}
-		all.Add(1)
+		allCallers.Add(1)
 		go func() {
-			defer all.Done()
-			if err := b.Do(); err != nil {
-				wrong.Add(1)
-				first.CompareAndSwap(nil, &err)
+			defer allCallers.Done()
+			if err := caller.Do(); err != nil {
+				notServed.Add(1)
+				firstErr.CompareAndSwap(nil, &err)
 			}
-			if b.BytesPerSecond == 0 {
-				quick.Done()
+			if caller.BytesPerSecond == 0 {
+				unlimitedCallers.Done()
 			}
 		}()
 	}
-	stop, most := make(chan struct{}), make(chan int, 1)
+	stopCounting, peakDescriptors := make(chan struct{}), make(chan int, 1)
 	go func() {
-		n := 0
+		peak := 0
 		for {
-			if fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)); err == nil {
-				n = max(n, len(fds))
+			if entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid)); err == nil {
+				peak = max(peak, len(entries))
 			}
 			select {
-			case <-stop:
-				most <- n
+			case <-stopCounting:
+				peakDescriptors <- peak
 				return
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
 	}()
-	quick.Wait()
-	took := time.Since(began)
-	all.Wait()
-	total := time.Since(began)
-	close(stop)
-	peak, err := p.peakKB()
+	unlimitedCallers.Wait()
+	unlimitedElapsed := time.Since(startedAt)
+	allCallers.Wait()
+	totalElapsed := time.Since(startedAt)
+	close(stopCounting)
+	peakKB, err := p.peakKB()
 	if err != nil {
 		return err
 	}
 	if err := p.stop(); err != nil {
 		return err
 	}
-	if e := first.Load(); e != nil {
-		l.logf("%s: one of those not served: %v", s.name, *e)
+	if errPtr := firstErr.Load(); errPtr != nil {
+		l.logf("%s: first request that was not served: %v", target.name, *errPtr)
 	}
-	n := how.ConcurrentStreams
-	if how.SlowEvery > 0 {
-		n -= (how.ConcurrentStreams + how.SlowEvery - 1) / how.SlowEvery
+	unlimitedCount := opts.ConcurrentStreams
+	if opts.SlowEvery > 0 {
+		unlimitedCount -= (opts.ConcurrentStreams + opts.SlowEvery - 1) / opts.SlowEvery
 	}
-	bytes := float64(how.RequestBodyBytes + how.ResponseBodyBytes)
-	fmt.Fprintf(w, "%s\t%v\t%v\t%.0f\t%v\t%.1f MB\t%d\t%d\n", s.name, took.Round(10*time.Millisecond), total.Round(10*time.Millisecond),
-		float64(n)*bytes/(1<<20)/took.Seconds(), (time.Duration(float64(p.cpuTime()) / (float64(how.ConcurrentStreams) * bytes / (1 << 30)))).Round(time.Millisecond),
-		float64(peak)/1024, <-most, wrong.Load())
+	bytesPerStream := float64(opts.RequestBodyBytes + opts.ResponseBodyBytes)
+	fmt.Fprintf(w, "%s\t%v\t%v\t%.0f\t%v\t%.1f MB\t%d\t%d\n", target.name, unlimitedElapsed.Round(10*time.Millisecond), totalElapsed.Round(10*time.Millisecond),
+		float64(unlimitedCount)*bytesPerStream/(1<<20)/unlimitedElapsed.Seconds(), (time.Duration(float64(p.cpuTime()) / (float64(opts.ConcurrentStreams) * bytesPerStream / (1 << 30)))).Round(time.Millisecond),
+		float64(peakKB)/1024, <-peakDescriptors, notServed.Load())
 	return ctx.Err()
 }
