--- a/internal/lab/files.go
+++ b/internal/lab/files.go
@@ -31,20 +31,20 @@
 
 // The settings of the lab's only class, its rules and its sidecars' limits, as on the main site.
 const (
-	className        = "place-order"
-	targetLatencyMS  = 1540
-	deadlineMS       = 3850
-	repeatWindowMS   = 10000
-	drainGraceMS     = 500
-	coldShare        = 0.14
-	coldTimeMS       = 22000
-	fallMultiple     = 3.0
-	fallTimeMS       = 2000
-	connectTimeoutMS = 250
-	keepAliveMS      = 10000
-	maxRetryAfterMS  = 2000
-	sidecarSockets   = 256
-	sidecarMemoryMB  = 64
+	className            = "place-order"
+	targetLatencyMS      = 1540
+	deadlineMS           = 3850
+	repeatWindowMS       = 10000
+	drainGraceMS         = 500
+	coldCapacityShare    = 0.14  // of a warm node's capacity, right after the start
+	warmupTimeMS         = 22000 // from the start to the full capacity
+	coldOverloadMultiple = 3.0   // a cold node fails under more than this multiple of its capacity
+	coldOverloadTimeMS   = 2000  // if that load lasts this long
+	connectTimeoutMS     = 250
+	keepAliveMS          = 10000
+	maxRetryAfterMS      = 2000
+	sidecarSockets       = 256
+	sidecarMemoryMB      = 64
 )
 
 // platformConfig returns the platform's configuration of a sidecar as JSON, in the form that DEPLOY shows.
@@ -76,8 +76,8 @@
 			},
 			"loadInfo": map[string]any{"how": loadReports, "fields": []string{"busy_reqs", "pending", "cpu_share"}},
 			"rules": map[string]any{
-				"drainGraceNs": drainGraceMS * ms, "coldShare": coldShare, "coldNs": coldTimeMS * ms,
-				"fallMultiple": fallMultiple, "tipAfterNs": fallTimeMS * ms,
+				"drainGraceNs": drainGraceMS * ms, "coldShare": coldCapacityShare, "coldNs": warmupTimeMS * ms,
+				"fallMultiple": coldOverloadMultiple, "tipAfterNs": coldOverloadTimeMS * ms,
 			},
 			"specifics": map[string]any{"passesDeadline": true},
 		},
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -461,8 +461,8 @@
 	return nil
 }
 
-// checkColdNode checks the load of the restarted node: in any window of fallTimeMS it may receive at most
-// fallMultiple times the requests that a node of its age can serve in that time, and 3 more.
+// checkColdNode checks the load of the restarted node: in any window of coldOverloadTimeMS it may receive at
+// most coldOverloadMultiple times the requests that a node of its age can serve in that time, and 3 more.
 func checkColdNode(events runEvents) error {
 	if events.restartedNode == nil {
 		return nil
@@ -476,14 +476,14 @@
 		}
 		received := 0
 		for _, arrivedAt := range arrivalTimes[i:] {
-			if arrivedAt.Sub(windowStart) < fallTimeMS*time.Millisecond {
+			if arrivedAt.Sub(windowStart) < coldOverloadTimeMS*time.Millisecond {
 				received++
 			}
 		}
 		ageMS := float64(windowStart.Sub(events.restartedAt).Milliseconds())
-		rate := fullRate * min(1, coldShare+(1-coldShare)*ageMS/coldTimeMS)
-		if limit := fallMultiple * rate * fallTimeMS / 1000; float64(received) > limit+3 { // slack of 3 for random variation
-			return fmt.Errorf("%d requests in %d ms to a node that can serve %.1f per second", received, fallTimeMS, rate)
+		rate := fullRate * min(1, coldCapacityShare+(1-coldCapacityShare)*ageMS/warmupTimeMS)
+		if limit := coldOverloadMultiple * rate * coldOverloadTimeMS / 1000; float64(received) > limit+3 { // slack of 3 for random variation
+			return fmt.Errorf("%d requests in %d ms to a node that can serve %.1f per second", received, coldOverloadTimeMS, rate)
 		}
 	}
 	return nil
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if n, err := checkFiles(dir); n != 15 || err != nil {
-		t.Errorf("%d files, %v", n, err)
+		t.Errorf("%d configuration files, %v; want 15 accepted ones", n, err)
 	}
 }
 
@@ -155,7 +155,7 @@
 		sendRequest()
 	}
 	if err := checkColdNode(runEvents{restartedNode: node, restartedAt: restartedAt}); err == nil {
-		t.Error("60 requests at once to a cold node were not reported")
+		t.Error("60 consecutive requests to a cold node were not reported")
 	}
 	executions := &fake.ExecutionLog{RepeatWindow: time.Hour}
 	l := &lab{}
