--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,7 +1,8 @@
-// Package lab runs the real program before stand-ins on loopback: three tiers of nodes with
-// a sidecar of its own beside each caller, a bounded stream of orders, a node that fails and
-// one that drains on the way. It shows what becomes of the orders and whether the four rules
-// were kept, and leaves the configuration files for reading and changing.
+// Package lab runs the real sidecar program with fake nodes, discovery and callers on loopback. Run
+// starts three tiers of nodes with a sidecar beside each caller and sends requests at a fixed rate;
+// during the run one node fails and another drains. It reports the outcomes of the requests and whether
+// the four rules were kept, and leaves the configuration files to read and change. Compare and
+// CompareStreams measure the program beside other proxies.
 package lab
 
 import (
@@ -24,46 +25,47 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// Config says what a run of the lab is.
+// Config configures a run of the lab.
 type Config struct {
-	Dir               string        // for its files; it is made
-	Program           string        // the sidecar; empty builds it
-	RequestsPerSecond float64       // orders a second
-	Duration          time.Duration // of the stream
-	DrainSlack        time.Duration // that a busy machine may add to the grace of a drain
-	Out               io.Writer
+	Dir               string        // folder for the files of the run; created if it does not exist
+	Program           string        // path of the sidecar program; empty builds it
+	RequestsPerSecond float64       // used by Run only
+	Duration          time.Duration // how long requests are sent; not used by CompareStreams
+	DrainSlack        time.Duration // added to the drain grace in the check of the drain, for a busy machine
+	Out               io.Writer     // receives progress and the report
 }
 
 const (
-	fronts = 2 // sidecars that take the callers' orders
-	slots  = 2 // requests that a node has in work together
-	queue  = 8
-	spare  = 250 * time.Millisecond // that an answer may take beyond the sidecar's own margins
+	entrySidecarCount = 2 // sidecars that receive the callers' requests
+	nodeConcurrency   = 2 // requests that a node runs at the same time
+	nodeQueueCapacity = 8
+	responseSlack     = 250 * time.Millisecond // how late a response may reach the caller beyond the sidecar's own margins
 )
 
-// noticed is how late discovery learns that a process has died.
-const noticed = 2 * time.Second
+// failureDetectionDelay is the time from a node's failure until discovery removes it.
+const failureDetectionDelay = 2 * time.Second
 
-// lab is a run.
+// lab is the state of a run. The arrays are indexed by tier.
 type lab struct {
-	cfg       Config
-	program   string
-	discovery [3]*fake.Discovery
-	ledgers   [3]*fake.ExecutionLog
-	nodes     [3][]*fake.Node
-	fronts    []*process
-	notice    *time.Timer // tells discovery of the node that died; nil before
+	cfg           Config
+	program       string // path of the sidecar program
+	discovery     [3]*fake.Discovery
+	executionLogs [3]*fake.ExecutionLog
+	nodes         [3][]*fake.Node
+	entrySidecars []*process
+	removalTimer  *time.Timer // removes the failed node from discovery; nil before the failure
 
-	mu       sync.Mutex
-	behind   map[*fake.Node]*process // the sidecar that a node calls through
-	sidecars []*process
-	calls    *fake.Caller // of the nodes
-	keys     int
+	mu           sync.Mutex
+	nodeSidecars map[*fake.Node]*process // the sidecar through which a node sends to the next tier
+	sidecars     []*process              // all that were started
+	nodeCaller   *fake.Caller            // sends the nodes' requests to the next tier
+	keys         int
 }
 
-// Run runs the lab. It returns an error if it could not be run, or a rule was broken.
+// Run starts the nodes and sidecars, sends requests for cfg.Duration and reports to cfg.Out. It returns
+// an error if a part of the run failed, a rule was broken, or ctx ended. It stops what it started.
 func Run(ctx context.Context, cfg Config) error {
-	l := &lab{cfg: cfg, behind: make(map[*fake.Node]*process), calls: fake.NewCaller(64)}
+	l := &lab{cfg: cfg, nodeSidecars: make(map[*fake.Node]*process), nodeCaller: fake.NewCaller(64)}
 	defer l.close()
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return err
@@ -73,21 +75,23 @@
 	}
 	caller := fake.NewCaller(64)
 	defer caller.Close()
-	told := l.stream(ctx, caller)
+	events := l.sendRequests(ctx, caller)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	return l.report(caller, told)
+	return l.report(caller, events)
 }
 
-func (l *lab) say(format string, args ...any) { fmt.Fprintf(l.cfg.Out, format+"\n", args...) }
+// logf prints a line to the run's output.
+func (l *lab) logf(format string, args ...any) { fmt.Fprintf(l.cfg.Out, format+"\n", args...) }
 
-// start starts the stand-ins and the sidecars.
+// start starts discovery, the nodes and the sidecars, checks the written configuration files, and waits
+// until all sidecars are ready.
 func (l *lab) start(ctx context.Context) error {
 	var err error
 	if l.program = l.cfg.Program; l.program == "" {
-		l.say("building the program ...")
-		if l.program, err = build(ctx, l.cfg.Dir); err != nil {
+		l.logf("building the sidecar program ...")
+		if l.program, err = buildSidecar(ctx, l.cfg.Dir); err != nil {
 			return err
 		}
 	}
@@ -95,90 +99,92 @@
 		if l.discovery[i], err = fake.NewDiscovery("127.0.0.1:0", false); err != nil {
 			return err
 		}
-		l.ledgers[i] = &fake.ExecutionLog{RepeatWindow: windowMS * time.Millisecond}
+		l.executionLogs[i] = &fake.ExecutionLog{RepeatWindow: repeatWindowMS * time.Millisecond}
 		for n := range t.nodes {
-			if err := l.node(i, n); err != nil {
+			if err := l.startNode(i, n); err != nil {
 				return err
 			}
 		}
-		text, err := operators(t)
+		text, err := operatorSettings(t)
 		if err != nil {
 			return err
 		}
-		if err := os.WriteFile(l.file(t.name+".toml"), text, 0o644); err != nil {
+		if err := os.WriteFile(l.path(t.name+".toml"), text, 0o644); err != nil {
 			return err
 		}
 	}
-	for n := range fronts {
-		p, err := l.sidecar(0, n, fronts, n%2)
+	for n := range entrySidecarCount {
+		p, err := l.startSidecar(0, n, entrySidecarCount, n%2)
 		if err != nil {
 			return err
 		}
-		l.fronts = append(l.fronts, p)
+		l.entrySidecars = append(l.entrySidecars, p)
 	}
 	for i := range tiers[:2] {
 		for n, node := range l.nodes[i] {
-			p, err := l.sidecar(i+1, n, len(l.nodes[i]), n%2)
+			p, err := l.startSidecar(i+1, n, len(l.nodes[i]), n%2)
 			if err != nil {
 				return err
 			}
-			l.behind[node] = p
+			l.nodeSidecars[node] = p
 		}
 	}
 	files, err := checkFiles(l.cfg.Dir)
 	if err != nil {
-		return fmt.Errorf("lab: its own files are refused: %w", err)
+		return fmt.Errorf("lab: the checker rejected the generated configuration files: %w", err)
 	}
-	l.say("%d configuration files in %s, all accepted by the checker", files, l.cfg.Dir)
-	wait, cancel := context.WithTimeout(ctx, 30*time.Second)
+	l.logf("%d configuration files in %s, all accepted by the checker", files, l.cfg.Dir)
+	readyCtx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
 	for _, p := range l.sidecars {
-		if err := p.ready(wait); err != nil {
+		if err := p.waitReady(readyCtx); err != nil {
 			return err
 		}
 	}
-	l.say("%d nodes in 3 tiers and %d sidecars are ready", len(l.nodes[0])+len(l.nodes[1])+len(l.nodes[2]), len(l.sidecars))
+	l.logf("%d nodes in 3 tiers and %d sidecars are ready", len(l.nodes[0])+len(l.nodes[1])+len(l.nodes[2]), len(l.sidecars))
 	return nil
 }
 
-func (l *lab) file(name string) string { return filepath.Join(l.cfg.Dir, name) }
+// path returns the path of a file in the run's folder.
+func (l *lab) path(name string) string { return filepath.Join(l.cfg.Dir, name) }
 
-// node starts a node of a tier.
-func (l *lab) node(tier, n int) error {
-	t := tiers[tier]
+// startNode starts node number of a tier and adds it to discovery.
+func (l *lab) startNode(tierIndex, number int) error {
+	t := tiers[tierIndex]
 	var node *fake.Node
 	cfg := fake.NodeConfig{
-		ID: fmt.Sprintf("%s-%d", t.name, n), Zone: zones[n%2], Addr: "127.0.0.1:0", Concurrency: slots, QueueCapacity: queue,
-		ServiceTime: time.Duration(t.workMS) * time.Millisecond, ExecutionLog: l.ledgers[tier],
+		ID: fmt.Sprintf("%s-%d", t.name, number), Zone: zones[number%2], Addr: "127.0.0.1:0", Concurrency: nodeConcurrency, QueueCapacity: nodeQueueCapacity,
+		ServiceTime: time.Duration(t.serviceTimeMS) * time.Millisecond, ExecutionLog: l.executionLogs[tierIndex],
 	}
-	if t.next != "" {
-		cfg.Forward = func(ctx context.Context, r *http.Request) error { return l.callOn(ctx, node, t.calls, r) }
+	if t.nextName != "" {
+		cfg.Forward = func(ctx context.Context, r *http.Request) error { return l.forward(ctx, node, t.nextTierRequests, r) }
 	}
 	var err error
 	if node, err = fake.NewNode(cfg); err != nil {
 		return err
 	}
-	l.nodes[tier] = append(l.nodes[tier], node)
-	l.discovery[tier].Update(node.DiscoveryEntry("up"))
+	l.nodes[tierIndex] = append(l.nodes[tierIndex], node)
+	l.discovery[tierIndex].Update(node.DiscoveryEntry("up"))
 	return nil
 }
 
-// sidecar starts a sidecar that sends to a tier.
-func (l *lab) sidecar(tier, number, of, zone int) (*process, error) {
-	name := fmt.Sprintf("to-%s-%d", tiers[tier].name, number)
+// startSidecar starts sidecar number of those that send to a tier; there are balancers of them. zone is
+// an index of zones. It returns without waiting until the sidecar is ready.
+func (l *lab) startSidecar(tierIndex, number, balancers, zone int) (*process, error) {
+	name := fmt.Sprintf("to-%s-%d", tiers[tierIndex].name, number)
 	addrs, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
 	}
-	text, err := platform(name, addrs[0], tier, zone, number, of, sidecarSockets, l.discovery[tier].Addr(), l.discovery[tier].List(), "pull")
+	text, err := platformConfig(name, addrs[0], tierIndex, zone, number, balancers, sidecarSockets, l.discovery[tierIndex].Addr(), l.discovery[tierIndex].List(), "pull")
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(l.file(name+".json"), text, 0o644); err != nil {
+	if err := os.WriteFile(l.path(name+".json"), text, 0o644); err != nil {
 		return nil, err
 	}
-	p, err := begin(l.cfg.Dir, name, addrs[0], l.program, []string{"-settings", l.file(tiers[tier].name + ".toml")},
-		[]string{"PROXY_CONFIG=" + l.file(name+".json"), "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY="})
+	p, err := startProcess(l.cfg.Dir, name, addrs[0], l.program, []string{"-settings", l.path(tiers[tierIndex].name + ".toml")},
+		[]string{"PROXY_CONFIG=" + l.path(name+".json"), "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_DISCOVERY="})
 	if err == nil {
 		l.mu.Lock()
 		l.sidecars = append(l.sidecars, p)
@@ -187,143 +193,148 @@
 	return p, err
 }
 
-// callOn makes a node's calls of the next tier, one after another, within what is left of the
-// request's time.
-func (l *lab) callOn(ctx context.Context, node *fake.Node, calls int, r *http.Request) error {
+// forward sends count requests to the next tier through the node's sidecar, one after another, within
+// the X-Timeout of r. It returns an error at the first one that is not served.
+func (l *lab) forward(ctx context.Context, node *fake.Node, count int, r *http.Request) error {
 	l.mu.Lock()
-	p := l.behind[node]
+	sidecar := l.nodeSidecars[node]
 	l.mu.Unlock()
-	us, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Timeout"), "u"), 10, 64)
+	timeoutMicros, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Timeout"), "u"), 10, 64)
 	if err != nil {
 		return fmt.Errorf("X-Timeout: %w", err)
 	}
-	end := time.Now().Add(time.Duration(us) * time.Microsecond)
-	for n := range calls {
-		left := time.Until(end)
-		if left <= 0 {
+	deadline := time.Now().Add(time.Duration(timeoutMicros) * time.Microsecond)
+	for n := range count {
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
 			return context.DeadlineExceeded
 		}
-		// A repeat of the request makes the same calls: their keys say so.
-		o := fake.CallerRequest{
-			ID: newID(), Class: class, IdempotencyKey: fmt.Sprintf("%s-%d", r.Header.Get("Idempotency-Key"), n), Timeout: left,
+		// The key is derived from the key of r, so that a repeat of r sends the same keys.
+		request := fake.CallerRequest{
+			ID: newID(), Class: className, IdempotencyKey: fmt.Sprintf("%s-%d", r.Header.Get("Idempotency-Key"), n), Timeout: remaining,
 		}
-		o.Body = "call"
-		if v := l.calls.Do(ctx, p.addr, o, 0); v != fake.OutcomeServed {
-			return fmt.Errorf("call of the next tier: %s", v)
+		request.Body = "call"
+		if outcome := l.nodeCaller.Do(ctx, sidecar.addr, request, 0); outcome != fake.OutcomeServed {
+			return fmt.Errorf("request to the next tier: %s", outcome)
 		}
 	}
 	return nil
 }
 
+// newID returns 16 random hexadecimal digits.
 func newID() string {
 	var b [8]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// events are the times of what the lab did to the nodes.
-type events struct {
-	drained              *fake.Node
-	drainTold            time.Time
-	restarted            *fake.Node
-	restartedAt          time.Time
-	asked                int
-	failedNode, drained2 string
+// runEvents records what the lab did to the nodes and how many requests it sent. A node is nil if its
+// event did not take place.
+type runEvents struct {
+	drainedNode                 *fake.Node
+	drainAnnouncedAt            time.Time
+	restartedNode               *fake.Node
+	restartedAt                 time.Time
+	requestCount                int
+	failedNodeID, drainedNodeID string
 }
 
-// stream sends the orders, and has a node fail and another drain on the way.
-func (l *lab) stream(ctx context.Context, caller *fake.Caller) events {
-	var e events
+// sendRequests sends requests at the configured rate, in turn to the entry sidecars, and waits until all
+// have ended. On the way it makes one node fail and start again, and another drain.
+func (l *lab) sendRequests(ctx context.Context, caller *fake.Caller) runEvents {
+	var events runEvents
 	plan := []struct {
-		at float64 // of the stream
-		do func()
+		startFraction float64 // of the run's duration
+		run           func()
 	}{
-		{0.25, func() { l.fail(&e) }},
-		{0.5, func() { l.drain(&e) }},
-		{0.7, func() { l.restart(ctx, &e) }},
+		{0.25, func() { l.failNode(&events) }},
+		{0.5, func() { l.drainNode(&events) }},
+		{0.7, func() { l.restartNode(ctx, &events) }},
 	}
-	l.say("sending %.0f orders a second for %v ...", l.cfg.RequestsPerSecond, l.cfg.Duration)
+	l.logf("sending %.0f requests per second for %v ...", l.cfg.RequestsPerSecond, l.cfg.Duration)
 	var wg sync.WaitGroup
-	began, said := time.Now(), time.Now()
-	gap := time.Duration(float64(time.Second) / l.cfg.RequestsPerSecond)
-	for next := began; time.Since(began) < l.cfg.Duration && ctx.Err() == nil; next = next.Add(gap) {
-		time.Sleep(time.Until(next))
-		for len(plan) > 0 && time.Since(began) >= time.Duration(plan[0].at*float64(l.cfg.Duration)) {
-			plan[0].do()
+	startedAt, lastLoggedAt := time.Now(), time.Now()
+	interval := time.Duration(float64(time.Second) / l.cfg.RequestsPerSecond)
+	for sendAt := startedAt; time.Since(startedAt) < l.cfg.Duration && ctx.Err() == nil; sendAt = sendAt.Add(interval) {
+		time.Sleep(time.Until(sendAt))
+		for len(plan) > 0 && time.Since(startedAt) >= time.Duration(plan[0].startFraction*float64(l.cfg.Duration)) {
+			plan[0].run()
 			plan = plan[1:]
 		}
-		if time.Since(said) > 2*time.Second {
-			said = time.Now()
-			c, _, _ := caller.Results()
-			l.say("  %4.1f s: %d asked, %d served, %d refused, %d failed", time.Since(began).Seconds(), e.asked,
-				c[fake.OutcomeServed], c[fake.OutcomeRefused], c[fake.OutcomeFailed])
+		if time.Since(lastLoggedAt) > 2*time.Second {
+			lastLoggedAt = time.Now()
+			counts, _, _ := caller.Results()
+			l.logf("  %4.1f s: %d sent, %d served, %d refused, %d failed", time.Since(startedAt).Seconds(), events.requestCount,
+				counts[fake.OutcomeServed], counts[fake.OutcomeRefused], counts[fake.OutcomeFailed])
 		}
-		o := fake.CallerRequest{
-			ID: newID(), Class: class, IdempotencyKey: newID() + newID(), Path: fmt.Sprintf("tank-%d", e.asked),
+		request := fake.CallerRequest{
+			ID: newID(), Class: className, IdempotencyKey: newID() + newID(), Path: fmt.Sprintf("tank-%d", events.requestCount),
 			Body: "500 litres", Timeout: deadlineMS * time.Millisecond,
 		}
-		front := l.fronts[e.asked%len(l.fronts)]
-		e.asked++
+		sidecar := l.entrySidecars[events.requestCount%len(l.entrySidecars)]
+		events.requestCount++
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			caller.Do(ctx, front.addr, o, spare)
+			caller.Do(ctx, sidecar.addr, request, responseSlack)
 		}()
 	}
 	wg.Wait()
-	return e
+	return events
 }
 
-// fail ends a node of the first tier and its sidecar. Discovery learns of it later.
-func (l *lab) fail(e *events) {
+// failNode stops a node of the first tier and kills its sidecar. Discovery removes the node
+// failureDetectionDelay later.
+func (l *lab) failNode(events *runEvents) {
 	node := l.nodes[0][0]
-	e.failedNode = node.DiscoveryEntry("").ID
-	l.say("  node %s dies; discovery learns of it %v later", e.failedNode, noticed)
+	events.failedNodeID = node.DiscoveryEntry("").ID
+	l.logf("  node %s fails; discovery removes it %v later", events.failedNodeID, failureDetectionDelay)
 	node.Stop()
-	l.behind[node].kill()
-	l.notice = time.AfterFunc(noticed, func() { l.discovery[0].Update(node.DiscoveryEntry("removed")) })
+	l.nodeSidecars[node].kill()
+	l.removalTimer = time.AfterFunc(failureDetectionDelay, func() { l.discovery[0].Update(node.DiscoveryEntry("removed")) })
 }
 
-// drain has a node of the last tier leave.
-func (l *lab) drain(e *events) {
-	e.drained = l.nodes[2][1]
-	e.drained2 = e.drained.DiscoveryEntry("").ID
-	l.say("  node %s drains", e.drained2)
-	l.discovery[2].Update(e.drained.DiscoveryEntry("draining"))
-	e.drainTold = time.Now() // an agent that is waited on has told by then, or within its answer
+// drainNode makes discovery list a node of the last tier as draining.
+func (l *lab) drainNode(events *runEvents) {
+	events.drainedNode = l.nodes[2][1]
+	events.drainedNodeID = events.drainedNode.DiscoveryEntry("").ID
+	l.logf("  node %s drains", events.drainedNodeID)
+	l.discovery[2].Update(events.drainedNode.DiscoveryEntry("draining"))
+	events.drainAnnouncedAt = time.Now() // by now the open watches are notified; other sidecars get it with their next request
 }
 
-// restart has the node that failed start anew, cold.
-func (l *lab) restart(ctx context.Context, e *events) {
-	l.notice.Stop() // in a short run the node is back before its death was noticed
+// restartNode starts the failed node and a new sidecar for it. The node counts as a cold endpoint.
+func (l *lab) restartNode(ctx context.Context, events *runEvents) {
+	l.removalTimer.Stop() // in a short run the node starts again before discovery has removed it
 	node := l.nodes[0][0]
 	if err := node.Start(); err != nil {
-		l.say("  node %s does not start: %v", e.failedNode, err)
+		l.logf("  node %s does not start: %v", events.failedNodeID, err)
 		return
 	}
-	p, err := l.sidecar(1, 0, len(l.nodes[0]), 0)
+	sidecar, err := l.startSidecar(1, 0, len(l.nodes[0]), 0)
 	if err == nil {
-		err = p.ready(ctx)
+		err = sidecar.waitReady(ctx)
 	}
 	if err != nil {
-		l.say("  node %s does not start: %v", e.failedNode, err)
+		l.logf("  node %s does not start: %v", events.failedNodeID, err)
 		return
 	}
 	l.mu.Lock()
-	l.behind[node] = p
+	l.nodeSidecars[node] = sidecar
 	l.mu.Unlock()
-	e.restarted, e.restartedAt = node, node.StartedAt()
-	l.say("  node %s is back, cold", e.failedNode)
+	events.restartedNode, events.restartedAt = node, node.StartedAt()
+	l.logf("  node %s has restarted, cold", events.failedNodeID)
 	l.discovery[0].Update(node.DiscoveryEntry("up"))
 }
 
+// close kills the sidecars that still run and stops the nodes and discovery.
 func (l *lab) close() {
-	if l.notice != nil {
-		l.notice.Stop()
+	if l.removalTimer != nil {
+		l.removalTimer.Stop()
 	}
 	for _, p := range l.sidecars {
 		select {
-		case <-p.done:
+		case <-p.exited:
 		default:
 			p.kill()
 		}
@@ -336,69 +347,71 @@
 			l.discovery[i].Close()
 		}
 	}
-	l.calls.Close()
+	l.nodeCaller.Close()
 }
 
-// report stops the sidecars and prints the table.
-func (l *lab) report(caller *fake.Caller, e events) error {
-	var broken error
-	var cpu time.Duration
+// report stops the sidecars, prints the table of results and checks the rules. It returns an error for
+// each broken rule and for each sidecar that did not end as expected.
+func (l *lab) report(caller *fake.Caller, events runEvents) error {
+	var failures error
+	var cpuTime time.Duration
 	var peakKB int64
-	killed := l.nodes[0][0]
+	killedNode := l.nodes[0][0] // nil once the sidecar that failNode killed has been found
 	for _, p := range l.sidecars {
 		select {
-		case <-p.done: // the one that was killed with its node
-			if killed == nil {
-				broken = errors.Join(broken, fmt.Errorf("%s ended by itself: %w", p.name, p.err))
+		case <-p.exited:
+			if killedNode == nil {
+				failures = errors.Join(failures, fmt.Errorf("%s exited unexpectedly: %w", p.name, p.waitErr))
 			}
-			killed = nil
+			killedNode = nil
 		default:
-			peak, err := p.peak()
+			peak, err := p.peakKB()
 			peakKB = max(peakKB, peak)
-			broken = errors.Join(broken, err, p.stop())
+			failures = errors.Join(failures, err, p.stop())
 		}
-		cpu += p.used()
+		cpuTime += p.cpuTime()
 	}
-	counts, took, lost := caller.Results()
+	counts, latencies, noResponseReasons := caller.Results()
 	w := tabwriter.NewWriter(l.cfg.Out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) { fmt.Fprintf(w, "%s\t%s\n", name, fmt.Sprintf(format, args...)) }
-	share := func(v fake.Outcome) string {
-		return fmt.Sprintf("%d (%.1f%%)", counts[v], 100*float64(counts[v])/float64(max(e.asked, 1)))
+	countAndShare := func(outcome fake.Outcome) string {
+		return fmt.Sprintf("%d (%.1f%%)", counts[outcome], 100*float64(counts[outcome])/float64(max(events.requestCount, 1)))
 	}
 	fmt.Fprintln(w)
-	row("asked", "%d", e.asked)
-	row("served", "%s", share(fake.OutcomeServed))
-	row("refused", "%s", share(fake.OutcomeRefused))
-	row("failed", "%s", share(fake.OutcomeFailed))
-	slices.Sort(took)
-	row("time of those served", "p50 %v  p99 %v  p99.9 %v", quantile(took, 0.5), quantile(took, 0.99), quantile(took, 0.999))
+	row("requests", "%d", events.requestCount)
+	row("served", "%s", countAndShare(fake.OutcomeServed))
+	row("refused", "%s", countAndShare(fake.OutcomeRefused))
+	row("failed", "%s", countAndShare(fake.OutcomeFailed))
+	slices.Sort(latencies)
+	row("latency of served requests", "p50 %v  p99 %v  p99.9 %v", quantile(latencies, 0.5), quantile(latencies, 0.99), quantile(latencies, 0.999))
 	for i, t := range tiers {
-		attempts, repeats, _ := l.ledgers[i].Totals()
-		row("attempts that ran at "+t.name, "%d, %.2f an order, %d of them repeats that were dropped", attempts,
-			float64(attempts)/float64(max(e.asked, 1)), repeats)
+		attempts, droppedRepeats, _ := l.executionLogs[i].Totals()
+		row("attempts that ran at "+t.name, "%d, %.2f per request, %d of them dropped as repeats", attempts,
+			float64(attempts)/float64(max(events.requestCount, 1)), droppedRepeats)
 	}
-	row("sidecars", "%d, %v of CPU in all, %d MB at the largest", len(l.sidecars), cpu.Round(time.Millisecond), peakKB>>10)
+	row("sidecars", "%d, total CPU time %v, largest peak memory %d MB", len(l.sidecars), cpuTime.Round(time.Millisecond), peakKB>>10)
 	rule := func(name string, err error) {
 		verdict := "kept"
 		if err != nil {
 			verdict = "BROKEN: " + err.Error()
-			broken = errors.Join(broken, fmt.Errorf("%s: %w", name, err))
+			failures = errors.Join(failures, fmt.Errorf("%s: %w", name, err))
 		}
 		row("rule: "+name, "%s", verdict)
 	}
-	rule("no request lost", checkLost(e.asked, counts, lost))
-	rule("no effect twice", l.checkTwice())
-	rule("drains kept", checkDrain(e, l.cfg.DrainSlack))
-	rule("no cold endpoint pushed over", checkCold(e))
+	rule("no request lost", checkLostRequests(events.requestCount, counts, noResponseReasons))
+	rule("no effect twice", l.checkRepeatedEffects())
+	rule("drains kept", checkDrainedNode(events, l.cfg.DrainSlack))
+	rule("no cold endpoint pushed over", checkColdNode(events))
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	l.say("\nThe files are in %s. Try:\n  go run ./cmd/drumctl config explain %s %s", l.cfg.Dir,
-		l.file("order-front.toml"), l.file("to-order-front-0.json"))
-	return broken
+	l.logf("\nThe files are in %s. Try:\n  go run ./cmd/drumctl config explain %s %s", l.cfg.Dir,
+		l.path("order-front.toml"), l.path("to-order-front-0.json"))
+	return failures
 }
 
-// quantile is a quantile of sorted times.
+// quantile returns the quantile q, from 0 to 1, of sorted times, rounded to 10 microseconds; 0 if there
+// are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -406,68 +419,71 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)].Round(10 * time.Microsecond)
 }
 
-func checkLost(asked int, counts map[fake.Outcome]int, lost map[string]int) error {
+// checkLostRequests checks that each of the requestCount requests has an outcome and a response.
+func checkLostRequests(requestCount int, counts map[fake.Outcome]int, noResponseReasons map[string]int) error {
 	sum := 0
 	for _, n := range counts {
 		sum += n
 	}
-	if n := counts[fake.OutcomeNoResponse]; n > 0 || sum != asked {
-		return fmt.Errorf("%d of %d have no answer: %v", n+asked-sum, asked, lost)
+	if n := counts[fake.OutcomeNoResponse]; n > 0 || sum != requestCount {
+		return fmt.Errorf("%d of %d requests have no response: %v", n+requestCount-sum, requestCount, noResponseReasons)
 	}
 	return nil
 }
 
-func (l *lab) checkTwice() error {
+// checkRepeatedEffects checks that no request had its effect more than once in any tier.
+func (l *lab) checkRepeatedEffects() error {
 	for i, t := range tiers {
-		if _, _, twice := l.ledgers[i].Totals(); twice > 0 {
-			return fmt.Errorf("%d orders at %s", twice, t.name)
+		if _, _, repeatedEffects := l.executionLogs[i].Totals(); repeatedEffects > 0 {
+			return fmt.Errorf("%d requests at %s", repeatedEffects, t.name)
 		}
 	}
 	return nil
 }
 
-// checkDrain checks that nothing came to the node that drains later than the grace, and 50 ms
-// more as PROTOCOL has it, after the agent told of it; an agent's answer may take as long as
-// the sidecars wait between two calls.
-func checkDrain(e events, slack time.Duration) error {
-	if e.drained == nil {
+// checkDrainedNode checks that the drained node received no request later than the drain grace after
+// the sidecars learned of the drain. PROTOCOL allows 50 ms more. A sidecar learns of it up to
+// maxNotificationDelay after discovery's update, the longest time between two of its discovery requests.
+func checkDrainedNode(events runEvents, slack time.Duration) error {
+	if events.drainedNode == nil {
 		return nil
 	}
-	const heard = 300 * time.Millisecond
+	const maxNotificationDelay = 300 * time.Millisecond
 	late := 0
-	for _, at := range e.drained.ArrivalTimes() {
-		if at.Sub(e.drainTold) > heard+slack+(drainGraceMS+50)*time.Millisecond {
+	for _, arrivedAt := range events.drainedNode.ArrivalTimes() {
+		if arrivedAt.Sub(events.drainAnnouncedAt) > maxNotificationDelay+slack+(drainGraceMS+50)*time.Millisecond {
 			late++
 		}
 	}
 	if late > 0 {
-		return fmt.Errorf("%d requests came late to %s", late, e.drained2)
+		return fmt.Errorf("%d requests arrived at %s after the drain grace", late, events.drainedNodeID)
 	}
 	return nil
 }
 
-// checkCold checks the budget of a node that has just started: what comes in any window of
-// fallMS stays under the multiple of what it can do there.
-func checkCold(e events) error {
-	if e.restarted == nil {
+// checkColdNode checks the load of the restarted node: in any window of coldOverloadTimeMS it may receive at
+// most coldOverloadMultiple times the requests that a node of its age can serve in that time, and 3 more.
+func checkColdNode(events runEvents) error {
+	if events.restartedNode == nil {
 		return nil
 	}
-	full := float64(slots) / (float64(tiers[0].workMS) / 1000) // requests a second, at the least: calls take time besides
-	arrivals := e.restarted.ArrivalTimes()
-	for i, from := range arrivals {
-		if from.Before(e.restartedAt) {
+	// Requests per second of a warm node. This is an upper bound: requests to the next tier take time besides.
+	fullRate := float64(nodeConcurrency) / (float64(tiers[0].serviceTimeMS) / 1000)
+	arrivalTimes := events.restartedNode.ArrivalTimes()
+	for i, windowStart := range arrivalTimes {
+		if windowStart.Before(events.restartedAt) {
 			continue
 		}
-		n := 0
-		for _, at := range arrivals[i:] {
-			if at.Sub(from) < fallMS*time.Millisecond {
-				n++
+		received := 0
+		for _, arrivedAt := range arrivalTimes[i:] {
+			if arrivedAt.Sub(windowStart) < coldOverloadTimeMS*time.Millisecond {
+				received++
 			}
 		}
-		age := float64(from.Sub(e.restartedAt).Milliseconds())
-		now := full * min(1, coldShare+(1-coldShare)*age/coldMS)
-		if most := fallMultiple * now * fallMS / 1000; float64(n) > most+3 { // a little slack for chance
-			return fmt.Errorf("%d requests in %d ms to a node that can do %.1f a second", n, fallMS, now)
+		ageMS := float64(windowStart.Sub(events.restartedAt).Milliseconds())
+		rate := fullRate * min(1, coldCapacityShare+(1-coldCapacityShare)*ageMS/warmupTimeMS)
+		if limit := coldOverloadMultiple * rate * coldOverloadTimeMS / 1000; float64(received) > limit+3 { // slack of 3 for random variation
+			return fmt.Errorf("%d requests in %d ms to a node that can serve %.1f per second", received, coldOverloadTimeMS, rate)
 		}
 	}
 	return nil
