--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -60,8 +60,8 @@
 	}
 	defer node.Close()
 	sides := map[string]string{}
-	for name, text := range map[string]string{"in files": flows, "not kept": "[streams]\nmax_body = \"64MiB\"\nmax_answer = \"64MiB\"\n"} {
-		c := config.Merge(fake.NewConfig(b, fake.EndpointList(addr)).Platform, settings(b, text))
+	for name, text := range map[string]string{"in files": streamSettings, "not kept": "[streams]\nmax_body = \"64MiB\"\nmax_answer = \"64MiB\"\n"} {
+		c := config.Merge(fake.NewConfig(b, fake.EndpointList(addr)).Platform, parseSettings(b, text))
 		e, err := engine.New(c)
 		if err != nil {
 			b.Fatal(err)
@@ -87,7 +87,7 @@
 			b.SetBytes(2 * size)
 			for b.Loop() {
 				id++
-				one := fake.LargeBodyCaller{Addr: to, Class: "book", Path: "a", ID: strconv.Itoa(id), BodyBytes: size, ResponseBytes: size, Timeout: patience}
+				one := fake.LargeBodyCaller{Addr: to, Class: "book", Path: "a", ID: strconv.Itoa(id), BodyBytes: size, ResponseBytes: size, Timeout: testTimeout}
 				if err := one.Do(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -15,18 +15,18 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// follow runs discovery against a handler until the test ends.
-func follow(t *testing.T, known discovery.List, h http.HandlerFunc) *engine.Engine {
+// runDiscovery runs discovery against a handler until the test ends.
+func runDiscovery(t *testing.T, known discovery.List, h http.HandlerFunc) *engine.Engine {
 	t.Helper()
-	return followConfig(t, fake.NewConfig(t, known), h)
+	return runDiscoveryWithConfig(t, fake.NewConfig(t, known), h)
 }
 
-func followConfig(t *testing.T, c *config.Config, h http.HandlerFunc) *engine.Engine {
+func runDiscoveryWithConfig(t *testing.T, c *config.Config, h http.HandlerFunc) *engine.Engine {
 	t.Helper()
-	return followMoves(t, c, h).engine
+	return startDiscoveryClient(t, c, h).engine
 }
 
-func followMoves(t *testing.T, c *config.Config, h http.HandlerFunc) *DiscoveryClient {
+func startDiscoveryClient(t *testing.T, c *config.Config, h http.HandlerFunc) *DiscoveryClient {
 	t.Helper()
 	c.DiscoveryAddress = fake.StartHTTPServer(t, h)
 	e, err := engine.New(c)
@@ -36,14 +36,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	d := NewDiscoveryClient(c, e)
-	d.late = 3 * time.Second // a slow machine must not lose an answer that a test counts on
+	d.responseTimeout = 3 * time.Second // a slow machine must not lose an answer that a test counts on
 	go func() {
 		d.Run(ctx)
 		close(ended)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		wait(t, ended, "end of the watch")
+		waitFor(t, ended, "end of the watch")
 	})
 	return d
 }
@@ -51,7 +51,7 @@
 // A call to the address before is given up as discovery moves, and the new address is asked
 // for the whole list: its versions are its own. Where the list is asked for, that needs no
 // further word of the balancer.
-func TestMove(t *testing.T) {
+func TestSetAddressRequestsWholeList(t *testing.T) {
 	for _, asks := range []bool{false, true} {
 		asked, given := make(chan struct{}, 100), make(chan struct{}, 100)
 		hang := func(r *http.Request) {
@@ -78,12 +78,12 @@
 		}
 		c := fake.NewConfig(t, known)
 		c.BalancerConfig.MustSubscribe = asks
-		d := followMoves(t, c, func(_ http.ResponseWriter, r *http.Request) { hang(r) })
-		wait(t, asked, "call")
+		d := startDiscoveryClient(t, c, func(_ http.ResponseWriter, r *http.Request) { hang(r) })
+		waitFor(t, asked, "call")
 		for i, addr := range moves { // moves may repeat
 			d.SetAddress(addr)
-			wait(t, given, "end of the old call")
-			wait(t, asked, "second call at the new address")
+			waitFor(t, given, "end of the old call")
+			waitFor(t, asked, "second call at the new address")
 			if got := <-first; got != "" {
 				t.Errorf("asks %v: first call with %q, want the whole list", asks, got)
 			}
@@ -96,11 +96,11 @@
 }
 
 // Version 0 left out of a watch had each call answered with the whole list, at once.
-func TestWatchNamesItsVersion(t *testing.T) {
+func TestWatchSendsGenerationZero(t *testing.T) {
 	queries := make(chan string, 100)
 	news := fake.EndpointList("127.0.0.1:2")
 	news.Generation = 0
-	follow(t, discovery.List{}, func(w http.ResponseWriter, r *http.Request) {
+	runDiscovery(t, discovery.List{}, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case queries <- r.URL.Query().Get("index"):
 		default:
@@ -116,7 +116,7 @@
 
 // Lists that can't be used and calls that get no answer leave the list at hand, and
 // the watch goes on. An agent that answers at once is not asked in a busy loop.
-func TestWatchSurvives(t *testing.T) {
+func TestWatchContinuesAfterBadListsAndFailures(t *testing.T) {
 	bad := []string{
 		"", "{", `{"generation": "x"}`, `{"instances": [{"instanceId": "", "lifecycle": "up"}]}`,
 		`{"instances": [{"instanceId": "s", "lifecycle": "well", "hostPort": "127.0.0.1:2"}]}`,
@@ -125,7 +125,7 @@
 	}
 	done := make(chan struct{})
 	calls, began := 0, time.Now()
-	e := follow(t, fake.EndpointList("127.0.0.1:2"), func(w http.ResponseWriter, r *http.Request) {
+	e := runDiscovery(t, fake.EndpointList("127.0.0.1:2"), func(w http.ResponseWriter, r *http.Request) {
 		switch calls++; {
 		case calls <= len(bad):
 			fmt.Fprint(w, bad[calls-1])
@@ -146,7 +146,7 @@
 			fmt.Fprint(w, `{"generation": 7, "reset": false, "instances": []}`)
 		}
 	})
-	wait(t, done, "news")
+	waitFor(t, done, "news")
 	if least := time.Duration(len(bad)) * config.DefaultSettings().Discovery.MinPause; time.Since(began) < least {
 		t.Errorf("%d calls within %v", calls, time.Since(began))
 	}
@@ -159,11 +159,11 @@
 
 // Where discovery is asked, it is asked when the balancer says so, and a call that fails is
 // the balancer's to repeat: a fleet that asked again at once would keep discovery down.
-func TestAsksWhenTold(t *testing.T) {
+func TestPollIsRepeatedOnlyOnBalancerRequest(t *testing.T) {
 	c := fake.NewConfig(t, discovery.List{})
 	c.BalancerConfig.MustSubscribe = true
 	calls, listed := 0, make(chan struct{})
-	e := followConfig(t, c, func(w http.ResponseWriter, r *http.Request) {
+	e := runDiscoveryWithConfig(t, c, func(w http.ResponseWriter, r *http.Request) {
 		switch calls++; calls {
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -176,7 +176,7 @@
 			<-r.Context().Done()
 		}
 	})
-	wait(t, listed, "second call")
+	waitFor(t, listed, "second call")
 	if !e.Ready() {
 		t.Error("the list was not taken")
 	}
--- a/internal/sidecar/reset_test.go
+++ b/internal/sidecar/reset_test.go
@@ -14,7 +14,7 @@
 
 // Callers reset while their call is out and others ask on the same endpoints: the calls, their
 // attempts and their ids are forgotten, and each of the others has its own answer.
-func TestCallersResetUnderLoad(t *testing.T) {
+func TestCallerResetsUnderLoad(t *testing.T) {
 	echo := func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if strings.HasSuffix(r.URL.Path, "/slow") {
@@ -25,7 +25,7 @@
 		}
 		io.WriteString(w, r.Header.Get("X-Request-ID"))
 	}
-	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo))))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo))))
 	const head = "POST /api/%s HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx"
 	text := func(path, id string) string {
 		return strings.NewReplacer("%s HTTP", path+" HTTP", "ID: %s", "ID: "+id).Replace(head)
@@ -57,7 +57,7 @@
 		}
 	}
 	<-done
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if s := p.engine.Stats(); s.OpenCalls == 0 && s.AttemptsInFlight == 0 {
 			break
 		}
@@ -65,9 +65,9 @@
 			t.Fatalf("left: %+v", p.engine.Stats())
 		}
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		p.server.mu.Lock()
-		n := len(p.server.ids)
+		n := len(p.server.openIDs)
 		p.server.mu.Unlock()
 		if n == 0 {
 			break
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -22,29 +22,29 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// maxID is the most bytes of a request's id.
-const maxID = 256
+// maxRequestIDBytes is the most bytes of a request's id.
+const maxRequestIDBytes = 256
 
 // Server takes the callers' requests: what they are about, and in what words they are
 // answered. Its connections are the door's.
 type Server struct {
-	cfg    *config.Config
-	engine *engine.Engine
-	door   *httpserver.Server
+	cfg        *config.Config
+	engine     *engine.Engine
+	httpServer *httpserver.Server
 
 	bodies *body.Store
 
-	mu    sync.Mutex
-	ids   map[string]struct{} // of the requests that are open
-	flows StreamStats
+	mu          sync.Mutex
+	openIDs     map[string]struct{} // of the requests that are open
+	streamStats StreamStats
 }
 
 // NewServer returns a Server that hands its requests to an engine.
 func NewServer(c *config.Config, e *engine.Engine) (*Server, error) {
-	s := &Server{cfg: c, engine: e, bodies: body.NewStore(os.TempDir()), ids: make(map[string]struct{})}
+	s := &Server{cfg: c, engine: e, bodies: body.NewStore(os.TempDir()), openIDs: make(map[string]struct{})}
 	var err error
-	s.door, err = httpserver.New(httpserver.Config{
-		Handler: front{s}, MaxConnections: c.MaxCallerConnections(), MaxHeadBytes: int(c.Settings.Callers.MaxRequestHead),
+	s.httpServer, err = httpserver.New(httpserver.Config{
+		Handler: requestHandler{s}, MaxConnections: c.MaxCallerConnections(), MaxHeadBytes: int(c.Settings.Callers.MaxRequestHead),
 		MaxBodyBytes: func() int { return int(s.engine.Settings().Callers.MaxRequestBody) },
 		Timeouts: func() httpserver.Timeouts {
 			k := &s.engine.Settings().Callers
@@ -55,10 +55,10 @@
 }
 
 // Serve serves one listener until Shutdown. Several may be served together.
-func (s *Server) Serve(l net.Listener) error { return s.door.Serve(l) }
+func (s *Server) Serve(l net.Listener) error { return s.httpServer.Serve(l) }
 
-// answerReserve is how long before the end of a shutdown the last requests get their answers.
-const answerReserve = 100 * time.Millisecond
+// shutdownResponseReserve is how long before the end of a shutdown the last requests get their answers.
+const shutdownResponseReserve = 100 * time.Millisecond
 
 // Shutdown steers callers off, goes on accepting for a while, and returns when all that was taken has its
 // answer. Nothing is waited for beyond the time at which the platform may end the process.
@@ -67,52 +67,52 @@
 	most := end.AcceptGrace + s.cfg.ShutdownRequestTimeout() + end.DeadlineMargin
 	ctx, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
-	s.engine.SetShutdownDeadline(time.Now().Add(most - answerReserve))
-	if left := s.door.Shutdown(ctx, end.AcceptGrace); left > 0 { // a caller that sent no whole request is owed nothing
+	s.engine.SetShutdownDeadline(time.Now().Add(most - shutdownResponseReserve))
+	if left := s.httpServer.Shutdown(ctx, end.AcceptGrace); left > 0 { // a caller that sent no whole request is owed nothing
 		slog.Warn("shutdown: connections left", "connections", left)
 	}
 }
 
 // Close ends all listeners and connections at once.
-func (s *Server) Close() { s.door.Close() }
+func (s *Server) Close() { s.httpServer.Close() }
 
-// open notes the id of a request, unless one that is open has it.
-func (s *Server) open(id string) bool {
+// registerID notes the id of a request, unless one that is open has it.
+func (s *Server) registerID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.ids[id]; ok {
+	if _, ok := s.openIDs[id]; ok {
 		return false
 	}
-	s.ids[id] = struct{}{}
+	s.openIDs[id] = struct{}{}
 	return true
 }
 
-func (s *Server) closed(id string) {
+func (s *Server) unregisterID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.ids, id)
+	delete(s.openIDs, id)
 }
 
-func health(r *http1.Request) bool { return string(r.Path()) == "/healthz" }
+func isHealthCheck(r *http1.Request) bool { return string(r.Path()) == "/healthz" }
 
-// front is the Server as the door's handler.
-type front struct{ *Server }
+// requestHandler is the Server as the door's handler.
+type requestHandler struct{ *Server }
 
 // CheckHead judges a request by its head, see door.Handler.
-func (s front) CheckHead(x *httpserver.Exchange) *httpserver.ErrorResponse {
+func (s requestHandler) CheckHead(x *httpserver.Exchange) *httpserver.ErrorResponse {
 	r, set := x.RequestHead(), s.engine.Settings()
 	n := r.ContentLength()
-	x.Streaming = set.Streams.RequestsEnabled() && !health(r) &&
+	x.Streaming = set.Streams.RequestsEnabled() && !isHealthCheck(r) &&
 		(r.Framing() == http1.Chunked && set.Streams.ChunkedEnabled() || n > int64(set.Callers.MaxRequestBody) && n <= int64(set.Streams.MaxRequestBody))
 	switch {
 	case x.Streaming:
 	case n > int64(set.Callers.MaxRequestBody):
 		return &httpserver.ErrorResponse{Status: http.StatusRequestEntityTooLarge, Message: fmt.Sprintf("body: %d bytes are too many", n)}
-	case health(r):
+	case isHealthCheck(r):
 		return nil
 	}
 	c := s.engine.NewCall()
-	if err := s.parse(c, r); err != nil {
+	if err := s.parseHead(c, r); err != nil {
 		s.engine.ReleaseCall(c)
 		return &httpserver.ErrorResponse{Status: http.StatusBadRequest, Message: err.Error()}
 	}
@@ -121,70 +121,70 @@
 }
 
 // ServeExchange answers a request, see door.Handler.
-func (s front) ServeExchange(x *httpserver.Exchange) {
+func (s requestHandler) ServeExchange(x *httpserver.Exchange) {
 	c, ok := x.HandlerState.(*engine.Call)
 	if !ok {
 		status := http.StatusOK
-		if s.door.Draining() || !s.engine.Ready() {
+		if s.httpServer.Draining() || !s.engine.Ready() {
 			status = http.StatusServiceUnavailable
 		}
 		x.Respond(status, "", nil, nil)
 		return
 	}
-	if !s.open(c.CallerRequestID) {
+	if !s.registerID(c.CallerRequestID) {
 		s.engine.ReleaseCall(c)
 		x.Close = true
-		x.Respond(http.StatusConflict, plain, nil, []byte("X-Request-ID: a request with it is open\n"))
+		x.Respond(http.StatusConflict, contentTypeText, nil, []byte("X-Request-ID: a request with it is open\n"))
 		return
 	}
-	defer s.closed(c.CallerRequestID)
+	defer s.unregisterID(c.CallerRequestID)
 	c.Head, c.Body, c.CallerDisconnected = x.RequestHead(), x.Body, x.CallerDisconnected
 	margin := min(s.engine.Settings().Callers.ResponseMargin, c.Timeout/10)
 	c.Deadline = x.ReceivedAt().Add(c.Timeout - margin)
 	c.Timeout -= 2*margin + time.Since(x.ReceivedAt())
 	if x.Streaming {
-		s.flow(x, c)
+		s.serveStreamedRequest(x, c)
 		return
 	}
 	here := x.NotifyDisconnect(c)
 	f := s.engine.Serve(c, !here)
 	x.StopNotifyDisconnect()
 	if f.Streaming {
-		s.pass(x, c, f)
+		s.streamResponse(x, c, f)
 	} else {
-		s.word(x, f)
+		s.respond(x, f)
 	}
 	s.engine.ReleaseCall(c)
 }
 
-const plain = "text/plain; charset=utf-8"
+const contentTypeText = "text/plain; charset=utf-8"
 
-var refused, failed = []byte("refused\n"), []byte("failed\n")
+var refusedBody, failedBody = []byte("refused\n"), []byte("failed\n")
 
-// word words a final answer. Only a refusal is worded 503: it tells the caller that trying
+// respond words a final answer. Only a refusal is worded 503: it tells the caller that trying
 // again does no harm.
-func (s *Server) word(x *httpserver.Exchange, f engine.FinalResult) {
+func (s *Server) respond(x *httpserver.Exchange, f engine.FinalResult) {
 	switch {
 	case f.ServedBy != nil:
-		x.Respond(http.StatusOK, "", fieldsOf(f.ServedBy), f.ServedBy.ResponseBody())
+		x.Respond(http.StatusOK, "", responseFieldAppender(f.ServedBy), f.ServedBy.ResponseBody())
 	case f.Refused:
-		x.Respond(http.StatusServiceUnavailable, plain, func(b []byte) []byte {
+		x.Respond(http.StatusServiceUnavailable, contentTypeText, func(b []byte) []byte {
 			if f.RetryAfter > 0 {
 				b = http1.AppendRetryAfter(b, f.RetryAfter)
 			}
 			return b
-		}, refused)
+		}, refusedBody)
 	default:
-		x.Respond(http.StatusBadGateway, plain, nil, failed)
+		x.Respond(http.StatusBadGateway, contentTypeText, nil, failedBody)
 	}
 }
 
-// fieldsOf appends the fields of an endpoint's answer that go to the caller.
-func fieldsOf(x *upstream.Exchange) func(b []byte) []byte {
+// responseFieldAppender appends the fields of an endpoint's answer that go to the caller.
+func responseFieldAppender(x *upstream.Exchange) func(b []byte) []byte {
 	return func(b []byte) []byte {
 		head := x.ResponseHead()
 		for i := range head.NumFields() {
-			if f := head.Field(i); passedOn(head, f.Name) {
+			if f := head.Field(i); isForwardedField(head, f.Name) {
 				b = http1.AppendParsedField(b, f)
 			}
 		}
@@ -192,24 +192,24 @@
 	}
 }
 
-// passedOn tells whether a field of an endpoint's answer goes to the caller: Date is the
+// isForwardedField tells whether a field of an endpoint's answer goes to the caller: Date is the
 // door's, and a load report is for this sidecar.
-func passedOn(head *http1.Response, name []byte) bool {
+func isForwardedField(head *http1.Response, name []byte) bool {
 	return !http1.EqualFieldName(name, "Date") && !http1.EqualFieldName(name, "X-Server-Load") && head.IsEndToEnd(name)
 }
 
-// ownFields are those of the protocol that may stand in a request once.
-var ownFields = [...]string{
+// protocolFields are those of the protocol that may stand in a request once.
+var protocolFields = [...]string{
 	"X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "X-Retried", "X-Cost", "X-Attrs", "Idempotency-Key",
 }
 
-// parse reads a request's head. An error names the field at fault.
-func (s *Server) parse(c *engine.Call, r *http1.Request) error {
+// parseHead reads a request's head. An error names the field at fault.
+func (s *Server) parseHead(c *engine.Call, r *http1.Request) error {
 	if m := string(r.Method()); m != http.MethodGet && m != http.MethodPost {
 		return fmt.Errorf("method %.20q: neither GET nor POST", m)
 	}
-	var own [len(ownFields)][]byte
-	for i, name := range ownFields {
+	var own [len(protocolFields)][]byte
+	for i, name := range protocolFields {
 		v, n := r.Get(name)
 		if n > 1 { // an endpoint may read another than the first
 			return fmt.Errorf("%s: given more than once", name)
@@ -220,7 +220,7 @@
 		own[i] = v
 	}
 	id, class, tenant, timeout, retried, cost, key := own[0], own[1], own[2], own[3], own[4], own[5], own[7]
-	if len(id) == 0 || len(id) > maxID {
+	if len(id) == 0 || len(id) > maxRequestIDBytes {
 		return errors.New("X-Request-ID: missing or too long")
 	}
 	var ok bool
--- a/internal/sidecar/live_test.go
+++ b/internal/sidecar/settings_test.go
@@ -16,8 +16,8 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// settings reads an operators' file; the part that all need is added.
-func settings(t testing.TB, text string) *config.Settings {
+// parseSettings reads an operators' file; the part that all need is added.
+func parseSettings(t testing.TB, text string) *config.Settings {
 	t.Helper()
 	s, bad := config.ParseSettings("test", []byte("schema = 1\n[application]\nname = \"test\"\n"+text))
 	if len(bad) > 0 {
@@ -26,33 +26,33 @@
 	return s
 }
 
-// withSettings is a configuration for tests narrowed by a file.
-func withSettings(t *testing.T, known discovery.List, text string) *config.Config {
+// configWithSettings is a configuration for tests narrowed by a file.
+func configWithSettings(t *testing.T, known discovery.List, text string) *config.Config {
 	t.Helper()
-	return config.Merge(fake.NewConfig(t, known).Platform, settings(t, text))
+	return config.Merge(fake.NewConfig(t, known).Platform, parseSettings(t, text))
 }
 
 // Each limit of the file holds, and what may change at SIGHUP changes with Apply.
-func TestBodyLimitsAreTheFiles(t *testing.T) {
+func TestBodyLimitsFollowSettings(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, strings.Repeat("x", 2000))
 	})
-	p := start(t, withSettings(t, fake.EndpointList(addr, addr, addr), "[callers]\nmax_body = \"1KiB\"\n[endpoints]\nmax_answer = \"1KiB\"\n"))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, addr, addr), "[callers]\nmax_body = \"1KiB\"\n[endpoints]\nmax_answer = \"1KiB\"\n"))
 	if resp, _ := p.send(p.request("book", strings.Repeat("x", 1025))); resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("a long body: %s", resp.Status)
 	}
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("a long answer: %s", resp.Status)
 	}
-	p.engine.ApplySettings(settings(t, "[callers]\nmax_body = \"2KiB\"\n[endpoints]\nmax_answer = \"2KiB\"\n"))
+	p.engine.ApplySettings(parseSettings(t, "[callers]\nmax_body = \"2KiB\"\n[endpoints]\nmax_answer = \"2KiB\"\n"))
 	if resp, body := p.send(p.request("book", strings.Repeat("x", 1025))); resp.StatusCode != 200 || len(body) != 2000 {
 		t.Errorf("after the change: %s, %d bytes", resp.Status, len(body))
 	}
 }
 
 // A class's bounds hold for real requests, and change with Apply.
-func TestClassBoundsAreTheFiles(t *testing.T) {
+func TestClassAttemptLimitsFollowSettings(t *testing.T) {
 	var ran atomic.Int32
 	fail := func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
@@ -60,7 +60,7 @@
 	}
 	addr := fake.StartHTTPServer(t, fail)
 	many := fake.EndpointList(addr, addr, addr, addr, addr, addr, addr, addr) // those that failed are passed over for a while
-	p := start(t, withSettings(t, many, "[class.book]\nretries = 0\n"))
+	p := startSidecar(t, configWithSettings(t, many, "[class.book]\nretries = 0\n"))
 	ask := func(want int32) {
 		t.Helper()
 		ran.Store(0)
@@ -69,11 +69,11 @@
 		}
 	}
 	ask(1)
-	p.engine.ApplySettings(settings(t, "[class.book]\nattempts = 2\n"))
+	p.engine.ApplySettings(parseSettings(t, "[class.book]\nattempts = 2\n"))
 	ask(2)
-	p.engine.ApplySettings(settings(t, ""))
+	p.engine.ApplySettings(parseSettings(t, ""))
 	ask(3) // the platform's own bound
-	p.engine.ApplySettings(settings(t, "[class.book]\nretry_within = \"1ms\"\n"))
+	p.engine.ApplySettings(parseSettings(t, "[class.book]\nretry_within = \"1ms\"\n"))
 	time.Sleep(2 * time.Millisecond)
 	slow := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
@@ -86,9 +86,9 @@
 }
 
 // A wanted time that the file shortens ends a request that no endpoint answers.
-func TestWantedIsTheFiles(t *testing.T) {
+func TestTargetLatencyFollowsSettings(t *testing.T) {
 	addr := fake.StartTCPServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	p := start(t, withSettings(t, fake.EndpointList(addr), "[class.pay]\nwanted = \"50ms\"\ndeadline = \"100ms\"\n"))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), "[class.pay]\nwanted = \"50ms\"\ndeadline = \"100ms\"\n"))
 	resp, _ := p.send(p.request("pay", "x")) // the caller would wait for 20 s
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%s, want a failure", resp.Status)
@@ -96,10 +96,10 @@
 }
 
 // All listeners of a sidecar share its places for callers.
-func TestListenersSharePlaces(t *testing.T) {
+func TestListenersShareConnectionLimit(t *testing.T) {
 	c := fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	c.Settings.Callers.MaxConnections = 4
-	p := start(t, c)
+	p := startSidecar(t, c)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 	go p.server.Serve(l)
 	first, second := strings.TrimPrefix(p.url, "http://"), l.Addr().String()
 	for _, addr := range []string{first, second} {
-		req, err := fake.NewHTTPRequest(context.Background(), addr, fake.CallerRequest{ID: addr, Class: "read", Tenant: "acme", Timeout: patience})
+		req, err := fake.NewHTTPRequest(context.Background(), addr, fake.CallerRequest{ID: addr, Class: "read", Tenant: "acme", Timeout: testTimeout})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,13 +121,13 @@
 }
 
 // Settings may change while requests are under way: each gets its one answer.
-func TestApplyUnderLoad(t *testing.T) {
+func TestApplySettingsUnderLoad(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr, addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr, addr)))
 	stop := make(chan struct{})
 	var changes sync.WaitGroup
 	changes.Add(1)
-	texts := []*config.Settings{settings(t, "[class.book]\nattempts = 1\nsecond_copies = false\n"), settings(t, "[probe]\ntime = \"1s\"\n"), config.DefaultSettings()}
+	texts := []*config.Settings{parseSettings(t, "[class.book]\nattempts = 1\nsecond_copies = false\n"), parseSettings(t, "[probe]\ntime = \"1s\"\n"), config.DefaultSettings()}
 	go func() {
 		defer changes.Done()
 		for i := 0; ; i++ {
@@ -147,7 +147,7 @@
 		go func() {
 			defer callers.Done()
 			for range 30 {
-				o := fake.CallerRequest{ID: caller.NextID(), Class: "book", Tenant: "acme", IdempotencyKey: "k", Body: "x", Timeout: patience}
+				o := fake.CallerRequest{ID: caller.NextID(), Class: "book", Tenant: "acme", IdempotencyKey: "k", Body: "x", Timeout: testTimeout}
 				req, err := fake.NewHTTPRequest(context.Background(), strings.TrimPrefix(p.url, "http://"), o)
 				if err != nil {
 					t.Error(err)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -24,22 +24,22 @@
 	"barleydrum.example/barleydrum/internal/http1"
 )
 
-// maxBody is the longest body by default, either way.
-const maxBody = 64 << 10
+// maxBodyBytes is the longest body by default, either way.
+const maxBodyBytes = 64 << 10
 
-// patience is how long a test waits for what must happen: no verdict leans on it being short.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must happen: no verdict leans on it being short.
+const testTimeout = 20 * time.Second
 
-// proxy is a sidecar under test.
-type proxy struct {
-	t      *testing.T
-	url    string
-	engine *engine.Engine
-	server *Server
-	served chan error
+// testSidecar is a sidecar under test.
+type testSidecar struct {
+	t        *testing.T
+	url      string
+	engine   *engine.Engine
+	server   *Server
+	serveErr chan error
 }
 
-func start(t *testing.T, c *config.Config) *proxy {
+func startSidecar(t *testing.T, c *config.Config) *testSidecar {
 	t.Helper()
 	e, err := engine.New(c)
 	if err != nil {
@@ -53,8 +53,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &proxy{t: t, url: "http://" + l.Addr().String(), engine: e, server: s, served: make(chan error, 1)}
-	go func() { p.served <- p.server.Serve(l) }()
+	p := &testSidecar{t: t, url: "http://" + l.Addr().String(), engine: e, server: s, serveErr: make(chan error, 1)}
+	go func() { p.serveErr <- p.server.Serve(l) }()
 	t.Cleanup(func() { p.server.Close() })
 	return p
 }
@@ -63,7 +63,7 @@
 func newRequest(ctx context.Context, t *testing.T, url, class, body string) *http.Request {
 	t.Helper()
 	o := fake.CallerRequest{
-		ID: "9b1f03aa5c7e2d41", Class: class, Tenant: "acme", Path: "a%2Fb?x=1", Body: body, Timeout: patience,
+		ID: "9b1f03aa5c7e2d41", Class: class, Tenant: "acme", Path: "a%2Fb?x=1", Body: body, Timeout: testTimeout,
 	}
 	if class == "book" {
 		o.IdempotencyKey = "5c0f"
@@ -79,7 +79,7 @@
 }
 
 // send sends a request and returns what came back.
-func (p *proxy) send(req *http.Request) (*http.Response, string) {
+func (p *testSidecar) send(req *http.Request) (*http.Response, string) {
 	p.t.Helper()
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
@@ -93,21 +93,21 @@
 	return resp, string(body)
 }
 
-func (p *proxy) request(class, body string) *http.Request {
+func (p *testSidecar) request(class, body string) *http.Request {
 	return newRequest(context.Background(), p.t, p.url, class, body)
 }
 
-func wait(t *testing.T, c <-chan struct{}, what string) {
+func waitFor(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(patience):
-		t.Fatalf("%s: not within %v", what, patience)
+	case <-time.After(testTimeout):
+		t.Fatalf("%s: not within %v", what, testTimeout)
 	}
 }
 
 // What must go on unchanged does, and so does the answer's body.
-func TestServes(t *testing.T) {
+func TestServerForwardsRequestAndResponseUnchanged(t *testing.T) {
 	answer := "\x1f\x8bnot gzip\x00"
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -119,7 +119,7 @@
 		w.Header().Set("Content-Encoding", "gzip")
 		io.WriteString(w, answer)
 	})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	for _, class := range []string{"read", "book", "pay"} {
 		body := "hello"
 		if class == "read" {
@@ -139,7 +139,7 @@
 
 // Endpoints are replaced all day. One that is gone is forgotten once nothing is out to it,
 // and its id may come back; a new one at its address has connections of its own.
-func TestForgetsEndpoints(t *testing.T) {
+func TestRemovedEndpointIsForgottenAfterItsLastAttempt(t *testing.T) {
 	began, finish := make(chan struct{}, 1), make(chan struct{})
 	var conns atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -161,7 +161,7 @@
 		l.Instances[0].ID = id
 		return &l
 	}
-	p := start(t, fake.NewConfig(t, *list("s-0")))
+	p := startSidecar(t, fake.NewConfig(t, *list("s-0")))
 	known := func() int {
 		s := p.engine.Stats()
 		if s.EndpointNames != s.Endpoints {
@@ -186,7 +186,7 @@
 		resp, _ := p.send(p.request("book", "x"))
 		status <- resp.StatusCode
 	}()
-	wait(t, began, "attempt")
+	waitFor(t, began, "attempt")
 	p.engine.UpdateEndpoints(&discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "s-9", Lifecycle: "removed"}}})
 	if n := known(); n != 1 {
 		t.Errorf("%d endpoints are known while one answers, want 1", n)
@@ -195,7 +195,7 @@
 	if got := <-status; got != 200 {
 		t.Errorf("status %d", got)
 	}
-	for end := time.Now().Add(patience); known() != 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); known() != 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if n := known(); n != 0 {
@@ -205,7 +205,7 @@
 
 // An unsafe request that may have run is failed, never refused and never sent again;
 // one that never ran goes to another endpoint.
-func TestUnsafe(t *testing.T) {
+func TestUnsafeRequestIsRetriedOnlyIfItDidNotRun(t *testing.T) {
 	var ran atomic.Int32
 	drops := fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
@@ -213,7 +213,7 @@
 			ran.Add(1)
 		}
 	})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(drops)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(drops)))
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != http.StatusBadGateway || ran.Load() != 1 {
 		t.Errorf("%s after %d attempts, want a 502 after 1", resp.Status, ran.Load())
 	}
@@ -224,7 +224,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}
-	p = start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, full), fake.StartHTTPServer(t, full))))
+	p = startSidecar(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, full), fake.StartHTTPServer(t, full))))
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != 200 || turned.Load() != 2 {
 		t.Errorf("%s after %d attempts, want a 200 after 2", resp.Status, turned.Load())
 	}
@@ -232,10 +232,10 @@
 
 // A request that never ran and that nobody will take is refused at once, and its client is
 // told when to come back.
-func TestRefusedAtOnce(t *testing.T) {
+func TestServerRefusesWithRetryAfterIfTimeoutIsTooShort(t *testing.T) {
 	c := fake.NewConfig(t, discovery.List{})
 	c.BalancerConfig.Limits.MaxRetryAfter = 1500 * time.Millisecond
-	p := start(t, c)
+	p := startSidecar(t, c)
 	req := p.request("pay", "x")
 	req.Header.Set("X-Timeout", "1m") // too short for the balancer to begin
 	if resp, _ := p.send(req); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1.500" {
@@ -244,15 +244,15 @@
 }
 
 // Bad input reaches neither the balancer nor an endpoint.
-func TestBadRequests(t *testing.T) {
+func TestServerRejectsInvalidRequests(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	for name, c := range map[string]struct {
 		spoil func(r *http.Request)
 		want  int
 	}{
 		"no id":          {func(r *http.Request) { r.Header.Del("X-Request-ID") }, 400},
-		"long id":        {func(r *http.Request) { r.Header.Set("X-Request-ID", strings.Repeat("x", maxID+1)) }, 400},
+		"long id":        {func(r *http.Request) { r.Header.Set("X-Request-ID", strings.Repeat("x", maxRequestIDBytes+1)) }, 400},
 		"unknown class":  {func(r *http.Request) { r.Header.Set("X-Priority-Class", "x") }, 400},
 		"no class":       {func(r *http.Request) { r.Header.Del("X-Priority-Class") }, 400},
 		"unknown tenant": {func(r *http.Request) { r.Header.Set("X-Tenant-Id", "x") }, 400},
@@ -264,10 +264,10 @@
 		"bad cost":       {func(r *http.Request) { r.Header.Set("X-Cost", "-3") }, 400},
 		"method":         {func(r *http.Request) { r.Method = "DELETE" }, 400},
 		"long body": {func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), maxBodyBytes+1
 		}, 413},
 		"long body in chunks": {func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody+1))), -1
+			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBodyBytes+1))), -1
 		}, 413},
 	} {
 		req := p.request("book", "x")
@@ -281,13 +281,13 @@
 	}
 }
 
-func TestBodyInChunksReachesTheEndpointWhole(t *testing.T) {
+func TestServerForwardsBufferedChunkedBodyWithLength(t *testing.T) {
 	const head = "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nTransfer-Encoding: chunked\r\n"
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %d %v", body, r.ContentLength, r.TransferEncoding)
 	})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	c := p.dial("")
 	in := bufio.NewReader(c)
 	for i, body := range []string{
@@ -323,7 +323,7 @@
 	}
 }
 
-func TestSlowlyWrittenRequestIsTakenAndItsTimeCountsFromItsLastByte(t *testing.T) {
+func TestTimeoutOfSlowlySentRequestCountsFromItsLastByte(t *testing.T) {
 	const slow = time.Second // more than body_time, within head_time
 	told := make(chan time.Duration, 1)
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -331,7 +331,7 @@
 		told <- timeout
 		io.Copy(w, r.Body)
 	})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	c := p.dial("POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: slow\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nX-Timeout: 1500m\r\nContent-Length: 4\r\n\r\nta")
 	time.Sleep(slow)
 	io.WriteString(c, "nk")
@@ -344,7 +344,7 @@
 	}
 }
 
-func TestRequestThatBeganAheadIsToldNoMoreThanItsCallerHasLeft(t *testing.T) {
+func TestPartlyPipelinedRequestGetsItsRemainingTimeout(t *testing.T) {
 	const timeout, hold = 1500 * time.Millisecond, 500 * time.Millisecond
 	told := make(chan time.Duration, 2)
 	began := make(chan struct{}, 2)
@@ -356,14 +356,14 @@
 			time.Sleep(hold)
 		}
 	})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	text := func(id string) string {
 		return fmt.Sprintf("POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: %s\r\nX-Timeout: %dm\r\nContent-Length: 4\r\n\r\ntank",
 			id, id, timeout.Milliseconds())
 	}
 	second := text("second")
 	c := p.dial(text("first") + second[:20])
-	wait(t, began, "first request")
+	waitFor(t, began, "first request")
 	io.WriteString(c, second[20:])
 	sent := time.Now()
 	in := bufio.NewReader(c)
@@ -379,9 +379,9 @@
 }
 
 // A request whose end can be read in two ways may hide another: neither is passed on.
-func TestHiddenRequest(t *testing.T) {
+func TestServerRejectsAmbiguousFraming(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	const head = "POST /api/a HTTP/1.%d\r\nHost: a\r\nX-Request-ID: 1\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\n"
 	hidden := fmt.Sprintf(head, 1) + "Content-Length: 0\r\n\r\n"
 	for name, text := range map[string]string{
@@ -414,7 +414,7 @@
 	}
 }
 
-func TestRequestOfACallerThatLeftBeforeItWasAcceptedIsNotSentOn(t *testing.T) {
+func TestRequestIsNotSentIfCallerDisconnectedBeforeAccept(t *testing.T) {
 	var arrived atomic.Int32
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-ID") != "" && r.URL.Path != "/load" {
@@ -457,7 +457,7 @@
 }
 
 // A client that has gone is owed nothing: its attempt's connection is closed.
-func TestClientGone(t *testing.T) {
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
 	addr := fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -465,20 +465,20 @@
 		<-r.Context().Done()
 		close(ended)
 	})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		if resp, err := http.DefaultTransport.RoundTrip(newRequest(ctx, t, p.url, "book", "x")); err == nil {
 			resp.Body.Close()
 		}
 	}()
-	wait(t, began, "attempt")
+	waitFor(t, began, "attempt")
 	cancel()
-	wait(t, ended, "end of the attempt")
+	waitFor(t, ended, "end of the attempt")
 }
 
 // An attempt that waits for a connection must not go out once its endpoint has left.
-func TestLeftWhileDialing(t *testing.T) {
+func TestAttemptWaitingForConnectionIsNotSentToDrainingEndpoint(t *testing.T) {
 	began, finish := make(chan struct{}), make(chan struct{})
 	holds := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) {
 		close(began)
@@ -492,7 +492,7 @@
 	}
 	c := fake.NewConfig(t, list("holds", holds))
 	c.Settings.Endpoints.MaxConnections = 1
-	p := start(t, c)
+	p := startSidecar(t, c)
 	ask := func(id string) chan int {
 		status := make(chan int, 1)
 		req := p.request("pay", "x")
@@ -504,7 +504,7 @@
 		return status
 	}
 	first := ask("1") // which holds the only connection
-	wait(t, began, "first attempt")
+	waitFor(t, began, "first attempt")
 	l := list("leaves", leaving)
 	p.engine.UpdateEndpoints(&l)
 	status := ask("2")
@@ -524,18 +524,18 @@
 		if got != 200 {
 			t.Errorf("status %d, want 200 from the other endpoint", got)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no answer")
 	}
 }
 
 // An endpoint's address may change under its id.
-func TestAddressChanges(t *testing.T) {
+func TestEndpointAddressChange(t *testing.T) {
 	who := func(name string) string {
 		return fake.StartHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, name) })
 	}
 	first, second := fake.EndpointList(who("first")), fake.EndpointList(who("second"))
-	p := start(t, fake.NewConfig(t, first))
+	p := startSidecar(t, fake.NewConfig(t, first))
 	if _, got := p.send(p.request("read", "")); got != "first" {
 		t.Errorf("%q, want first", got)
 	}
@@ -546,7 +546,7 @@
 }
 
 // Idle connections to a process that has been replaced are not used again.
-func TestRestartClosesIdle(t *testing.T) {
+func TestEndpointRestartClosesIdleConnections(t *testing.T) {
 	var conns atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
@@ -557,7 +557,7 @@
 	s.Start()
 	t.Cleanup(s.Close)
 	l := fake.EndpointList(s.Listener.Addr().String())
-	p := start(t, fake.NewConfig(t, l))
+	p := startSidecar(t, fake.NewConfig(t, l))
 	for range 2 {
 		if resp, _ := p.send(p.request("read", "")); resp.StatusCode != 200 {
 			t.Fatal(resp.Status)
@@ -571,7 +571,7 @@
 }
 
 // What was taken before and shortly after the signal is answered, and callers are steered off.
-func TestShutdown(t *testing.T) {
+func TestShutdownServesOpenAndNewRequests(t *testing.T) {
 	var once sync.Once
 	began, finish := make(chan struct{}), make(chan struct{})
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -582,7 +582,7 @@
 	})
 	c := fake.NewConfig(t, fake.EndpointList(addr))
 	c.Settings.Shutdown.AcceptGrace = 3 * time.Second // ample on a slow machine
-	p := start(t, c)
+	p := startSidecar(t, c)
 	type result struct {
 		status int
 		closes bool
@@ -592,13 +592,13 @@
 		resp, _ := p.send(p.request("book", "x"))
 		results <- result{resp.StatusCode, resp.Close}
 	}()
-	wait(t, began, "attempt")
+	waitFor(t, began, "attempt")
 	stopped := make(chan struct{})
 	go func() {
 		p.server.Shutdown()
 		close(stopped)
 	}()
-	for !p.server.door.Draining() {
+	for !p.server.httpServer.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	close(finish)
@@ -618,13 +618,13 @@
 	if r := <-results; r.status != 200 || !r.closes {
 		t.Errorf("%+v, want a 200 that closes", r)
 	}
-	wait(t, stopped, "shutdown")
-	if err := <-p.served; err != nil {
+	waitFor(t, stopped, "shutdown")
+	if err := <-p.serveErr; err != nil {
 		t.Error(err)
 	}
 }
 
-func TestRequestLongerThanTheKillIsAnsweredBeforeIt(t *testing.T) {
+func TestShutdownFailsHangingRequestBeforeProcessIsKilled(t *testing.T) {
 	began := make(chan struct{}, 1)
 	addr := fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -633,15 +633,15 @@
 	})
 	c := fake.NewConfig(t, fake.EndpointList(addr))
 	for i := range c.BalancerConfig.Classes {
-		c.BalancerConfig.Classes[i].Deadline = patience
-		c.BalancerConfig.Classes[i].TargetLatency = patience
+		c.BalancerConfig.Classes[i].Deadline = testTimeout
+		c.BalancerConfig.Classes[i].TargetLatency = testTimeout
 	}
 	c.Settings.Shutdown.AcceptGrace = 0
-	p := start(t, c)
+	p := startSidecar(t, c)
 	req := p.request("pay", "x")
 	caller := p.dial(fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nX-Request-ID: hangs\r\nX-Priority-Class: pay\r\nX-Timeout: 19000m\r\nContent-Length: 1\r\n\r\nx",
 		req.URL.RequestURI()))
-	wait(t, began, "attempt")
+	waitFor(t, began, "attempt")
 	stopped := make(chan struct{})
 	go func() {
 		p.server.Shutdown()
@@ -651,15 +651,15 @@
 	if err != nil || resp.StatusCode != http.StatusBadGateway || !resp.Close {
 		t.Errorf("%+v %v, want 502 and a close", resp, err)
 	}
-	wait(t, stopped, "shutdown")
+	waitFor(t, stopped, "shutdown")
 }
 
 // Idle callers must not keep a new one out.
-func TestIdleCallersGiveWay(t *testing.T) {
+func TestIdleCallerConnectionsAreEvicted(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	c := fake.NewConfig(t, fake.EndpointList(addr))
 	c.Limits.Sockets = config.MinSockets
-	p := start(t, c)
+	p := startSidecar(t, c)
 	for i := range 2 * c.MaxCallerConnections() {
 		own := &http.Transport{}
 		defer own.CloseIdleConnections()
@@ -676,14 +676,14 @@
 }
 
 // dial opens a caller's connection and sends a text on it.
-func (p *proxy) dial(text string) net.Conn {
+func (p *testSidecar) dial(text string) net.Conn {
 	p.t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	p.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		p.t.Fatal(err)
 	}
@@ -691,17 +691,17 @@
 }
 
 // Callers that say nothing, or half of something, must not shut out one that asks.
-func TestBadCallersGiveWay(t *testing.T) {
+func TestStalledCallerConnectionsAreEvicted(t *testing.T) {
 	for _, text := range []string{"", "POST /api/a HTTP/1.1\r\nHost:"} {
 		c := fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 		c.Limits.Sockets = config.MinSockets
-		p := start(t, c)
+		p := startSidecar(t, c)
 		for range 20 * c.MaxCallerConnections() {
 			p.dial(text)
 		}
 		own := &http.Transport{}
 		defer own.CloseIdleConnections()
-		ctx, cancel := context.WithTimeout(context.Background(), patience) // half of what their time-outs come to
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout) // half of what their time-outs come to
 		defer cancel()
 		resp, err := own.RoundTrip(newRequest(ctx, t, p.url, "read", ""))
 		if err != nil {
@@ -716,12 +716,12 @@
 
 // A caller that never sends a whole request has an error or a close within 3 s, and one
 // that announces a body of 60 MB is not read through.
-func TestBadCallersAreEnded(t *testing.T) {
+func TestServerEndsIncompleteAndMalformedRequests(t *testing.T) {
 	if k := config.DefaultSettings().Callers; k.HeadTimeout+k.BodyTimeout >= 3*time.Second {
 		t.Errorf("%v for a header and %v for a body come to 3 s", k.HeadTimeout, k.BodyTimeout)
 	}
 	addr := fake.StartHTTPServer(t, func(http.ResponseWriter, *http.Request) { t.Error("it reached an endpoint") })
-	p := start(t, fake.NewConfig(t, fake.EndpointList(addr)))
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(addr)))
 	const head = "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\n"
 	for name, text := range map[string]string{
 		"silent": "", "half a header": head, "half a body": head + "Content-Length: 9\r\n\r\nhalf",
@@ -733,7 +733,7 @@
 			c := p.dial(text)
 			got, err := io.ReadAll(c)
 			if netErr := net.Error(nil); errors.As(err, &netErr) && netErr.Timeout() {
-				t.Errorf("open after %v", patience)
+				t.Errorf("open after %v", testTimeout)
 			}
 			if len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") {
 				t.Errorf("answered %.40q", got)
@@ -743,9 +743,9 @@
 }
 
 // A request with the id of one that is open is turned away; once that is answered, it is free.
-func TestOpenID(t *testing.T) {
+func TestServerRejectsRequestIDThatIsOpen(t *testing.T) {
 	began, finish := make(chan struct{}, 2), make(chan struct{})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		began <- struct{}{}
 		<-finish
@@ -755,7 +755,7 @@
 		resp, _ := p.send(p.request("book", "x"))
 		status <- resp.StatusCode
 	}()
-	wait(t, began, "attempt")
+	waitFor(t, began, "attempt")
 	if resp, _ := p.send(p.request("book", "x")); resp.StatusCode != http.StatusConflict || !resp.Close {
 		t.Errorf("%s, closes %v, want a 409 that closes", resp.Status, resp.Close)
 	}
@@ -769,10 +769,10 @@
 }
 
 // Nobody waits for longer than the class's deadline: no timer is held for longer either.
-func TestTimeoutIsBounded(t *testing.T) {
-	p := start(t, fake.NewConfig(t, discovery.List{}))
+func TestTimeoutIsCappedAtClassDeadline(t *testing.T) {
+	p := startSidecar(t, fake.NewConfig(t, discovery.List{}))
 	c := new(engine.Call)
-	err := p.server.parse(c, requestHead(t, "GET / HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Priority-Class: read\r\nX-Timeout: 3000000m\r\n\r\n"))
+	err := p.server.parseHead(c, parseRequestHead(t, "GET / HTTP/1.1\r\nHost: a\r\nX-Request-ID: 1\r\nX-Priority-Class: read\r\nX-Timeout: 3000000m\r\n\r\n"))
 	if err != nil || c.Timeout != 30*time.Second {
 		t.Errorf("budget %v, %v, want the class's 30 s", c.Timeout, err)
 	}
@@ -780,9 +780,9 @@
 
 // A request sent ahead on its connection waits for the one before it. Its client counts that
 // time: an answer must come within what is left, not within as much again.
-func TestPipelinedTime(t *testing.T) {
+func TestPipelinedRequestTimeoutIncludesItsWait(t *testing.T) {
 	began, finish := make(chan struct{}, 2), make(chan struct{})
-	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		began <- struct{}{}
 		<-finish
@@ -790,11 +790,11 @@
 	const head = "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: %d\r\nX-Priority-Class: book\r\n" +
 		"Idempotency-Key: k\r\nX-Timeout: %dm\r\nContent-Length: 1\r\n\r\nx"
 	const second = 50 * time.Millisecond
-	first := fmt.Sprintf(head, 1, patience.Milliseconds())
+	first := fmt.Sprintf(head, 1, testTimeout.Milliseconds())
 	next := fmt.Sprintf(head, 2, second.Milliseconds())
 	for name, texts := range map[string][]string{"at once": {first + next}, "one by one": {first, next}} {
 		c := p.dial(texts[0])
-		wait(t, began, name)
+		waitFor(t, began, name)
 		for _, text := range texts[1:] {
 			if _, err := io.WriteString(c, text); err != nil {
 				t.Fatal(err)
@@ -819,8 +819,8 @@
 	}
 }
 
-// requestHead parses a request's head.
-func requestHead(t *testing.T, text string) *http1.Request {
+// parseRequestHead parses a request's head.
+func parseRequestHead(t *testing.T, text string) *http1.Request {
 	t.Helper()
 	r := http1.NewRequest(http1.DefaultLimits)
 	if n, err := r.Parse([]byte(text)); n == 0 || err != nil {
@@ -832,8 +832,8 @@
 // What an endpoint says of its answer's body goes on with it; what concerns its connection or
 // this sidecar does not. One of the protocol's own fields that Connection names would not
 // reach an endpoint: that is refused.
-func TestPassesOn(t *testing.T) {
-	p := start(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+func TestServerForwardsEndToEndResponseFields(t *testing.T) {
+	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		for name, value := range map[string]string{
 			"Content-Type": "text/x", "Content-Encoding": "x", "X-Server-Load": "TEXT inflight=1", "X-Mine": "1",
 			"Connection": "X-Hop", "X-Hop": "1", "Keep-Alive": "timeout=5",
@@ -856,27 +856,27 @@
 }
 
 // The ids of open requests against a plain set.
-func TestIDsModel(t *testing.T) {
+func TestOpenIDsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &Server{ids: make(map[string]struct{})}
+		s := &Server{openIDs: make(map[string]struct{})}
 		model := make(map[string]bool)
 		id := rapid.SampledFrom([]string{"a", "b", "A", "a "})
 		t.Repeat(map[string]func(*rapid.T){
 			"open": func(t *rapid.T) {
 				id := id.Draw(t, "id")
-				if got := s.open(id); got == model[id] {
+				if got := s.registerID(id); got == model[id] {
 					t.Fatalf("%q opened: %v, while open: %v", id, got, model[id])
 				}
 				model[id] = true
 			},
 			"close": func(t *rapid.T) {
 				id := id.Draw(t, "id")
-				s.closed(id)
+				s.unregisterID(id)
 				delete(model, id)
 			},
 			"": func(t *rapid.T) {
-				if len(s.ids) != len(model) {
-					t.Fatalf("%d ids are held, want %d", len(s.ids), len(model))
+				if len(s.openIDs) != len(model) {
+					t.Fatalf("%d ids are held, want %d", len(s.openIDs), len(model))
 				}
 			},
 		})
--- a/internal/sidecar/flow.go
+++ b/internal/sidecar/streaming.go
@@ -23,42 +23,42 @@
 	IncompleteBodies int64 // requests or answers that did not come whole
 	SlowCallers      int64 // among those, for a caller's pace
 	SlowEndpoints    int64 // or an endpoint's
-	reported         time.Time
+	lastLoggedAt     time.Time
 }
 
-// reportEvery is the least time between two lines in the log about bodies.
-const reportEvery = 10 * time.Second
+// streamLogInterval is the least time between two lines in the log about bodies.
+const streamLogInterval = 10 * time.Second
 
 // StreamStats tells what has flowed.
 func (s *Server) StreamStats() (StreamStats, body.Stats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.flows, s.bodies.Stats()
+	return s.streamStats, s.bodies.Stats()
 }
 
-// enter takes a place for a body that flows.
-func (s *Server) enter(most int) bool {
+// acquireStream takes a place for a body that flows.
+func (s *Server) acquireStream(most int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.flows.OpenRequests >= most {
-		s.flows.RefusedRequests++
+	if s.streamStats.OpenRequests >= most {
+		s.streamStats.RefusedRequests++
 		return false
 	}
-	s.flows.OpenRequests++
-	s.flows.AcceptedRequests++
+	s.streamStats.OpenRequests++
+	s.streamStats.AcceptedRequests++
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.flows.OpenRequests--
+	s.streamStats.OpenRequests--
 }
 
-// broke notes why a body did not come whole, and says now and then in the log what bodies do.
-func (s *Server) broke(err error) {
+// recordIncompleteBody notes why a body did not come whole, and says now and then in the log what bodies do.
+func (s *Server) recordIncompleteBody(err error) {
 	s.mu.Lock()
-	f := &s.flows
+	f := &s.streamStats
 	f.IncompleteBodies++
 	switch {
 	case errors.Is(err, httpserver.ErrCallerTooSlow), errors.Is(err, httpserver.ErrStreamDeadline):
@@ -67,9 +67,9 @@
 		f.SlowEndpoints++
 	}
 	now := time.Now()
-	report := now.Sub(f.reported) >= reportEvery
+	report := now.Sub(f.lastLoggedAt) >= streamLogInterval
 	if report {
-		f.reported = now
+		f.lastLoggedAt = now
 	}
 	was := *f
 	s.mu.Unlock()
@@ -82,16 +82,16 @@
 		"kept in memory", held.MemoryBytes, "files", held.OpenFiles, "in files", held.FileBytes, "not kept", held.DiscardedBodies, "file errors", held.FileErrors)
 }
 
-// flow serves a call whose body is still arriving.
-func (s *Server) flow(x *httpserver.Exchange, c *engine.Call) {
+// serveStreamedRequest serves a call whose body is still arriving.
+func (s *Server) serveStreamedRequest(x *httpserver.Exchange, c *engine.Call) {
 	set := &s.engine.Settings().Streams
-	if !s.enter(set.MaxOpenRequests) {
+	if !s.acquireStream(set.MaxOpenRequests) {
 		s.engine.ReleaseCall(c)
 		x.Close = true // its body is not read
-		s.word(x, engine.FinalResult{Refused: true, RetryAfter: s.cfg.BalancerConfig.Limits.MaxRetryAfter})
+		s.respond(x, engine.FinalResult{Refused: true, RetryAfter: s.cfg.BalancerConfig.Limits.MaxRetryAfter})
 		return
 	}
-	defer s.leave()
+	defer s.releaseStream()
 	b := s.bodies.New(set.BodyLimits(), c.MarkBodyUnavailable)
 	defer b.Close() // also where there is a panic
 	c.StreamedBody, c.StreamedBodyLength, c.BodyArriving = b, x.RequestHead().ContentLength(), true
@@ -112,24 +112,24 @@
 	x.StopNotifyDisconnect()
 	if f.Streaming {
 		b.StopRetaining()
-		s.pass(x, c, f)
+		s.streamResponse(x, c, f)
 	}
 	b.Close()
 	x.StopReceiving()
 	if !f.Streaming {
-		s.wordFlow(x, f, broken)
+		s.respondToStreamedRequest(x, f, broken)
 	}
 	s.engine.ReleaseCall(c)
 }
 
-// wordFlow words the final answer to a request whose body may not have come whole: then nothing
+// respondToStreamedRequest words the final answer to a request whose body may not have come whole: then nothing
 // can have run, and the caller is told what was wrong with it.
-func (s *Server) wordFlow(x *httpserver.Exchange, f engine.FinalResult, broken error) {
+func (s *Server) respondToStreamedRequest(x *httpserver.Exchange, f engine.FinalResult, broken error) {
 	if broken == nil || errors.Is(broken, body.ErrClosed) || f.ServedBy != nil || f.Refused {
-		s.word(x, f)
+		s.respond(x, f)
 		return
 	}
-	s.broke(broken)
+	s.recordIncompleteBody(broken)
 	status := http.StatusBadRequest
 	wrong := (*http1.Error)(nil)
 	switch {
@@ -140,26 +140,26 @@
 	case errors.Is(broken, httpserver.ErrCallerTooSlow), errors.Is(broken, httpserver.ErrStreamDeadline):
 		status = http.StatusRequestTimeout
 	}
-	x.Respond(status, plain, nil, []byte(broken.Error()+"\n"))
+	x.Respond(status, contentTypeText, nil, []byte(broken.Error()+"\n"))
 }
 
 // responseCanceler ends an answer that flows as its caller goes.
-type responseCanceler struct{ x *upstream.Exchange }
+type responseCanceler struct{ exchange *upstream.Exchange }
 
-func (l responseCanceler) Cancel() { l.x.Cancel(upstream.ErrCanceled) }
+func (l responseCanceler) Cancel() { l.exchange.Cancel(upstream.ErrCanceled) }
 
-// pass passes an answer on as it comes. If it breaks off, so does the caller's, who sees that.
-func (s *Server) pass(x *httpserver.Exchange, c *engine.Call, f engine.FinalResult) {
+// streamResponse passes an answer on as it comes. If it breaks off, so does the caller's, who sees that.
+func (s *Server) streamResponse(x *httpserver.Exchange, c *engine.Call, f engine.FinalResult) {
 	s.mu.Lock()
-	s.flows.Responses++
+	s.streamStats.Responses++
 	s.mu.Unlock()
 	if !x.NotifyDisconnect(responseCanceler{f.ServedBy}) {
-		s.broke(httpserver.ErrCallerDisconnected)
+		s.recordIncompleteBody(httpserver.ErrCallerDisconnected)
 		return
 	}
 	defer x.StopNotifyDisconnect()
 	set := &s.engine.Settings().Streams
-	err := x.StartResponse(http.StatusOK, fieldsOf(f.ServedBy), f.ServedBy.ResponseBodyLength(), httpserver.StreamLimits{RateMeter: set.RateMeter(), Deadline: c.Deadline})
+	err := x.StartResponse(http.StatusOK, responseFieldAppender(f.ServedBy), f.ServedBy.ResponseBodyLength(), httpserver.StreamLimits{RateMeter: set.RateMeter(), Deadline: c.Deadline})
 	for err == nil {
 		var p []byte
 		if p, err = f.ServedBy.NextResponseData(); err == io.EOF {
@@ -171,6 +171,6 @@
 		}
 	}
 	if err != nil {
-		s.broke(err)
+		s.recordIncompleteBody(err)
 	}
 }
--- a/internal/sidecar/flow_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -24,8 +24,8 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// flows takes long bodies both ways, kept in files.
-const flows = `
+// streamSettings takes long bodies both ways, kept in files.
+const streamSettings = `
 [streams]
 max_body = "64MiB"
 max_answer = "64MiB"
@@ -37,19 +37,19 @@
 rate_window = "10s"
 `
 
-// flowsSlow finds slow sides soon.
-var flowsSlow = strings.Replace(flows, `"10s"`, `"100ms"`, 1) + "least_rate = \"100KiB\"\n"
+// shortRateWindowSettings finds slow sides soon.
+var shortRateWindowSettings = strings.Replace(streamSettings, `"10s"`, `"100ms"`, 1) + "least_rate = \"100KiB\"\n"
 
-func noise(n int) []byte {
+func randomBytes(n int) []byte {
 	p := make([]byte, n)
 	rand.NewChaCha8([32]byte{byte(n), byte(n >> 8)}).Read(p)
 	return p
 }
 
-// ended waits until a sidecar holds nothing of any call or body.
-func (p *proxy) ended() {
+// waitUntilIdle waits until a sidecar holds nothing of any call or body.
+func (p *testSidecar) waitUntilIdle() {
 	p.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		s := p.engine.Stats()
 		f, b := p.server.StreamStats()
 		b.DiscardedBodies, b.FileErrors = 0, 0
@@ -62,8 +62,8 @@
 	}
 }
 
-// upload returns a request with a long body, in chunks if its length is not told.
-func (p *proxy) upload(class string, body io.Reader, length int64) *http.Request {
+// uploadRequest returns a request with a long body, in chunks if its length is not told.
+func (p *testSidecar) uploadRequest(class string, body io.Reader, length int64) *http.Request {
 	req := p.request(class, "")
 	req.Method = http.MethodPost
 	req.Body, req.ContentLength = io.NopCloser(body), length
@@ -71,8 +71,8 @@
 }
 
 // Long bodies pass unchanged in every framing, both ways at once, with net/http on both ends.
-func TestFlowsBothWays(t *testing.T) {
-	up, down := noise(3<<20), noise(2<<20+1)
+func TestStreamedBodiesAreUnchangedInEveryFraming(t *testing.T) {
+	up, down := randomBytes(3<<20), randomBytes(2<<20+1)
 	for _, asked := range []string{"length", "chunks"} {
 		for _, answered := range []string{"length", "chunks", "close"} {
 			addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -102,12 +102,12 @@
 				}
 				w.Write(down)
 			})
-			p := start(t, withSettings(t, fake.EndpointList(addr), flows))
+			p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
 			length := int64(len(up))
 			if asked == "chunks" {
 				length = -1
 			}
-			req := p.upload("book", bytes.NewReader(up), length)
+			req := p.uploadRequest("book", bytes.NewReader(up), length)
 			if asked == "chunks" {
 				req.Trailer = http.Header{"Checksum": {"up"}}
 			}
@@ -118,27 +118,27 @@
 			if trailer := resp.Trailer.Get("Checksum"); answered == "chunks" && trailer != "down" {
 				t.Errorf("trailer %q", trailer)
 			}
-			p.ended()
+			p.waitUntilIdle()
 		}
 	}
 }
 
 // A connection serves on after bodies that came whole, either way.
-func TestFlowsKeepConnections(t *testing.T) {
+func TestCallerConnectionIsReusedAfterStreamedBodies(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		w.Write(text)
 	})
-	p := start(t, withSettings(t, fake.EndpointList(addr), flows))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	in := bufio.NewReader(c)
-	want := noise(300_000)
+	want := randomBytes(300_000)
 	for i, class := range []string{"book", "read", "book"} {
-		req := p.upload(class, bytes.NewReader(want), int64(len(want)))
+		req := p.uploadRequest(class, bytes.NewReader(want), int64(len(want)))
 		if i == 1 {
 			req.ContentLength = -1
 		}
@@ -152,26 +152,26 @@
 			t.Fatal(i, resp.Status, len(got), err)
 		}
 	}
-	p.ended()
+	p.waitUntilIdle()
 }
 
-// breaker is a node that resets the connection after so many bytes of the first request's body,
+// resettingNode is a node that resets the connection after so many bytes of the first request's body,
 // and keeps what it got of each that came whole.
-type breaker struct {
-	after int64 // bytes; -1 for all of them, before it answers
-	mu    sync.Mutex
-	seen  int
-	whole [][32]byte
+type resettingNode struct {
+	resetAfterBytes  int64 // bytes; -1 for all of them, before it answers
+	mu               sync.Mutex
+	requestCount     int
+	completeBodySums [][32]byte
 }
 
-func (b *breaker) serve(w http.ResponseWriter, r *http.Request) {
+func (b *resettingNode) serve(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
-	b.seen++
-	first := b.seen == 1
+	b.requestCount++
+	first := b.requestCount == 1
 	b.mu.Unlock()
-	if first && b.after >= 0 {
-		io.CopyN(io.Discard, r.Body, b.after)
-		reset(w)
+	if first && b.resetAfterBytes >= 0 {
+		io.CopyN(io.Discard, r.Body, b.resetAfterBytes)
+		resetConn(w)
 		return
 	}
 	h := sha256.New()
@@ -179,14 +179,14 @@
 		return
 	}
 	b.mu.Lock()
-	b.whole = append(b.whole, [32]byte(h.Sum(nil)))
+	b.completeBodySums = append(b.completeBodySums, [32]byte(h.Sum(nil)))
 	b.mu.Unlock()
 	if first {
-		reset(w)
+		resetConn(w)
 	}
 }
 
-func reset(w http.ResponseWriter) {
+func resetConn(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -199,90 +199,90 @@
 // and is sent again from its begin, byte for byte, also of the class that may not run twice. What
 // was handed to the kernel whole may have run, also where the endpoint has not read all of it: the
 // body is longer than the kernel holds.
-func TestResetMidUpload(t *testing.T) {
+func TestEndpointResetMidUpload(t *testing.T) {
 	const size = 24 << 20
-	want := noise(size)
+	want := randomBytes(size)
 	for _, class := range []string{"read", "book", "pay"} {
 		for _, after := range []int64{1, size / 2, size - 1, -1} {
-			b := &breaker{after: after}
+			b := &resettingNode{resetAfterBytes: after}
 			addr := fake.StartHTTPServer(t, b.serve)
-			p := start(t, withSettings(t, fake.EndpointList(addr, fake.StartHTTPServer(t, b.serve)), flows))
-			resp, _ := p.send(p.upload(class, bytes.NewReader(want), size))
+			p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, fake.StartHTTPServer(t, b.serve)), streamSettings))
+			resp, _ := p.send(p.uploadRequest(class, bytes.NewReader(want), size))
 			served := after >= 0 && after <= size/2 || class != "pay"
 			if got := resp.StatusCode; served && got != 200 || !served && got != http.StatusBadGateway {
 				t.Errorf("%s after %d: %s", class, after, resp.Status)
 			}
 			b.mu.Lock()
-			if n := map[bool]int{true: 2, false: 1}[served]; b.seen != n {
-				t.Errorf("%s after %d: sent %d times, want %d", class, after, b.seen, n)
+			if n := map[bool]int{true: 2, false: 1}[served]; b.requestCount != n {
+				t.Errorf("%s after %d: sent %d times, want %d", class, after, b.requestCount, n)
 			}
-			for _, sum := range b.whole {
+			for _, sum := range b.completeBodySums {
 				if sum != sha256.Sum256(want) {
 					t.Errorf("%s after %d: a node got something else", class, after)
 				}
 			}
 			b.mu.Unlock()
-			p.ended()
+			p.waitUntilIdle()
 		}
 	}
 }
 
-// disk is a file that is full after so many bytes.
-type disk struct {
-	room  int64
-	short bool
-	err   error
-	data  []byte
+// limitedFile is a file that is full after so many bytes.
+type limitedFile struct {
+	capacityBytes int64
+	shortWrites   bool
+	writeErr      error
+	data          []byte
 }
 
-func (d *disk) WriteAt(p []byte, off int64) (int, error) {
-	n := int(min(int64(len(p)), max(d.room-off, 0)))
+func (d *limitedFile) WriteAt(p []byte, off int64) (int, error) {
+	n := int(min(int64(len(p)), max(d.capacityBytes-off, 0)))
 	d.data = append(d.data[:off], p[:n]...)
-	if n < len(p) && !d.short {
-		return n, d.err
+	if n < len(p) && !d.shortWrites {
+		return n, d.writeErr
 	}
 	return n, nil
 }
 
-func (d *disk) ReadAt(p []byte, off int64) (int, error) { return copy(p, d.data[off:]), nil }
-func (d *disk) Close() error                            { return nil }
+func (d *limitedFile) ReadAt(p []byte, off int64) (int, error) { return copy(p, d.data[off:]), nil }
+func (d *limitedFile) Close() error                            { return nil }
 
 // A body that can't be kept, for whatever reason, goes out once and no more: a node that resets
 // it costs a safe or keyed request a refusal, an unsafe one that may have run a failure.
-func TestNotKept(t *testing.T) {
+func TestUploadThatIsNotRetainedIsSentOnce(t *testing.T) {
 	const size = 1 << 20
-	want := noise(size)
+	want := randomBytes(size)
 	for name, store := range map[string]*body.Store{
 		"no file": body.NewStoreWithFileOpener(func() (body.File, error) { return nil, syscall.EMFILE }),
-		"ENOSPC":  body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: size / 4, err: syscall.ENOSPC}, nil }),
-		"EDQUOT":  body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: size / 4, err: syscall.EDQUOT}, nil }),
-		"short":   body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: size/4 + 5, short: true}, nil }),
+		"ENOSPC":  body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: size / 4, writeErr: syscall.ENOSPC}, nil }),
+		"EDQUOT":  body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: size / 4, writeErr: syscall.EDQUOT}, nil }),
+		"short":   body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: size/4 + 5, shortWrites: true}, nil }),
 	} {
 		for class, status := range map[string]int{"read": 503, "book": 503, "pay": 502} {
-			b := &breaker{after: -1}
-			p := start(t, withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), flows))
+			b := &resettingNode{resetAfterBytes: -1}
+			p := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), streamSettings))
 			p.server.bodies = store
-			resp, _ := p.send(p.upload(class, bytes.NewReader(want), size))
+			resp, _ := p.send(p.uploadRequest(class, bytes.NewReader(want), size))
 			b.mu.Lock()
-			if resp.StatusCode != status || b.seen != 1 || len(b.whole) != 1 || b.whole[0] != sha256.Sum256(want) {
-				t.Errorf("%s, %s: %s, sent %d times, %d whole", name, class, resp.Status, b.seen, len(b.whole))
+			if resp.StatusCode != status || b.requestCount != 1 || len(b.completeBodySums) != 1 || b.completeBodySums[0] != sha256.Sum256(want) {
+				t.Errorf("%s, %s: %s, sent %d times, %d whole", name, class, resp.Status, b.requestCount, len(b.completeBodySums))
 			}
 			b.mu.Unlock()
-			p.ended()
+			p.waitUntilIdle()
 		}
 	}
 }
 
 // A caller of a few bytes a second is ended, told that it was slow, and its endpoint is none the
 // worse for it: the next request goes there at once.
-func TestSlowCaller(t *testing.T) {
+func TestSlowUploadIsRejectedAndEndpointNotBlamed(t *testing.T) {
 	var broken atomic.Int32
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			broken.Add(1)
 		}
 	})
-	p := start(t, withSettings(t, fake.EndpointList(addr), flowsSlow))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), shortRateWindowSettings))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -303,7 +303,7 @@
 			}
 		}
 	}()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -311,7 +311,7 @@
 	if why, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusRequestTimeout || !strings.Contains(string(why), "caller is slow") {
 		t.Errorf("%s %q", resp.Status, why)
 	}
-	p.ended()
+	p.waitUntilIdle()
 	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != 200 {
 		t.Errorf("the endpoint is blamed: %s", resp.Status)
 	}
@@ -321,8 +321,8 @@
 }
 
 // An endpoint that takes an upload too slowly has not run it: the upload goes to another.
-func TestSlowEndpoint(t *testing.T) {
-	want := noise(32 << 20) // more than the kernel's buffers take
+func TestUploadMovesFromSlowEndpointToAnother(t *testing.T) {
+	want := randomBytes(32 << 20) // more than the kernel's buffers take
 	var first atomic.Bool
 	stop := make(chan struct{})
 	node := func(w http.ResponseWriter, r *http.Request) {
@@ -335,18 +335,18 @@
 			t.Error("the second node got something else")
 		}
 	}
-	p := start(t, withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), flowsSlow))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), shortRateWindowSettings))
 	defer close(stop)
-	if resp, _ := p.send(p.upload("pay", bytes.NewReader(want), int64(len(want)))); resp.StatusCode != 200 || !first.Load() {
+	if resp, _ := p.send(p.uploadRequest("pay", bytes.NewReader(want), int64(len(want)))); resp.StatusCode != 200 || !first.Load() {
 		t.Errorf("%s", resp.Status)
 	}
-	p.ended()
+	p.waitUntilIdle()
 }
 
 // An endpoint answers before it has read the request, while the caller goes on sending, or has
 // stopped: the answer comes at once and whole, the connections end, and nothing is left.
-func TestAnswersEarly(t *testing.T) {
-	long := noise(2 << 20)
+func TestEarlyResponseReachesCaller(t *testing.T) {
+	long := randomBytes(2 << 20)
 	for _, c := range []struct {
 		name   string
 		answer []byte
@@ -365,7 +365,7 @@
 			n.Write(c.answer)
 			io.Copy(io.Discard, in)
 		})
-		p := start(t, withSettings(t, fake.EndpointList(addr), flows))
+		p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
 		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -373,9 +373,9 @@
 		fmt.Fprintf(caller, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: e\r\nX-Priority-Class: pay\r\nContent-Length: 60000000\r\n\r\n")
 		caller.Write(make([]byte, 100_000))
 		if !c.stops {
-			go io.Copy(caller, zeros{})
+			go io.Copy(caller, zeroReader{})
 		}
-		caller.SetReadDeadline(time.Now().Add(patience))
+		caller.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 		if err != nil {
 			t.Fatal(c.name, err)
@@ -384,18 +384,18 @@
 			t.Errorf("%s: %s, %d bytes, %v, close %v", c.name, resp.Status, len(got), err, resp.Close)
 		}
 		caller.Close()
-		p.ended()
+		p.waitUntilIdle()
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
 // Once part of an answer has gone to the caller there is no other: one that breaks off, or stops,
 // is seen as broken by the caller, in every framing; and no further attempt is made.
-func TestAnswerBreaksOff(t *testing.T) {
-	part := noise(200_000)
+func TestTruncatedStreamedResponseIsNotRetried(t *testing.T) {
+	part := randomBytes(200_000)
 	for _, framing := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
 		for _, how := range []string{"reset", "end", "silence", "bad chunk"} {
 			var seen atomic.Int32
@@ -421,7 +421,7 @@
 					io.WriteString(n, "zz\r\n")
 				}
 			})
-			p := start(t, withSettings(t, fake.EndpointList(addr, addr), flowsSlow))
+			p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, addr), shortRateWindowSettings))
 			resp, err := http.DefaultTransport.RoundTrip(p.request("read", ""))
 			if err == nil {
 				var got []byte
@@ -435,13 +435,13 @@
 				t.Errorf("%s, %s: %v after %d attempts", framing, how, err, seen.Load())
 			}
 			close(stop)
-			p.ended()
+			p.waitUntilIdle()
 		}
 	}
 }
 
 // Until part of an answer has gone to the caller, another attempt may answer.
-func TestLookFirst(t *testing.T) {
+func TestResponseTruncatedBeforeCommitThresholdIsRetried(t *testing.T) {
 	var seen atomic.Int32
 	addr := fake.StartTCPServer(t, func(n net.Conn) {
 		defer n.Close()
@@ -449,20 +449,20 @@
 			return
 		}
 		if seen.Add(1) == 1 { // less than what is looked at
-			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n%s", noise(8000))
+			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n%s", randomBytes(8000))
 			return
 		}
-		fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n%s", noise(100000))
+		fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n%s", randomBytes(100000))
 	})
-	p := start(t, withSettings(t, fake.EndpointList(addr, addr), flows))
-	if resp, got := p.send(p.request("read", "")); resp.StatusCode != 200 || got != string(noise(100000)) || seen.Load() != 2 {
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, addr), streamSettings))
+	if resp, got := p.send(p.request("read", "")); resp.StatusCode != 200 || got != string(randomBytes(100000)) || seen.Load() != 2 {
 		t.Errorf("%s, %d bytes, %d attempts", resp.Status, len(got), seen.Load())
 	}
-	p.ended()
+	p.waitUntilIdle()
 }
 
 // A caller that stops reading a long answer is ended, or goes by itself: the endpoint is let go.
-func TestCallerStopsReading(t *testing.T) {
+func TestStalledOrDisconnectedCallerReleasesEndpoint(t *testing.T) {
 	for _, goes := range []bool{false, true} {
 		let := make(chan struct{})
 		addr := fake.StartTCPServer(t, func(n net.Conn) {
@@ -471,14 +471,14 @@
 				return
 			}
 			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
-			io.CopyN(n, zeros{}, 60_000_000)
+			io.CopyN(n, zeroReader{}, 60_000_000)
 			close(let)
 		})
-		text := flowsSlow
+		text := shortRateWindowSettings
 		if goes {
-			text = flows
+			text = streamSettings
 		}
-		p := start(t, withSettings(t, fake.EndpointList(addr), text))
+		p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), text))
 		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -488,8 +488,8 @@
 		if goes {
 			caller.Close()
 		}
-		wait(t, let, "the endpoint is let go")
-		p.ended()
+		waitFor(t, let, "the endpoint is let go")
+		p.waitUntilIdle()
 		if f, _ := p.server.StreamStats(); f.IncompleteBodies != 1 || f.SlowEndpoints != 0 || !goes && f.SlowCallers != 1 {
 			t.Errorf("%+v", f)
 		}
@@ -498,13 +498,13 @@
 }
 
 // A caller goes in the middle of its upload: no endpoint gets it whole.
-func TestCallerGoesMidUpload(t *testing.T) {
+func TestCallerDisconnectMidUpload(t *testing.T) {
 	came := make(chan error, 1)
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
 		came <- err
 	})
-	p := start(t, withSettings(t, fake.EndpointList(addr), flows))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
 	for _, chunked := range []string{"Content-Length: 1000000\r\n\r\n" + strings.Repeat("x", 500_000), "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"} {
 		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
@@ -518,20 +518,20 @@
 		if err := <-came; err == nil {
 			t.Error("the node got a whole request")
 		}
-		p.ended()
+		p.waitUntilIdle()
 	}
 }
 
 // Chunks that can be read in two ways, and bodies that are too long, are refused, and what went
 // on of them never becomes a whole request at the endpoint.
-func TestFlowFraming(t *testing.T) {
+func TestServerRejectsMalformedChunkedUploads(t *testing.T) {
 	var whole atomic.Int32
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
 			whole.Add(1)
 		}
 	})
-	p := start(t, withSettings(t, fake.EndpointList(addr), strings.Replace(flows, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), strings.Replace(streamSettings, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
 	good := "5\r\nhello\r\n"
 	for text, status := range map[string]int{
 		good + "zz\r\n":                         400,
@@ -552,7 +552,7 @@
 			t.Fatal(err)
 		}
 		go fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: f\r\nX-Priority-Class: pay\r\nTransfer-Encoding: chunked\r\n\r\n%s", text)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatalf("%.40q: %v", text, err)
@@ -561,28 +561,28 @@
 			t.Errorf("%.40q: %s, close %v, want %d", text, resp.Status, resp.Close, status)
 		}
 		c.Close()
-		p.ended()
+		p.waitUntilIdle()
 	}
 	if n := whole.Load(); n > 0 {
 		t.Errorf("the node got %d whole requests", n)
 	}
-	if resp, _ := p.send(p.upload("pay", bytes.NewReader(noise(100_001)), 100_001)); resp.StatusCode != http.StatusRequestEntityTooLarge {
+	if resp, _ := p.send(p.uploadRequest("pay", bytes.NewReader(randomBytes(100_001)), 100_001)); resp.StatusCode != http.StatusRequestEntityTooLarge {
 		t.Errorf("one byte too many: %s", resp.Status)
 	}
 }
 
 // A caller that waits for a 100 gets it once its body is wanted, and none where it is not.
-func TestContinueOnlyIfWanted(t *testing.T) {
+func TestContinueIsSentOnlyIfBodyIsRead(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	for name, list := range map[string]discovery.List{"wanted": fake.EndpointList(addr), "not wanted": fake.EndpointList()} {
-		p := start(t, withSettings(t, list, flows))
+		p := startSidecar(t, configWithSettings(t, list, streamSettings))
 		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: w\r\nX-Priority-Class: pay\r\nX-Timeout: 500m\r\n"+
 			"Expect: 100-continue\r\nContent-Length: 100000\r\n\r\n")
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		in := bufio.NewReader(c)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -603,28 +603,28 @@
 			t.Errorf("%s: %s", name, resp.Status)
 		}
 		c.Close()
-		p.ended()
+		p.waitUntilIdle()
 	}
 }
 
 // Only so many such requests are let in; one more is told when to come back, while short ones
 // are served as ever.
-func TestFlowsAreBounded(t *testing.T) {
+func TestOpenStreamedRequestsAreLimited(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	c := withSettings(t, fake.EndpointList(addr), flows+"open = 1\n")
+	c := configWithSettings(t, fake.EndpointList(addr), streamSettings+"open = 1\n")
 	c.BalancerConfig.Limits.MaxRetryAfter = 2 * time.Second
-	p := start(t, c)
+	p := startSidecar(t, c)
 	in, out := io.Pipe()
 	done := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.upload("pay", in, 100_000))
+		resp, _ := p.send(p.uploadRequest("pay", in, 100_000))
 		done <- resp
 	}()
 	out.Write(make([]byte, 1000))
 	for f, _ := p.server.StreamStats(); f.OpenRequests == 0; f, _ = p.server.StreamStats() {
 		time.Sleep(time.Millisecond)
 	}
-	req := p.upload("book", bytes.NewReader(make([]byte, 100_000)), 100_000)
+	req := p.uploadRequest("book", bytes.NewReader(make([]byte, 100_000)), 100_000)
 	req.Header.Set("X-Request-ID", "another")
 	if resp, _ := p.send(req); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "2.000" {
 		t.Errorf("%s %v", resp.Status, resp.Header)
@@ -639,22 +639,22 @@
 	if resp := <-done; resp.StatusCode != 200 {
 		t.Errorf("the first: %s", resp.Status)
 	}
-	p.ended()
+	p.waitUntilIdle()
 }
 
 // An endpoint drains in the middle of a long upload: what runs there goes on to its end, and
 // nothing new is sent there.
-func TestDrainMidUpload(t *testing.T) {
+func TestEndpointDrainsMidUpload(t *testing.T) {
 	var old, other atomic.Int32
 	list := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		old.Add(1)
 		io.Copy(io.Discard, r.Body)
 	}))
-	p := start(t, withSettings(t, list, flows))
+	p := startSidecar(t, configWithSettings(t, list, streamSettings))
 	in, out := io.Pipe()
 	done := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.upload("pay", in, 500_000))
+		resp, _ := p.send(p.uploadRequest("pay", in, 500_000))
 		done <- resp
 	}()
 	out.Write(make([]byte, 200_000))
@@ -676,15 +676,15 @@
 	if resp := <-done; resp.StatusCode != 200 || old.Load() != 1 || other.Load() != 1 {
 		t.Errorf("%s, %d at the old, %d at the new", resp.Status, old.Load(), other.Load())
 	}
-	p.ended()
+	p.waitUntilIdle()
 }
 
 // The end and a change of settings come while 100 streams are open: all get their answers whole.
 func TestShutdownAndReloadWithStreams(t *testing.T) {
 	const streams, half = 100, 100_000
-	addr := fake.StartHTTPServer(t, echo)
-	p := start(t, withSettings(t, fake.EndpointList(addr), flows))
-	want := noise(2 * half)
+	addr := fake.StartHTTPServer(t, echoBody)
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
+	want := randomBytes(2 * half)
 	var begun, ended sync.WaitGroup
 	rest := make(chan struct{})
 	for i := range streams {
@@ -700,7 +700,7 @@
 				out.Write(want[half:])
 				out.Close()
 			}()
-			req := p.upload("book", in, int64(len(want)))
+			req := p.uploadRequest("book", in, int64(len(want)))
 			req.Header.Set("X-Request-ID", fmt.Sprint("s", i))
 			resp, err := new(http.Transport).RoundTrip(req)
 			if err != nil {
@@ -715,24 +715,24 @@
 		}()
 	}
 	begun.Wait()
-	p.engine.ApplySettings(settings(t, strings.Replace(flows, `"128KiB"`, `"0"`, 1)))
+	p.engine.ApplySettings(parseSettings(t, strings.Replace(streamSettings, `"128KiB"`, `"0"`, 1)))
 	down := make(chan struct{})
 	go func() {
 		p.server.Shutdown()
 		close(down)
 	}()
-	for !p.server.door.Draining() {
+	for !p.server.httpServer.Draining() {
 		time.Sleep(time.Millisecond)
 	}
 	close(rest)
 	ended.Wait()
-	wait(t, down, "shutdown")
-	p.ended()
+	waitFor(t, down, "shutdown")
+	p.waitUntilIdle()
 }
 
 // A keyed upload that is sent again, and would be whole only after its key is forgotten where it
 // may have run, never becomes whole.
-func TestUploadPastWindow(t *testing.T) {
+func TestRetriedUploadNeverCompletesAfterRepeatWindow(t *testing.T) {
 	var whole atomic.Int32
 	first := make(chan struct{}, 2)
 	second := make(chan struct{})
@@ -750,14 +750,14 @@
 		if len(first) == 1 {
 			first <- struct{}{}
 			time.AfterFunc(600*time.Millisecond, func() { close(second) })
-			reset(w)
+			resetConn(w)
 		}
 	})
-	c := withSettings(t, fake.EndpointList(addr, addr), flows)
+	c := configWithSettings(t, fake.EndpointList(addr, addr), streamSettings)
 	c.BalancerConfig.Classes[c.ClassIndex["book"]].RepeatWindow = 300 * time.Millisecond
-	p := start(t, c)
-	want := noise(32 << 20)
-	resp, err := http.DefaultTransport.RoundTrip(p.upload("book", bytes.NewReader(want), int64(len(want))))
+	p := startSidecar(t, c)
+	want := randomBytes(32 << 20)
+	resp, err := http.DefaultTransport.RoundTrip(p.uploadRequest("book", bytes.NewReader(want), int64(len(want))))
 	if err == nil {
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
@@ -765,7 +765,7 @@
 			t.Errorf("%s", resp.Status)
 		}
 	}
-	p.ended()
+	p.waitUntilIdle()
 	if n := whole.Load(); n != 1 {
 		t.Errorf("it was whole %d times", n)
 	}
@@ -774,7 +774,7 @@
 // A random mix of bodies, faults and settings: exactly one final answer for each request, an
 // effect at most once for each unsafe one, nothing whole that is not as it was sent, and nothing
 // left.
-func TestFlowsAtRandom(t *testing.T) {
+func TestRandomStreams(t *testing.T) {
 	const seed = 20261201
 	rng := rand.New(rand.NewPCG(seed, 0))
 	type sent struct {
@@ -795,7 +795,7 @@
 		switch fault(id, attempt) % 7 {
 		case 0:
 			io.CopyN(io.Discard, r.Body, 90_000)
-			reset(w)
+			resetConn(w)
 			return
 		case 1:
 			w.WriteHeader(http.StatusInternalServerError)
@@ -817,19 +817,19 @@
 		mu.Unlock()
 		switch fault(id, attempt) % 11 {
 		case 3:
-			reset(w)
+			resetConn(w)
 		case 4, 5:
-			w.Write(noise(200_000))
+			w.Write(randomBytes(200_000))
 		}
 	}
 	addrs := []string{fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), "127.0.0.1:1"}
-	p := start(t, withSettings(t, fake.EndpointList(addrs...), strings.Replace(flows, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
-	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: 500_000, err: syscall.ENOSPC}, nil })
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addrs...), strings.Replace(streamSettings, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
+	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: 500_000, writeErr: syscall.ENOSPC}, nil })
 	var wg sync.WaitGroup
 	for i := range 200 {
 		id := fmt.Sprintf("%c-%d", 'a'+rng.IntN(26), i)
 		class := []string{"read", "book", "pay"}[rng.IntN(3)]
-		text := noise(70_000 + rng.IntN(700_000))
+		text := randomBytes(70_000 + rng.IntN(700_000))
 		chunked, goes := rng.IntN(3) == 0, rng.IntN(8) == 0
 		mu.Lock()
 		asked[id] = sent{sha256.Sum256(text), class}
@@ -839,13 +839,13 @@
 			defer wg.Done()
 			var in io.Reader = bytes.NewReader(text)
 			if goes { // the caller goes half way
-				in = io.MultiReader(bytes.NewReader(text[:len(text)/2]), broken{})
+				in = io.MultiReader(bytes.NewReader(text[:len(text)/2]), failingReader{})
 			}
 			length := int64(len(text))
 			if chunked {
 				length = -1
 			}
-			req := p.upload(class, in, length)
+			req := p.uploadRequest(class, in, length)
 			req.Header.Set("X-Request-ID", id)
 			if class == "pay" {
 				req.Header.Del("Idempotency-Key")
@@ -867,7 +867,7 @@
 		}()
 	}
 	wg.Wait()
-	p.ended()
+	p.waitUntilIdle()
 	mu.Lock()
 	defer mu.Unlock()
 	for id, s := range asked {
@@ -877,19 +877,19 @@
 	}
 }
 
-type broken struct{}
+type failingReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, errors.New("the caller goes") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("the caller goes") }
 
-// echo sends a request's body back as it arrives.
-func echo(w http.ResponseWriter, r *http.Request) {
+// echoBody sends a request's body back as it arrives.
+func echoBody(w http.ResponseWriter, r *http.Request) {
 	http.NewResponseController(w).EnableFullDuplex()
 	io.Copy(w, r.Body)
 }
 
 // An endpoint answers at length before it has read the request, to a caller that sends on and reads
 // nothing: it is ended in bounded time, and the endpoint is let go.
-func TestAnswersEarlyToNobody(t *testing.T) {
+func TestEarlyResponseToStalledCallerReleasesEndpoint(t *testing.T) {
 	let := make(chan struct{})
 	addr := fake.StartTCPServer(t, func(n net.Conn) {
 		defer n.Close()
@@ -897,10 +897,10 @@
 			return
 		}
 		io.WriteString(n, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
-		io.CopyN(n, zeros{}, 60_000_000)
+		io.CopyN(n, zeroReader{}, 60_000_000)
 		close(let)
 	})
-	p := start(t, withSettings(t, fake.EndpointList(addr), flowsSlow))
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), shortRateWindowSettings))
 	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -908,30 +908,30 @@
 	defer c.Close()
 	go func() {
 		io.WriteString(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: n\r\nX-Priority-Class: pay\r\nContent-Length: 60000000\r\n\r\n")
-		io.CopyN(c, zeros{}, 60_000_000)
+		io.CopyN(c, zeroReader{}, 60_000_000)
 	}()
-	wait(t, let, "the endpoint is let go")
-	p.ended()
+	waitFor(t, let, "the endpoint is let go")
+	p.waitUntilIdle()
 }
 
 // The disk fills while a booking is being sent again and its body still arrives: the attempt that
 // is out gets the whole of it, and the booking is served.
 func TestDiskFillsDuringRetry(t *testing.T) {
-	b := &breaker{after: 50_000}
-	p := start(t, withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), flows))
-	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &disk{room: 400_000, err: syscall.ENOSPC}, nil })
-	want := noise(2 << 20)
+	b := &resettingNode{resetAfterBytes: 50_000}
+	p := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), streamSettings))
+	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: 400_000, writeErr: syscall.ENOSPC}, nil })
+	want := randomBytes(2 << 20)
 	in, out := io.Pipe()
 	done := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.upload("book", in, int64(len(want))))
+		resp, _ := p.send(p.uploadRequest("book", in, int64(len(want))))
 		done <- resp
 	}()
 	out.Write(want[:100_000])
 	seen := func() int {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return b.seen
+		return b.requestCount
 	}
 	for seen() < 2 {
 		time.Sleep(time.Millisecond)
@@ -939,18 +939,18 @@
 	out.Write(want[100_000:])
 	out.Close()
 	resp := <-done
-	if _, held := p.server.StreamStats(); resp.StatusCode != 200 || seen() != 2 || b.whole[0] != sha256.Sum256(want) || held.DiscardedBodies != 1 || held.FileErrors != 1 {
+	if _, held := p.server.StreamStats(); resp.StatusCode != 200 || seen() != 2 || b.completeBodySums[0] != sha256.Sum256(want) || held.DiscardedBodies != 1 || held.FileErrors != 1 {
 		t.Errorf("%s, sent %d times, %+v", resp.Status, seen(), held)
 	}
-	p.ended()
+	p.waitUntilIdle()
 }
 
 // No second copy goes out while a body is still arriving, however long that takes; once it is whole
 // and its endpoint takes long, one does, and has the whole of it.
-func TestNoHedgeWhileArriving(t *testing.T) {
+func TestUploadIsHedgedOnlyOnceComplete(t *testing.T) {
 	var seen atomic.Int32
 	stop := make(chan struct{})
-	want := noise(300_000)
+	want := randomBytes(300_000)
 	node := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
 			io.WriteString(w, "TEXT busy_reqs=0")
@@ -969,10 +969,10 @@
 			<-stop
 		}
 	}
-	c := withSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), flows)
+	c := configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), streamSettings)
 	c.BalancerConfig.Reporting, c.BalancerConfig.Limits.Probes = balance.ReportsInProbe, true
 	c.BalancerConfig.Classes[c.ClassIndex["book"]].TargetLatency = 10 * time.Second // a quarter of it is what a call is taken to need at first
-	p := start(t, c)
+	p := startSidecar(t, c)
 	defer close(stop)
 	for i := range 60 { // calls are quick, so that a hedge comes soon
 		req := p.request("book", "x")
@@ -982,7 +982,7 @@
 	in, out := io.Pipe()
 	done := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.upload("book", in, int64(len(want))))
+		resp, _ := p.send(p.uploadRequest("book", in, int64(len(want))))
 		done <- resp
 	}()
 	out.Write(want[:200_000])
