--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -19,48 +19,51 @@
 )
 
 const (
-	maxListBytes     = 2 << 20  // the most bytes of a list: some ten thousand endpoints
-	maxListHeadBytes = 16 << 10 // the most bytes of its header
+	maxListBytes     = 2 << 20  // maximum body of a discovery response: some ten thousand endpoints
+	maxListHeadBytes = 16 << 10 // maximum head of a discovery response
 )
 
-// DiscoveryClient keeps the engine's list of endpoints up to date.
+// DiscoveryClient keeps the engine's list of endpoints up to date by long polling the discovery
+// service.
 type DiscoveryClient struct {
-	pollMode                      bool          // the module asks for the list; else it is pushed
-	minRequestInterval            time.Duration // the least time between two calls: one answered at once must not be a busy loop
-	longPollWait, responseTimeout time.Duration // how long a call may wait, and its answer take beyond
+	pollMode                      bool          // requests wait until the balancer subscribes to the list, see Engine.SubscribeRequested
+	minRequestInterval            time.Duration // minimum time between two requests, to avoid a busy loop when they are answered at once
+	longPollWait, responseTimeout time.Duration // how long the service may wait for an update, and how long the response may take beyond that
 	engine                        *engine.Engine
 	client                        *http.Client
 	transport                     *http.Transport
-	lastRequestFailed             bool   // the last call did
-	generation                    string // the version of the list at hand; empty for none
+	lastRequestFailed             bool   // used by Run's goroutine only
+	generation                    string // version of the current list, empty for none; used by Run's goroutine only
 
+	// mu guards the fields below.
 	mu             sync.Mutex
 	addr           string
-	addrChanged    bool               // to addr, which has not been asked yet
-	cancelRequests context.CancelFunc // ends the calls to the address before
+	addrChanged    bool               // no request has been sent to addr yet
+	cancelRequests context.CancelFunc // cancels the requests to the previous address
 }
 
-// NewDiscoveryClient returns the Discovery of an engine.
-func NewDiscoveryClient(c *config.Config, e *engine.Engine) *DiscoveryClient {
+// NewDiscoveryClient returns a client that updates the endpoints of e. Run starts it.
+func NewDiscoveryClient(cfg *config.Config, e *engine.Engine) *DiscoveryClient {
 	d := &DiscoveryClient{
-		addr: c.DiscoveryAddress, pollMode: c.BalancerConfig.MustSubscribe, engine: e, minRequestInterval: c.Settings.Discovery.MinPause,
-		// An agent on this machine may fall silent and leave a call unanswered after it has news
-		// again, so it is asked well within a drain's grace.
-		longPollWait: c.Settings.Discovery.PushWait, responseTimeout: c.Settings.Discovery.PushResponseTimeout,
+		addr: cfg.DiscoveryAddress, pollMode: cfg.BalancerConfig.MustSubscribe, engine: e, minRequestInterval: cfg.Settings.Discovery.MinPause,
+		// An agent on this machine may stop responding, and may leave a request unanswered even
+		// when it has updates again. The request therefore times out well within a drain's grace.
+		longPollWait: cfg.Settings.Discovery.PushWait, responseTimeout: cfg.Settings.Discovery.PushResponseTimeout,
 		transport: &http.Transport{MaxConnsPerHost: 2, MaxResponseHeaderBytes: maxListHeadBytes}, cancelRequests: func() {},
 	}
 	d.client = &http.Client{Transport: d.transport}
-	if len(c.KnownEndpoints.Instances) > 0 {
-		d.generation = c.KnownEndpoints.GenerationString()
+	if len(cfg.KnownEndpoints.Instances) > 0 {
+		d.generation = cfg.KnownEndpoints.GenerationString()
 	}
 	if d.pollMode {
-		d.longPollWait, d.responseTimeout = c.Settings.Discovery.PollWait, c.Settings.Discovery.PollResponseTimeout
+		d.longPollWait, d.responseTimeout = cfg.Settings.Discovery.PollWait, cfg.Settings.Discovery.PollResponseTimeout
 	}
 	return d
 }
 
-// SetAddress has discovery at another address from now on. Its versions are its own, so it is
-// asked for the whole list, at once; what a call that is out brings is not taken any more.
+// SetAddress changes the address of the discovery service. The whole list is requested there at once,
+// because list versions of different services are unrelated. A request to the previous address is
+// canceled and its response is ignored.
 func (d *DiscoveryClient) SetAddress(addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,44 +71,46 @@
 	d.cancelRequests()
 }
 
-// nextAddress returns the address to ask from now on, and a context that ends with the next Move.
-func (d *DiscoveryClient) nextAddress(ctx context.Context) (here context.Context, addr string, moved bool) {
+// nextAddress returns the current address, a context that SetAddress cancels, and whether the address
+// has changed since the previous call. It cancels the context that the previous call returned.
+func (d *DiscoveryClient) nextAddress(ctx context.Context) (addrCtx context.Context, addr string, changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cancelRequests() // what is left of the calls before
-	here, d.cancelRequests = context.WithCancel(ctx)
-	addr, moved, d.addrChanged = d.addr, d.addrChanged, false
-	return here, addr, moved
+	d.cancelRequests() // releases the previous context
+	addrCtx, d.cancelRequests = context.WithCancel(ctx)
+	addr, changed, d.addrChanged = d.addr, d.addrChanged, false
+	return addrCtx, addr, changed
 }
 
-// Run follows the list until ctx ends.
+// Run keeps the list up to date until ctx is done.
 func (d *DiscoveryClient) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		here, addr, moved := d.nextAddress(ctx)
-		if moved {
+		addrCtx, addr, changed := d.nextAddress(ctx)
+		if changed {
 			d.generation, d.lastRequestFailed = "", false
 			d.transport.CloseIdleConnections()
-			slog.Info("discovery: asking another address", "addr", addr)
+			slog.Info("discovery: address changed", "addr", addr)
 		}
-		d.watchAddress(here, addr, moved)
+		d.watchAddress(addrCtx, addr, changed)
 	}
 }
 
-// watchAddress follows the list at one address until ctx ends. Where the module asks for the list,
-// it has asked for the one of a new address when it asked for the first.
-func (d *DiscoveryClient) watchAddress(ctx context.Context, addr string, asked bool) {
+// watchAddress keeps the list up to date from one address until ctx is done. In poll mode, it waits
+// until the balancer subscribes to the list, at the start and after each failure. It does not wait at
+// the start if subscribed is true: after a change of address, the earlier subscription still counts.
+func (d *DiscoveryClient) watchAddress(ctx context.Context, addr string, subscribed bool) {
 	for ctx.Err() == nil {
-		if d.pollMode && !asked {
+		if d.pollMode && !subscribed {
 			select {
 			case <-d.engine.SubscribeRequested():
 			case <-ctx.Done():
 				return
 			}
 		}
-		asked = false
+		subscribed = false
 		if err := d.watch(ctx, addr); err != nil && ctx.Err() == nil {
-			if !d.lastRequestFailed { // an outage is one line of the log, not one for each call
-				slog.Warn("discovery: keeping the list at hand", "err", err)
+			if !d.lastRequestFailed { // log an outage once, not each failed request
+				slog.Warn("discovery: request failed; keeping the current endpoints", "err", err)
 			}
 			d.lastRequestFailed = true
 			if d.pollMode {
@@ -116,35 +121,38 @@
 	}
 }
 
-// watch asks for news until a call fails.
+// watch requests updates, one after another, until a request fails.
 func (d *DiscoveryClient) watch(ctx context.Context, addr string) error {
 	for {
-		asked := time.Now()
-		l, err := d.fetchList(ctx, addr)
+		requestedAt := time.Now()
+		list, err := d.fetchList(ctx, addr)
 		if err == nil {
-			err = ctx.Err() // discovery may have moved as the answer came
+			err = ctx.Err() // the address may have changed as the response arrived
 		}
 		if err != nil {
 			return err
 		}
 		if d.lastRequestFailed {
-			slog.Info("discovery: back", "generation", l.Generation)
+			slog.Info("discovery: available again", "generation", list.Generation)
 		}
-		d.lastRequestFailed, d.generation = false, l.GenerationString()
-		if d.pollMode || l.Full || len(l.Instances) > 0 {
-			d.engine.UpdateEndpoints(l)
+		d.lastRequestFailed, d.generation = false, list.GenerationString()
+		if d.pollMode || list.Full || len(list.Instances) > 0 {
+			d.engine.UpdateEndpoints(list)
 		}
 		d.engine.RecordDiscoveryResponse()
-		pause(ctx, d.minRequestInterval-time.Since(asked))
+		pause(ctx, d.minRequestInterval-time.Since(requestedAt))
 	}
 }
 
-// fetchList makes one call.
+// fetchList sends one request and returns the list in its response: the whole list if the client has
+// none, otherwise the changes since its generation.
 func (d *DiscoveryClient) fetchList(ctx context.Context, addr string) (*discovery.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.longPollWait+d.responseTimeout)
 	defer cancel()
 	query := url.Values{}
-	if d.generation != "" { // "0" is a version too: taken for none, it had every call answered with the whole list
+	// Generation "0" is sent like any other. Without an index, every request would be answered at
+	// once with the whole list.
+	if d.generation != "" {
 		query.Set("index", d.generation)
 		query.Set("wait", strconv.FormatInt(d.longPollWait.Milliseconds(), 10))
 	}
@@ -161,22 +169,23 @@
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("list: %w", err)
+		return nil, fmt.Errorf("read endpoint list: %w", err)
 	case resp.StatusCode != http.StatusOK:
-		return nil, fmt.Errorf("list: %s", resp.Status)
+		return nil, fmt.Errorf("endpoint list: status %s", resp.Status)
 	case len(text) > maxListBytes:
-		return nil, errors.New("list: too long")
+		return nil, errors.New("endpoint list: too long")
 	}
-	l := new(discovery.List)
-	if err := json.Unmarshal(text, l); err != nil {
-		return nil, fmt.Errorf("list: %w", err)
+	list := new(discovery.List)
+	if err := json.Unmarshal(text, list); err != nil {
+		return nil, fmt.Errorf("decode endpoint list: %w", err)
 	}
-	if err := l.Check(); err != nil {
-		return nil, fmt.Errorf("list %d: %w", l.Generation, err)
+	if err := list.Check(); err != nil {
+		return nil, fmt.Errorf("endpoint list of generation %d: %w", list.Generation, err)
 	}
-	return l, nil
+	return list, nil
 }
 
+// pause waits for d, or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -1,3 +1,7 @@
+// Package sidecar connects the callers' HTTP server, the engine and the discovery service.
+//
+// [Server] validates the requests of callers, hands them to an [engine.Engine] and writes the
+// responses. [DiscoveryClient] keeps the engine's list of endpoints up to date.
 package sidecar
 
 import (
@@ -22,61 +26,68 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// maxRequestIDBytes is the most bytes of a request's id.
+// maxRequestIDBytes is the maximum length of an X-Request-ID.
 const maxRequestIDBytes = 256
 
-// Server takes the callers' requests: what they are about, and in what words they are
-// answered. Its connections are the door's.
+// Server serves the callers' requests: it validates their heads, passes them to the engine and
+// writes the responses. Connections, framing and timeouts are handled by [httpserver.Server].
 type Server struct {
 	cfg        *config.Config
 	engine     *engine.Engine
 	httpServer *httpserver.Server
 
-	bodies *body.Store
+	bodies *body.Store // streamed request bodies
 
+	// mu guards the fields below.
 	mu          sync.Mutex
-	openIDs     map[string]struct{} // of the requests that are open
+	openIDs     map[string]struct{} // X-Request-IDs of the requests being served
 	streamStats StreamStats
 }
 
-// NewServer returns a Server that hands its requests to an engine.
-func NewServer(c *config.Config, e *engine.Engine) (*Server, error) {
-	s := &Server{cfg: c, engine: e, bodies: body.NewStore(os.TempDir()), openIDs: make(map[string]struct{})}
+// NewServer returns a Server that passes its requests to e. It returns an error if the HTTP
+// server can't be set up.
+func NewServer(cfg *config.Config, e *engine.Engine) (*Server, error) {
+	s := &Server{cfg: cfg, engine: e, bodies: body.NewStore(os.TempDir()), openIDs: make(map[string]struct{})}
 	var err error
 	s.httpServer, err = httpserver.New(httpserver.Config{
-		Handler: requestHandler{s}, MaxConnections: c.MaxCallerConnections(), MaxHeadBytes: int(c.Settings.Callers.MaxRequestHead),
+		Handler: requestHandler{s}, MaxConnections: cfg.MaxCallerConnections(), MaxHeadBytes: int(cfg.Settings.Callers.MaxRequestHead),
 		MaxBodyBytes: func() int { return int(s.engine.Settings().Callers.MaxRequestBody) },
 		Timeouts: func() httpserver.Timeouts {
-			k := &s.engine.Settings().Callers
-			return httpserver.Timeouts{Head: k.HeadTimeout, Body: k.BodyTimeout, Idle: k.IdleTimeout, Write: k.WriteTimeout, EvictionGrace: k.EvictionGrace}
+			callers := &s.engine.Settings().Callers
+			return httpserver.Timeouts{Head: callers.HeadTimeout, Body: callers.BodyTimeout, Idle: callers.IdleTimeout, Write: callers.WriteTimeout, EvictionGrace: callers.EvictionGrace}
 		},
 	})
 	return s, err
 }
 
-// Serve serves one listener until Shutdown. Several may be served together.
+// Serve accepts connections on l until Shutdown or Close. It may be called concurrently for
+// several listeners.
 func (s *Server) Serve(l net.Listener) error { return s.httpServer.Serve(l) }
 
-// shutdownResponseReserve is how long before the end of a shutdown the last requests get their answers.
+// shutdownResponseReserve is how long before the end of a shutdown the engine ends the requests
+// that are still open, so that their responses can be written in time.
 const shutdownResponseReserve = 100 * time.Millisecond
 
-// Shutdown steers callers off, goes on accepting for a while, and returns when all that was taken has its
-// answer. Nothing is waited for beyond the time at which the platform may end the process.
+// Shutdown stops the server gracefully. It makes callers close their connections, keeps accepting new
+// ones for AcceptGrace (see [config.Shutdown]), and returns when every request that was received has
+// its response. It never takes longer than AcceptGrace, the longest time allowed to a request and
+// DeadlineMargin together, since the platform may kill the process after that.
 func (s *Server) Shutdown() {
-	end := s.engine.Settings().Shutdown
-	most := end.AcceptGrace + s.cfg.ShutdownRequestTimeout() + end.DeadlineMargin
-	ctx, cancel := context.WithTimeout(context.Background(), most)
+	shutdown := s.engine.Settings().Shutdown
+	maxDuration := shutdown.AcceptGrace + s.cfg.ShutdownRequestTimeout() + shutdown.DeadlineMargin
+	ctx, cancel := context.WithTimeout(context.Background(), maxDuration)
 	defer cancel()
-	s.engine.SetShutdownDeadline(time.Now().Add(most - shutdownResponseReserve))
-	if left := s.httpServer.Shutdown(ctx, end.AcceptGrace); left > 0 { // a caller that sent no whole request is owed nothing
-		slog.Warn("shutdown: connections left", "connections", left)
+	s.engine.SetShutdownDeadline(time.Now().Add(maxDuration - shutdownResponseReserve))
+	// A caller that has not sent a complete request gets no response.
+	if remaining := s.httpServer.Shutdown(ctx, shutdown.AcceptGrace); remaining > 0 {
+		slog.Warn("shutdown: closed connections that were still open", "connections", remaining)
 	}
 }
 
-// Close ends all listeners and connections at once.
+// Close closes all listeners and connections immediately.
 func (s *Server) Close() { s.httpServer.Close() }
 
-// registerID notes the id of a request, unless one that is open has it.
+// registerID adds id to the open requests. It reports false if an open request already has this id.
 func (s *Server) registerID(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,42 +98,47 @@
 	return true
 }
 
+// unregisterID removes id from the open requests.
 func (s *Server) unregisterID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.openIDs, id)
 }
 
+// isHealthCheck reports whether r asks for the health of the sidecar itself.
 func isHealthCheck(r *http1.Request) bool { return string(r.Path()) == "/healthz" }
 
-// requestHandler is the Server as the door's handler.
+// requestHandler implements [httpserver.Handler] for a Server.
 type requestHandler struct{ *Server }
 
-// CheckHead judges a request by its head, see door.Handler.
+// CheckHead implements [httpserver.Handler]. It decides whether the body is streamed, rejects
+// invalid requests with 400 or 413, and leaves the engine.Call of a valid one in x.HandlerState. A
+// health check has no call.
 func (s requestHandler) CheckHead(x *httpserver.Exchange) *httpserver.ErrorResponse {
-	r, set := x.RequestHead(), s.engine.Settings()
-	n := r.ContentLength()
-	x.Streaming = set.Streams.RequestsEnabled() && !isHealthCheck(r) &&
-		(r.Framing() == http1.Chunked && set.Streams.ChunkedEnabled() || n > int64(set.Callers.MaxRequestBody) && n <= int64(set.Streams.MaxRequestBody))
+	r, settings := x.RequestHead(), s.engine.Settings()
+	contentLength := r.ContentLength()
+	x.Streaming = settings.Streams.RequestsEnabled() && !isHealthCheck(r) &&
+		(r.Framing() == http1.Chunked && settings.Streams.ChunkedEnabled() || contentLength > int64(settings.Callers.MaxRequestBody) && contentLength <= int64(settings.Streams.MaxRequestBody))
 	switch {
 	case x.Streaming:
-	case n > int64(set.Callers.MaxRequestBody):
-		return &httpserver.ErrorResponse{Status: http.StatusRequestEntityTooLarge, Message: fmt.Sprintf("body: %d bytes are too many", n)}
+	case contentLength > int64(settings.Callers.MaxRequestBody):
+		return &httpserver.ErrorResponse{Status: http.StatusRequestEntityTooLarge, Message: fmt.Sprintf("body: %d bytes are too many", contentLength)}
 	case isHealthCheck(r):
 		return nil
 	}
-	c := s.engine.NewCall()
-	if err := s.parseHead(c, r); err != nil {
-		s.engine.ReleaseCall(c)
+	call := s.engine.NewCall()
+	if err := s.parseHead(call, r); err != nil {
+		s.engine.ReleaseCall(call)
 		return &httpserver.ErrorResponse{Status: http.StatusBadRequest, Message: err.Error()}
 	}
-	x.HandlerState = c
+	x.HandlerState = call
 	return nil
 }
 
-// ServeExchange answers a request, see door.Handler.
+// ServeExchange implements [httpserver.Handler]. It responds to a health check itself, rejects a
+// request whose id is already open with 409, and has the engine serve all others.
 func (s requestHandler) ServeExchange(x *httpserver.Exchange) {
-	c, ok := x.HandlerState.(*engine.Call)
+	call, ok := x.HandlerState.(*engine.Call)
 	if !ok {
 		status := http.StatusOK
 		if s.httpServer.Draining() || !s.engine.Ready() {
@@ -131,46 +147,50 @@
 		x.Respond(status, "", nil, nil)
 		return
 	}
-	if !s.registerID(c.CallerRequestID) {
-		s.engine.ReleaseCall(c)
+	if !s.registerID(call.CallerRequestID) {
+		s.engine.ReleaseCall(call)
 		x.Close = true
 		x.Respond(http.StatusConflict, contentTypeText, nil, []byte("X-Request-ID: a request with it is open\n"))
 		return
 	}
-	defer s.unregisterID(c.CallerRequestID)
-	c.Head, c.Body, c.CallerDisconnected = x.RequestHead(), x.Body, x.CallerDisconnected
-	margin := min(s.engine.Settings().Callers.ResponseMargin, c.Timeout/10)
-	c.Deadline = x.ReceivedAt().Add(c.Timeout - margin)
-	c.Timeout -= 2*margin + time.Since(x.ReceivedAt())
+	defer s.unregisterID(call.CallerRequestID)
+	call.Head, call.Body, call.CallerDisconnected = x.RequestHead(), x.Body, x.CallerDisconnected
+	// One margin is reserved for the response to reach the caller, a second one for the balancer
+	// to end the attempts that it started. Each is at most a tenth of the timeout.
+	margin := min(s.engine.Settings().Callers.ResponseMargin, call.Timeout/10)
+	call.Deadline = x.ReceivedAt().Add(call.Timeout - margin)
+	call.Timeout -= 2*margin + time.Since(x.ReceivedAt())
 	if x.Streaming {
-		s.serveStreamedRequest(x, c)
+		s.serveStreamedRequest(x, call)
 		return
 	}
-	here := x.NotifyDisconnect(c)
-	f := s.engine.Serve(c, !here)
+	connected := x.NotifyDisconnect(call)
+	result := s.engine.Serve(call, !connected)
 	x.StopNotifyDisconnect()
-	if f.Streaming {
-		s.streamResponse(x, c, f)
+	if result.Streaming {
+		s.streamResponse(x, call, result)
 	} else {
-		s.respond(x, f)
+		s.respond(x, result)
 	}
-	s.engine.ReleaseCall(c)
+	s.engine.ReleaseCall(call)
 }
 
+// contentTypeText is the Content-Type of the sidecar's own responses.
 const contentTypeText = "text/plain; charset=utf-8"
 
+// Bodies of the responses to refused (503) and failed (502) requests.
 var refusedBody, failedBody = []byte("refused\n"), []byte("failed\n")
 
-// respond words a final answer. Only a refusal is worded 503: it tells the caller that trying
-// again does no harm.
-func (s *Server) respond(x *httpserver.Exchange, f engine.FinalResult) {
+// respond writes the response to a request with a final result whose body is not streamed. Only a
+// refused request gets 503: this status tells the caller that a retry is safe.
+func (s *Server) respond(x *httpserver.Exchange, result engine.FinalResult) {
 	switch {
-	case f.ServedBy != nil:
-		x.Respond(http.StatusOK, "", responseFieldAppender(f.ServedBy), f.ServedBy.ResponseBody())
-	case f.Refused:
+	case result.ServedBy != nil:
+		x.Respond(http.StatusOK, "", responseFieldAppender(result.ServedBy), result.ServedBy.ResponseBody())
+	case result.Refused:
 		x.Respond(http.StatusServiceUnavailable, contentTypeText, func(b []byte) []byte {
-			if f.RetryAfter > 0 {
-				b = http1.AppendRetryAfter(b, f.RetryAfter)
+			if result.RetryAfter > 0 {
+				b = http1.AppendRetryAfter(b, result.RetryAfter)
 			}
 			return b
 		}, refusedBody)
@@ -179,7 +199,8 @@
 	}
 }
 
-// responseFieldAppender appends the fields of an endpoint's answer that go to the caller.
+// responseFieldAppender returns a function that appends the forwarded fields of the endpoint's
+// response to b.
 func responseFieldAppender(x *upstream.Exchange) func(b []byte) []byte {
 	return func(b []byte) []byte {
 		head := x.ResponseHead()
@@ -192,92 +213,95 @@
 	}
 }
 
-// isForwardedField tells whether a field of an endpoint's answer goes to the caller: Date is the
-// door's, and a load report is for this sidecar.
+// isForwardedField reports whether a field of an endpoint's response is forwarded to the caller. Date
+// is not, because httpserver sets it, nor is X-Server-Load, a load report meant for this sidecar.
 func isForwardedField(head *http1.Response, name []byte) bool {
 	return !http1.EqualFieldName(name, "Date") && !http1.EqualFieldName(name, "X-Server-Load") && head.IsEndToEnd(name)
 }
 
-// protocolFields are those of the protocol that may stand in a request once.
+// protocolFields are the request fields that PROTOCOL defines. Each may be present at most once.
 var protocolFields = [...]string{
 	"X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "X-Retried", "X-Cost", "X-Attrs", "Idempotency-Key",
 }
 
-// parseHead reads a request's head. An error names the field at fault.
-func (s *Server) parseHead(c *engine.Call, r *http1.Request) error {
-	if m := string(r.Method()); m != http.MethodGet && m != http.MethodPost {
-		return fmt.Errorf("method %.20q: neither GET nor POST", m)
+// parseHead fills in a call from a request's head. The text of an error becomes the body of a 400
+// response and names the faulty field.
+func (s *Server) parseHead(call *engine.Call, r *http1.Request) error {
+	if method := string(r.Method()); method != http.MethodGet && method != http.MethodPost {
+		return fmt.Errorf("method %.20q: neither GET nor POST", method)
 	}
-	var own [len(protocolFields)][]byte
+	var values [len(protocolFields)][]byte // in the order of protocolFields
 	for i, name := range protocolFields {
-		v, n := r.Get(name)
-		if n > 1 { // an endpoint may read another than the first
+		value, count := r.Get(name)
+		if count > 1 { // an endpoint may use another one than the first
 			return fmt.Errorf("%s: given more than once", name)
 		}
-		if n > 0 && r.IsConnectionOption([]byte(name)) { // and would not get it
+		if count > 0 && r.IsConnectionOption([]byte(name)) { // it would not be forwarded
 			return fmt.Errorf("%s: named by Connection", name)
 		}
-		own[i] = v
+		values[i] = value
 	}
-	id, class, tenant, timeout, retried, cost, key := own[0], own[1], own[2], own[3], own[4], own[5], own[7]
+	id, class, tenant, timeout, retried, cost, key := values[0], values[1], values[2], values[3], values[4], values[5], values[7]
 	if len(id) == 0 || len(id) > maxRequestIDBytes {
 		return errors.New("X-Request-ID: missing or too long")
 	}
 	var ok bool
-	if c.Class, ok = s.cfg.ClassIndex[string(class)]; !ok {
+	if call.Class, ok = s.cfg.ClassIndex[string(class)]; !ok {
 		return fmt.Errorf("X-Priority-Class: unknown class %.40q", class)
 	}
-	k := &s.cfg.BalancerConfig.Classes[c.Class]
-	// A keyed request without its key would be sent again to endpoints that can't tell it for a repeat.
-	if k.Semantics == balance.Keyed && len(key) == 0 {
+	classConfig := &s.cfg.BalancerConfig.Classes[call.Class]
+	// Without the key, endpoints could not recognize a retry as a repeat.
+	if classConfig.Semantics == balance.Keyed && len(key) == 0 {
 		return fmt.Errorf("Idempotency-Key: missing for class %q", class)
 	}
 	if len(tenant) > 0 && len(s.cfg.TenantIndex) > 0 {
-		if c.Tenant, ok = s.cfg.TenantIndex[string(tenant)]; !ok {
+		if call.Tenant, ok = s.cfg.TenantIndex[string(tenant)]; !ok {
 			return fmt.Errorf("X-Tenant-Id: unknown tenant %.40q", tenant)
 		}
 	}
-	c.Timeout = k.Deadline
+	call.Timeout = classConfig.Deadline
 	if len(timeout) > 0 {
-		budget, ok := parseTimeout(timeout)
+		callerTimeout, ok := parseTimeout(timeout)
 		if !ok {
 			return fmt.Errorf("X-Timeout: bad value %.40q", timeout)
 		}
-		c.Timeout = min(budget, c.Timeout) // no client of the class waits for longer
+		call.Timeout = min(callerTimeout, call.Timeout) // no client waits longer than its class's deadline
 	}
 	if len(cost) > 0 {
-		us, err := strconv.ParseFloat(string(cost), 64)
-		if err != nil || !(us >= 0 && us < maxTimeout.Seconds()*1e6) {
+		microseconds, err := strconv.ParseFloat(string(cost), 64)
+		if err != nil || !(microseconds >= 0 && microseconds < maxTimeout.Seconds()*1e6) {
 			return fmt.Errorf("X-Cost: bad value %.40q", cost)
 		}
-		c.ExpectedWork = time.Duration(us * float64(time.Microsecond))
+		call.ExpectedWork = time.Duration(microseconds * float64(time.Microsecond))
 	}
-	c.ClientRetry = string(retried) == "1"
-	c.CallerRequestID = string(id)
+	call.ClientRetry = string(retried) == "1"
+	call.CallerRequestID = string(id)
 	return nil
 }
 
-// maxTimeout bounds what a caller may ask for.
+// maxTimeout is the upper limit of X-Timeout and X-Cost.
 const maxTimeout = time.Hour
 
-// parseTimeout reads a number with the unit m (milliseconds) or u (microseconds).
+// parseTimeout parses the value of X-Timeout: a decimal number followed by the unit m (milliseconds)
+// or u (microseconds). It reports false if the value is malformed, less than a nanosecond or greater
+// than maxTimeout.
 func parseTimeout(text []byte) (time.Duration, bool) {
-	last := len(text) - 1
-	if last < 0 {
+	unitIndex := len(text) - 1
+	if unitIndex < 0 {
 		return 0, false
 	}
 	unit := time.Millisecond
-	switch text[last] {
+	switch text[unitIndex] {
 	case 'm':
 	case 'u':
 		unit = time.Microsecond
 	default:
 		return 0, false
 	}
-	v, err := strconv.ParseFloat(string(text[:last]), 64)
-	d := v * float64(unit)
-	if err != nil || math.IsNaN(d) || d < 1 || d > float64(maxTimeout) {
+	number, err := strconv.ParseFloat(string(text[:unitIndex]), 64)
+	nanoseconds := number * float64(unit)
+	if err != nil || math.IsNaN(nanoseconds) || nanoseconds < 1 || nanoseconds > float64(maxTimeout) {
 		return 0, false
 	}
-	return time.Duration(d), true
+	return time.Duration(nanoseconds), true
 }
--- a/internal/sidecar/streaming.go
+++ b/internal/sidecar/streaming.go
@@ -14,33 +14,35 @@
 	"barleydrum.example/barleydrum/internal/upstream"
 )
 
-// StreamStats counts requests and answers whose bodies were passed on as they arrived.
+// StreamStats counts streamed requests and responses: those whose bodies are forwarded as they arrive.
+// All fields but OpenRequests count since the start of the process.
 type StreamStats struct {
-	OpenRequests     int   // requests that are
-	AcceptedRequests int64 // requests in all
-	RefusedRequests  int64 // for there being too many open
-	Responses        int64 // in all
-	IncompleteBodies int64 // requests or answers that did not come whole
-	SlowCallers      int64 // among those, for a caller's pace
-	SlowEndpoints    int64 // or an endpoint's
-	lastLoggedAt     time.Time
+	OpenRequests     int       // streamed requests being served
+	AcceptedRequests int64     // streamed requests accepted
+	RefusedRequests  int64     // streamed requests refused because too many were open
+	Responses        int64     // streamed responses started
+	IncompleteBodies int64     // bodies of requests or responses that were not completed
+	SlowCallers      int64     // incomplete bodies because the caller was too slow or its deadline passed
+	SlowEndpoints    int64     // incomplete bodies because the endpoint was too slow
+	lastLoggedAt     time.Time // when the counts were last logged
 }
 
-// streamLogInterval is the least time between two lines in the log about bodies.
+// streamLogInterval is the minimum time between two log lines about incomplete bodies.
 const streamLogInterval = 10 * time.Second
 
-// StreamStats tells what has flowed.
+// StreamStats returns the counts of streamed bodies and what the body store holds.
 func (s *Server) StreamStats() (StreamStats, body.Stats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.streamStats, s.bodies.Stats()
 }
 
-// acquireStream takes a place for a body that flows.
-func (s *Server) acquireStream(most int) bool {
+// acquireStream counts a streamed request as open. It reports false, and counts the request as
+// refused, if maxOpen are open already. The caller must call releaseStream after true.
+func (s *Server) acquireStream(maxOpen int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.streamStats.OpenRequests >= most {
+	if s.streamStats.OpenRequests >= maxOpen {
 		s.streamStats.RefusedRequests++
 		return false
 	}
@@ -49,125 +51,131 @@
 	return true
 }
 
+// releaseStream ends what acquireStream started.
 func (s *Server) releaseStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streamStats.OpenRequests--
 }
 
-// recordIncompleteBody notes why a body did not come whole, and says now and then in the log what bodies do.
+// recordIncompleteBody counts a body that was not completed because of err. It logs the counts at
+// most once per streamLogInterval.
 func (s *Server) recordIncompleteBody(err error) {
 	s.mu.Lock()
-	f := &s.streamStats
-	f.IncompleteBodies++
+	stats := &s.streamStats
+	stats.IncompleteBodies++
 	switch {
 	case errors.Is(err, httpserver.ErrCallerTooSlow), errors.Is(err, httpserver.ErrStreamDeadline):
-		f.SlowCallers++
+		stats.SlowCallers++
 	case errors.Is(err, upstream.ErrEndpointTooSlow):
-		f.SlowEndpoints++
+		stats.SlowEndpoints++
 	}
 	now := time.Now()
-	report := now.Sub(f.lastLoggedAt) >= streamLogInterval
-	if report {
-		f.lastLoggedAt = now
+	logDue := now.Sub(stats.lastLoggedAt) >= streamLogInterval
+	if logDue {
+		stats.lastLoggedAt = now
 	}
-	was := *f
+	counts := *stats
 	s.mu.Unlock()
-	if !report {
+	if !logDue {
 		return
 	}
-	held := s.bodies.Stats()
-	slog.Info("bodies", "why", err, "open", was.OpenRequests, "taken", was.AcceptedRequests, "refused", was.RefusedRequests, "answers", was.Responses,
-		"broken", was.IncompleteBodies, "slow callers", was.SlowCallers, "slow endpoints", was.SlowEndpoints,
-		"kept in memory", held.MemoryBytes, "files", held.OpenFiles, "in files", held.FileBytes, "not kept", held.DiscardedBodies, "file errors", held.FileErrors)
+	stored := s.bodies.Stats()
+	slog.Info("streamed body incomplete", "why", err, "open", counts.OpenRequests, "taken", counts.AcceptedRequests, "refused", counts.RefusedRequests, "answers", counts.Responses,
+		"broken", counts.IncompleteBodies, "slow callers", counts.SlowCallers, "slow endpoints", counts.SlowEndpoints,
+		"kept in memory", stored.MemoryBytes, "files", stored.OpenFiles, "in files", stored.FileBytes, "not kept", stored.DiscardedBodies, "file errors", stored.FileErrors)
 }
 
-// serveStreamedRequest serves a call whose body is still arriving.
-func (s *Server) serveStreamedRequest(x *httpserver.Exchange, c *engine.Call) {
-	set := &s.engine.Settings().Streams
-	if !s.acquireStream(set.MaxOpenRequests) {
-		s.engine.ReleaseCall(c)
-		x.Close = true // its body is not read
+// serveStreamedRequest serves a request whose body is still arriving. It releases the call.
+func (s *Server) serveStreamedRequest(x *httpserver.Exchange, call *engine.Call) {
+	settings := &s.engine.Settings().Streams
+	if !s.acquireStream(settings.MaxOpenRequests) {
+		s.engine.ReleaseCall(call)
+		x.Close = true // the body is not read
 		s.respond(x, engine.FinalResult{Refused: true, RetryAfter: s.cfg.BalancerConfig.Limits.MaxRetryAfter})
 		return
 	}
 	defer s.releaseStream()
-	b := s.bodies.New(set.BodyLimits(), c.MarkBodyUnavailable)
-	defer b.Close() // also where there is a panic
-	c.StreamedBody, c.StreamedBodyLength, c.BodyArriving = b, x.RequestHead().ContentLength(), true
+	requestBody := s.bodies.New(settings.BodyLimits(), call.MarkBodyUnavailable)
+	defer requestBody.Close() // in case of a panic
+	call.StreamedBody, call.StreamedBodyLength, call.BodyArriving = requestBody, x.RequestHead().ContentLength(), true
 	if x.RequestHead().Framing() == http1.Chunked {
-		c.StreamedBodyLength = -1
+		call.StreamedBodyLength = -1
 	}
-	here := x.NotifyDisconnect(c)
-	var broken error // its goroutine's until StopUpload
-	x.ReceiveBody(b, httpserver.StreamLimits{MaxBytes: int64(set.MaxRequestBody), RateMeter: set.RateMeter(), Deadline: c.Deadline}, func(err error) {
+	connected := x.NotifyDisconnect(call)
+	var receiveErr error // written by the receiving goroutine; read only after StopReceiving
+	x.ReceiveBody(requestBody, httpserver.StreamLimits{MaxBytes: int64(settings.MaxRequestBody), RateMeter: settings.RateMeter(), Deadline: call.Deadline}, func(err error) {
 		if err == nil {
-			c.MarkBodyComplete()
+			call.MarkBodyComplete()
 			return
 		}
-		broken = err
-		c.Cancel()
+		receiveErr = err
+		call.Cancel()
 	})
-	f := s.engine.Serve(c, !here)
+	result := s.engine.Serve(call, !connected)
 	x.StopNotifyDisconnect()
-	if f.Streaming {
-		b.StopRetaining()
-		s.streamResponse(x, c, f)
+	if result.Streaming {
+		requestBody.StopRetaining()
+		s.streamResponse(x, call, result)
 	}
-	b.Close()
+	requestBody.Close()
 	x.StopReceiving()
-	if !f.Streaming {
-		s.respondToStreamedRequest(x, f, broken)
+	if !result.Streaming {
+		s.respondToStreamedRequest(x, result, receiveErr)
 	}
-	s.engine.ReleaseCall(c)
+	s.engine.ReleaseCall(call)
 }
 
-// respondToStreamedRequest words the final answer to a request whose body may not have come whole: then nothing
-// can have run, and the caller is told what was wrong with it.
-func (s *Server) respondToStreamedRequest(x *httpserver.Exchange, f engine.FinalResult, broken error) {
-	if broken == nil || errors.Is(broken, body.ErrClosed) || f.ServedBy != nil || f.Refused {
-		s.respond(x, f)
+// respondToStreamedRequest writes the response to a streamed request whose response is not streamed.
+// If receiving the body failed, the request can't have run anywhere: the response is then a 4xx with
+// the text of receiveErr.
+func (s *Server) respondToStreamedRequest(x *httpserver.Exchange, result engine.FinalResult, receiveErr error) {
+	if receiveErr == nil || errors.Is(receiveErr, body.ErrClosed) || result.ServedBy != nil || result.Refused {
+		s.respond(x, result)
 		return
 	}
-	s.recordIncompleteBody(broken)
+	s.recordIncompleteBody(receiveErr)
 	status := http.StatusBadRequest
-	wrong := (*http1.Error)(nil)
+	httpErr := (*http1.Error)(nil)
 	switch {
-	case errors.As(broken, &wrong):
-		status = wrong.Status
-	case errors.Is(broken, httpserver.ErrBodyTooLarge):
+	case errors.As(receiveErr, &httpErr):
+		status = httpErr.Status
+	case errors.Is(receiveErr, httpserver.ErrBodyTooLarge):
 		status = http.StatusRequestEntityTooLarge
-	case errors.Is(broken, httpserver.ErrCallerTooSlow), errors.Is(broken, httpserver.ErrStreamDeadline):
+	case errors.Is(receiveErr, httpserver.ErrCallerTooSlow), errors.Is(receiveErr, httpserver.ErrStreamDeadline):
 		status = http.StatusRequestTimeout
 	}
-	x.Respond(status, contentTypeText, nil, []byte(broken.Error()+"\n"))
+	x.Respond(status, contentTypeText, nil, []byte(receiveErr.Error()+"\n"))
 }
 
-// responseCanceler ends an answer that flows as its caller goes.
+// responseCanceler implements [httpserver.Canceler]. It cancels the endpoint's side of a streamed
+// response when the caller disconnects.
 type responseCanceler struct{ exchange *upstream.Exchange }
 
-func (l responseCanceler) Cancel() { l.exchange.Cancel(upstream.ErrCanceled) }
+// Cancel implements [httpserver.Canceler].
+func (c responseCanceler) Cancel() { c.exchange.Cancel(upstream.ErrCanceled) }
 
-// streamResponse passes an answer on as it comes. If it breaks off, so does the caller's, who sees that.
-func (s *Server) streamResponse(x *httpserver.Exchange, c *engine.Call, f engine.FinalResult) {
+// streamResponse forwards the endpoint's response as it arrives. If that response is truncated, the
+// caller's response is truncated too, so that the caller detects the failure.
+func (s *Server) streamResponse(x *httpserver.Exchange, call *engine.Call, result engine.FinalResult) {
 	s.mu.Lock()
 	s.streamStats.Responses++
 	s.mu.Unlock()
-	if !x.NotifyDisconnect(responseCanceler{f.ServedBy}) {
+	if !x.NotifyDisconnect(responseCanceler{result.ServedBy}) {
 		s.recordIncompleteBody(httpserver.ErrCallerDisconnected)
 		return
 	}
 	defer x.StopNotifyDisconnect()
-	set := &s.engine.Settings().Streams
-	err := x.StartResponse(http.StatusOK, responseFieldAppender(f.ServedBy), f.ServedBy.ResponseBodyLength(), httpserver.StreamLimits{RateMeter: set.RateMeter(), Deadline: c.Deadline})
+	settings := &s.engine.Settings().Streams
+	err := x.StartResponse(http.StatusOK, responseFieldAppender(result.ServedBy), result.ServedBy.ResponseBodyLength(), httpserver.StreamLimits{RateMeter: settings.RateMeter(), Deadline: call.Deadline})
 	for err == nil {
-		var p []byte
-		if p, err = f.ServedBy.NextResponseData(); err == io.EOF {
-			err = x.FinishResponse(f.ServedBy.ResponseTrailers())
+		var data []byte
+		if data, err = result.ServedBy.NextResponseData(); err == io.EOF {
+			err = x.FinishResponse(result.ServedBy.ResponseTrailers())
 			break
 		}
 		if err == nil {
-			err = x.WriteBody(p)
+			err = x.WriteBody(data)
 		}
 	}
 	if err != nil {
