--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -14,30 +14,30 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// BenchmarkServe is one keyed request after another over loopback, on kept connections. The
-// other sides allocate nothing, so that what it counts is the sidecar's own.
+// BenchmarkServe measures sequential keyed requests over loopback on persistent connections. The caller
+// and the node allocate nothing, so all allocations counted are the sidecar's.
 func BenchmarkServe(b *testing.B) {
 	node, err := fake.NewBenchNode(2)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer node.Close()
-	c := fake.NewConfig(b, fake.EndpointList(node.Addr()))
-	e, err := engine.New(c)
+	cfg := fake.NewConfig(b, fake.EndpointList(node.Addr()))
+	e, err := engine.New(cfg)
 	if err != nil {
 		b.Fatal(err)
 	}
-	front, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	s, err := NewServer(c, e)
+	s, err := NewServer(cfg, e)
 	if err != nil {
 		b.Fatal(err)
 	}
-	go s.Serve(front)
+	go s.Serve(listener)
 	defer s.Close()
-	caller, err := fake.NewBenchCaller(front.Addr().String(), "book", "tank", 10, 20*time.Second, 0)
+	caller, err := fake.NewBenchCaller(listener.Addr().String(), "book", "tank", 10, 20*time.Second, 0)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -50,8 +50,9 @@
 	}
 }
 
-// BenchmarkFlow passes 8 MiB up and 8 MiB down on one connection, beside the standard library's
-// reverse proxy; callers and node are in the same process.
+// BenchmarkFlow measures streaming 8 MiB up and 8 MiB down on one connection, and compares it with the
+// standard library's reverse proxy. The sidecar retains request bodies in files in one case, and not at
+// all in another. Caller and node run in the same process.
 func BenchmarkFlow(b *testing.B) {
 	const size = 8 << 20
 	node, addr, err := fake.NewLargeBodyServer(size)
@@ -59,14 +60,14 @@
 		b.Fatal(err)
 	}
 	defer node.Close()
-	sides := map[string]string{}
-	for name, text := range map[string]string{"in files": streamSettings, "not kept": "[streams]\nmax_body = \"64MiB\"\nmax_answer = \"64MiB\"\n"} {
-		c := config.Merge(fake.NewConfig(b, fake.EndpointList(addr)).Platform, parseSettings(b, text))
-		e, err := engine.New(c)
+	proxyAddrs := map[string]string{}
+	for name, settings := range map[string]string{"in files": streamSettings, "not kept": "[streams]\nmax_body = \"64MiB\"\nmax_answer = \"64MiB\"\n"} {
+		cfg := config.Merge(fake.NewConfig(b, fake.EndpointList(addr)).Platform, parseSettings(b, settings))
+		e, err := engine.New(cfg)
 		if err != nil {
 			b.Fatal(err)
 		}
-		s, err := NewServer(c, e)
+		s, err := NewServer(cfg, e)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -76,19 +77,19 @@
 			b.Fatal(err)
 		}
 		go s.Serve(l)
-		sides[name] = l.Addr().String()
+		proxyAddrs[name] = l.Addr().String()
 	}
-	rival := httptest.NewServer(httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: addr}))
-	defer rival.Close()
-	sides["ReverseProxy"] = rival.Listener.Addr().String()
+	reverseProxy := httptest.NewServer(httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: addr}))
+	defer reverseProxy.Close()
+	proxyAddrs["ReverseProxy"] = reverseProxy.Listener.Addr().String()
 	id := 0
-	for name, to := range sides {
+	for name, proxyAddr := range proxyAddrs {
 		b.Run(name, func(b *testing.B) {
 			b.SetBytes(2 * size)
 			for b.Loop() {
 				id++
-				one := fake.LargeBodyCaller{Addr: to, Class: "book", Path: "a", ID: strconv.Itoa(id), BodyBytes: size, ResponseBytes: size, Timeout: testTimeout}
-				if err := one.Do(); err != nil {
+				caller := fake.LargeBodyCaller{Addr: proxyAddr, Class: "book", Path: "a", ID: strconv.Itoa(id), BodyBytes: size, ResponseBytes: size, Timeout: testTimeout}
+				if err := caller.Do(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -15,57 +15,60 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// runDiscovery runs discovery against a handler until the test ends.
+// runDiscovery runs a discovery client against h until the test ends, and returns its engine. The
+// engine starts with the list known.
 func runDiscovery(t *testing.T, known discovery.List, h http.HandlerFunc) *engine.Engine {
 	t.Helper()
 	return runDiscoveryWithConfig(t, fake.NewConfig(t, known), h)
 }
 
-func runDiscoveryWithConfig(t *testing.T, c *config.Config, h http.HandlerFunc) *engine.Engine {
+// runDiscoveryWithConfig is runDiscovery with a configuration.
+func runDiscoveryWithConfig(t *testing.T, cfg *config.Config, h http.HandlerFunc) *engine.Engine {
 	t.Helper()
-	return startDiscoveryClient(t, c, h).engine
+	return startDiscoveryClient(t, cfg, h).engine
 }
 
-func startDiscoveryClient(t *testing.T, c *config.Config, h http.HandlerFunc) *DiscoveryClient {
+// startDiscoveryClient runs a discovery client against h until the test ends.
+func startDiscoveryClient(t *testing.T, cfg *config.Config, h http.HandlerFunc) *DiscoveryClient {
 	t.Helper()
-	c.DiscoveryAddress = fake.StartHTTPServer(t, h)
-	e, err := engine.New(c)
+	cfg.DiscoveryAddress = fake.StartHTTPServer(t, h)
+	e, err := engine.New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	d := NewDiscoveryClient(c, e)
-	d.responseTimeout = 3 * time.Second // a slow machine must not lose an answer that a test counts on
+	stopped := make(chan struct{})
+	client := NewDiscoveryClient(cfg, e)
+	client.responseTimeout = 3 * time.Second // so that no response that a test relies on times out on a slow machine
 	go func() {
-		d.Run(ctx)
-		close(ended)
+		client.Run(ctx)
+		close(stopped)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		waitFor(t, ended, "end of the watch")
+		waitFor(t, stopped, "end of the watch")
 	})
-	return d
+	return client
 }
 
-// A call to the address before is given up as discovery moves, and the new address is asked
-// for the whole list: its versions are its own. Where the list is asked for, that needs no
-// further word of the balancer.
+// When the address of discovery changes, the request to the previous address must be canceled and the
+// whole list requested from the new one, because list versions of different services are unrelated. In
+// poll mode, this must not wait for the balancer to subscribe again.
 func TestSetAddressRequestsWholeList(t *testing.T) {
-	for _, asks := range []bool{false, true} {
-		asked, given := make(chan struct{}, 100), make(chan struct{}, 100)
+	for _, pollMode := range []bool{false, true} {
+		requested, canceled := make(chan struct{}, 100), make(chan struct{}, 100)
 		hang := func(r *http.Request) {
-			asked <- struct{}{}
+			requested <- struct{}{}
 			<-r.Context().Done()
-			given <- struct{}{}
+			canceled <- struct{}{}
 		}
-		first := make(chan string, 2)
-		var moves [2]string
-		for i := range moves {
-			var calls atomic.Int32
-			moves[i] = fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
-				if calls.Add(1) == 1 {
-					first <- r.URL.RawQuery
+		firstQueries := make(chan string, 2)
+		var addrs [2]string
+		for i := range addrs {
+			var requests atomic.Int32
+			addrs[i] = fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+				if requests.Add(1) == 1 {
+					firstQueries <- r.URL.RawQuery
 					json.NewEncoder(w).Encode(fake.EndpointList(fmt.Sprint("127.0.0.1:", 3+i)))
 					return
 				}
@@ -73,70 +76,71 @@
 			})
 		}
 		known := fake.EndpointList("127.0.0.1:2")
-		if asks { // so that the balancer asks at once
+		if pollMode { // so that the balancer subscribes at once
 			known = discovery.List{}
 		}
-		c := fake.NewConfig(t, known)
-		c.BalancerConfig.MustSubscribe = asks
-		d := startDiscoveryClient(t, c, func(_ http.ResponseWriter, r *http.Request) { hang(r) })
-		waitFor(t, asked, "call")
-		for i, addr := range moves { // moves may repeat
-			d.SetAddress(addr)
-			waitFor(t, given, "end of the old call")
-			waitFor(t, asked, "second call at the new address")
-			if got := <-first; got != "" {
-				t.Errorf("asks %v: first call with %q, want the whole list", asks, got)
+		cfg := fake.NewConfig(t, known)
+		cfg.BalancerConfig.MustSubscribe = pollMode
+		client := startDiscoveryClient(t, cfg, func(_ http.ResponseWriter, r *http.Request) { hang(r) })
+		waitFor(t, requested, "request")
+		for i, addr := range addrs { // the address may change repeatedly
+			client.SetAddress(addr)
+			waitFor(t, canceled, "cancellation of the old request")
+			waitFor(t, requested, "second request to the new address")
+			if got := <-firstQueries; got != "" {
+				t.Errorf("poll mode %v: first request with query %q, want none", pollMode, got)
 			}
-			got, _, _ := d.engine.LookupEndpoint("s-0")
+			got, _, _ := client.engine.LookupEndpoint("s-0")
 			if want := fmt.Sprint("127.0.0.1:", 3+i); got != want {
-				t.Errorf("asks %v: endpoint at %s, want %s", asks, got, want)
+				t.Errorf("poll mode %v: endpoint at %s, want %s", pollMode, got, want)
 			}
 		}
 	}
 }
 
-// Version 0 left out of a watch had each call answered with the whole list, at once.
+// Generation 0 must be sent as the index like any other: if it is left out, every request is answered
+// at once with the whole list.
 func TestWatchSendsGenerationZero(t *testing.T) {
 	queries := make(chan string, 100)
-	news := fake.EndpointList("127.0.0.1:2")
-	news.Generation = 0
+	list := fake.EndpointList("127.0.0.1:2")
+	list.Generation = 0
 	runDiscovery(t, discovery.List{}, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case queries <- r.URL.Query().Get("index"):
 		default:
 		}
-		json.NewEncoder(w).Encode(news)
+		json.NewEncoder(w).Encode(list)
 	})
 	for i, want := range []string{"", "0", "0"} {
 		if got := <-queries; got != want {
-			t.Errorf("call %d: index %q, want %q", i, got, want)
+			t.Errorf("request %d: index %q, want %q", i, got, want)
 		}
 	}
 }
 
-// Lists that can't be used and calls that get no answer leave the list at hand, and
-// the watch goes on. An agent that answers at once is not asked in a busy loop.
+// Invalid lists and failed requests must leave the current list unchanged, and the watch must go on.
+// Requests that are answered at once must not be repeated in a busy loop.
 func TestWatchContinuesAfterBadListsAndFailures(t *testing.T) {
-	bad := []string{
+	badLists := []string{
 		"", "{", `{"generation": "x"}`, `{"instances": [{"instanceId": "", "lifecycle": "up"}]}`,
 		`{"instances": [{"instanceId": "s", "lifecycle": "well", "hostPort": "127.0.0.1:2"}]}`,
 		`{"instances": [{"instanceId": "s", "lifecycle": "up", "hostPort": "nowhere"}]}`,
 		`{"instances": [{"instanceId": "s", "lifecycle": "up", "hostPort": "127.0.0.1:2", "weight": -1}]}`,
 	}
 	done := make(chan struct{})
-	calls, began := 0, time.Now()
+	requests, startedAt := 0, time.Now()
 	e := runDiscovery(t, fake.EndpointList("127.0.0.1:2"), func(w http.ResponseWriter, r *http.Request) {
-		switch calls++; {
-		case calls <= len(bad):
-			fmt.Fprint(w, bad[calls-1])
-		case calls == len(bad)+1:
+		switch requests++; {
+		case requests <= len(badLists):
+			fmt.Fprint(w, badLists[requests-1])
+		case requests == len(badLists)+1:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case calls == len(bad)+2:
-			<-r.Context().Done() // silence: the sidecar must ask again
-		case calls == len(bad)+3:
+		case requests == len(badLists)+2:
+			<-r.Context().Done() // no response: the client must send another request
+		case requests == len(badLists)+3:
 			fmt.Fprint(w, `{"generation": 7, "reset": false, "instances": [
 				{"instanceId": "s-1", "hostPort": "127.0.0.1:3", "zone": "c", "lifecycle": "draining"}]}`)
-		case calls == len(bad)+4:
+		case requests == len(badLists)+4:
 			if got := r.URL.Query().Get("index"); got != "7" {
 				t.Errorf("index %q, want 7", got)
 			}
@@ -146,9 +150,9 @@
 			fmt.Fprint(w, `{"generation": 7, "reset": false, "instances": []}`)
 		}
 	})
-	waitFor(t, done, "news")
-	if least := time.Duration(len(bad)) * config.DefaultSettings().Discovery.MinPause; time.Since(began) < least {
-		t.Errorf("%d calls within %v", calls, time.Since(began))
+	waitFor(t, done, "valid list")
+	if minDuration := time.Duration(len(badLists)) * config.DefaultSettings().Discovery.MinPause; time.Since(startedAt) < minDuration {
+		t.Errorf("%d requests within %v", requests, time.Since(startedAt))
 	}
 	for name, want := range map[string]bool{"s-0": true, "s-1": false} {
 		if _, inService, known := e.LookupEndpoint(name); !known || inService != want {
@@ -157,27 +161,27 @@
 	}
 }
 
-// Where discovery is asked, it is asked when the balancer says so, and a call that fails is
-// the balancer's to repeat: a fleet that asked again at once would keep discovery down.
+// In poll mode, requests must start when the balancer subscribes, and a failed request is repeated by
+// the balancer only: clients that all retry at once would keep discovery down.
 func TestPollIsRepeatedOnlyOnBalancerRequest(t *testing.T) {
-	c := fake.NewConfig(t, discovery.List{})
-	c.BalancerConfig.MustSubscribe = true
-	calls, listed := 0, make(chan struct{})
-	e := runDiscoveryWithConfig(t, c, func(w http.ResponseWriter, r *http.Request) {
-		switch calls++; calls {
+	cfg := fake.NewConfig(t, discovery.List{})
+	cfg.BalancerConfig.MustSubscribe = true
+	requests, listReceived := 0, make(chan struct{})
+	e := runDiscoveryWithConfig(t, cfg, func(w http.ResponseWriter, r *http.Request) {
+		switch requests++; requests {
 		case 1:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 2:
 			json.NewEncoder(w).Encode(fake.EndpointList("127.0.0.1:2"))
 		case 3:
-			close(listed)
+			close(listReceived)
 			fallthrough
 		default:
 			<-r.Context().Done()
 		}
 	})
-	waitFor(t, listed, "second call")
+	waitFor(t, listReceived, "request after the list")
 	if !e.Ready() {
-		t.Error("the list was not taken")
+		t.Error("the engine did not apply the list")
 	}
 }
--- a/internal/sidecar/reset_test.go
+++ b/internal/sidecar/reset_test.go
@@ -12,10 +12,11 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// Callers reset while their call is out and others ask on the same endpoints: the calls, their
-// attempts and their ids are forgotten, and each of the others has its own answer.
+// Callers reset their connections while their requests are being served and another caller uses the same
+// endpoints. The canceled calls, their attempts and their IDs must be forgotten, and the other caller must
+// get the responses to its own requests.
 func TestCallerResetsUnderLoad(t *testing.T) {
-	echo := func(w http.ResponseWriter, r *http.Request) {
+	echoID := func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if strings.HasSuffix(r.URL.Path, "/slow") {
 			select {
@@ -25,7 +26,7 @@
 		}
 		io.WriteString(w, r.Header.Get("X-Request-ID"))
 	}
-	p := startSidecar(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo), fake.StartHTTPServer(t, echo))))
+	sidecar := startSidecar(t, fake.NewConfig(t, fake.EndpointList(fake.StartHTTPServer(t, echoID), fake.StartHTTPServer(t, echoID), fake.StartHTTPServer(t, echoID))))
 	const head = "POST /api/%s HTTP/1.1\r\nHost: a\r\nX-Request-ID: %s\r\nX-Priority-Class: book\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx"
 	text := func(path, id string) string {
 		return strings.NewReplacer("%s HTTP", path+" HTTP", "ID: %s", "ID: "+id).Replace(head)
@@ -34,46 +35,46 @@
 	go func() {
 		defer close(done)
 		for i := range 200 {
-			c := p.dial(text("slow", "r"+string(rune('a'+i%26))+strings.Repeat("x", i)))
+			c := sidecar.dial(text("slow", "r"+string(rune('a'+i%26))+strings.Repeat("x", i)))
 			if i%2 == 0 {
 				c.(*net.TCPConn).SetLinger(0)
 			}
 			c.Close()
 		}
 	}()
-	c := p.dial("")
-	in := bufio.NewReader(c)
+	c := sidecar.dial("")
+	reader := bufio.NewReader(c)
 	for i := range 300 {
 		id := "own" + strings.Repeat("y", i%200)
 		if _, err := io.WriteString(c, text("quick", id)); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.ReadResponse(in, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if body, _ := io.ReadAll(resp.Body); resp.StatusCode == 200 && string(body) != id {
-			t.Fatalf("%q was answered with %q", id, body)
+			t.Fatalf("request %q got response %q", id, body)
 		}
 	}
 	<-done
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if s := p.engine.Stats(); s.OpenCalls == 0 && s.AttemptsInFlight == 0 {
+		if s := sidecar.engine.Stats(); s.OpenCalls == 0 && s.AttemptsInFlight == 0 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("left: %+v", p.engine.Stats())
+			t.Fatalf("not idle: %+v", sidecar.engine.Stats())
 		}
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		p.server.mu.Lock()
-		n := len(p.server.openIDs)
-		p.server.mu.Unlock()
+		sidecar.server.mu.Lock()
+		n := len(sidecar.server.openIDs)
+		sidecar.server.mu.Unlock()
 		if n == 0 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d ids are held", n)
+			t.Fatalf("%d request IDs are still open", n)
 		}
 	}
 }
--- a/internal/sidecar/streaming_test.go
+++ b/internal/sidecar/streaming_test.go
@@ -24,7 +24,8 @@
 	"barleydrum.example/barleydrum/internal/fake"
 )
 
-// streamSettings takes long bodies both ways, kept in files.
+// streamSettings allows streamed requests and responses of up to 64 MiB. Request bodies are retained in
+// files.
 const streamSettings = `
 [streams]
 max_body = "64MiB"
@@ -37,55 +38,58 @@
 rate_window = "10s"
 `
 
-// shortRateWindowSettings finds slow sides soon.
+// shortRateWindowSettings is streamSettings with a short window for measuring transfer rates, so that
+// slow callers and endpoints are detected soon.
 var shortRateWindowSettings = strings.Replace(streamSettings, `"10s"`, `"100ms"`, 1) + "least_rate = \"100KiB\"\n"
 
+// randomBytes returns n pseudorandom bytes, always the same for the same n.
 func randomBytes(n int) []byte {
 	p := make([]byte, n)
 	rand.NewChaCha8([32]byte{byte(n), byte(n >> 8)}).Read(p)
 	return p
 }
 
-// waitUntilIdle waits until a sidecar holds nothing of any call or body.
-func (p *testSidecar) waitUntilIdle() {
-	p.t.Helper()
+// waitUntilIdle waits until the sidecar has no open call, attempt, stream or body.
+func (s *testSidecar) waitUntilIdle() {
+	s.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		s := p.engine.Stats()
-		f, b := p.server.StreamStats()
-		b.DiscardedBodies, b.FileErrors = 0, 0
-		if s.OpenCalls == 0 && s.AttemptsInFlight == 0 && f.OpenRequests == 0 && b == (body.Stats{}) {
+		stats := s.engine.Stats()
+		streams, bodies := s.server.StreamStats()
+		bodies.DiscardedBodies, bodies.FileErrors = 0, 0
+		if stats.OpenCalls == 0 && stats.AttemptsInFlight == 0 && streams.OpenRequests == 0 && bodies == (body.Stats{}) {
 			return
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("left: %+v, %+v, %+v", s, f, b)
+			s.t.Fatalf("not idle: %+v, %+v, %+v", stats, streams, bodies)
 		}
 	}
 }
 
-// uploadRequest returns a request with a long body, in chunks if its length is not told.
-func (p *testSidecar) uploadRequest(class string, body io.Reader, length int64) *http.Request {
-	req := p.request(class, "")
+// uploadRequest returns a request with a long body. It is chunked if length is -1.
+func (s *testSidecar) uploadRequest(class string, body io.Reader, length int64) *http.Request {
+	req := s.request(class, "")
 	req.Method = http.MethodPost
 	req.Body, req.ContentLength = io.NopCloser(body), length
 	return req
 }
 
-// Long bodies pass unchanged in every framing, both ways at once, with net/http on both ends.
+// Long bodies must be streamed unchanged in every framing, in both directions at once, with net/http
+// as caller and as endpoint.
 func TestStreamedBodiesAreUnchangedInEveryFraming(t *testing.T) {
-	up, down := randomBytes(3<<20), randomBytes(2<<20+1)
-	for _, asked := range []string{"length", "chunks"} {
-		for _, answered := range []string{"length", "chunks", "close"} {
+	requestBody, responseBody := randomBytes(3<<20), randomBytes(2<<20+1)
+	for _, requestFraming := range []string{"length", "chunks"} {
+		for _, responseFraming := range []string{"length", "chunks", "close"} {
 			addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 				h := sha256.New()
-				if _, err := io.Copy(h, r.Body); err != nil || [32]byte(h.Sum(nil)) != sha256.Sum256(up) {
-					t.Errorf("%s: the node got something else: %v", asked, err)
+				if _, err := io.Copy(h, r.Body); err != nil || [32]byte(h.Sum(nil)) != sha256.Sum256(requestBody) {
+					t.Errorf("%s: the node got another body: %v", requestFraming, err)
 				}
-				if got := r.Trailer.Get("Checksum"); asked == "chunks" && got != "up" {
+				if got := r.Trailer.Get("Checksum"); requestFraming == "chunks" && got != "up" {
 					t.Errorf("trailer %q", got)
 				}
-				switch answered {
+				switch responseFraming {
 				case "length":
-					w.Header().Set("Content-Length", fmt.Sprint(len(down)))
+					w.Header().Set("Content-Length", fmt.Sprint(len(responseBody)))
 				case "chunks":
 					w.Header().Set("Trailer", "Checksum")
 					defer w.Header().Set("Checksum", "down")
@@ -96,54 +100,55 @@
 						return
 					}
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n")
-					c.Write(down)
+					c.Write(responseBody)
 					c.Close()
 					return
 				}
-				w.Write(down)
+				w.Write(responseBody)
 			})
-			p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
-			length := int64(len(up))
-			if asked == "chunks" {
+			sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
+			length := int64(len(requestBody))
+			if requestFraming == "chunks" {
 				length = -1
 			}
-			req := p.uploadRequest("book", bytes.NewReader(up), length)
-			if asked == "chunks" {
+			req := sidecar.uploadRequest("book", bytes.NewReader(requestBody), length)
+			if requestFraming == "chunks" {
 				req.Trailer = http.Header{"Checksum": {"up"}}
 			}
-			resp, got := p.send(req)
-			if resp.StatusCode != 200 || got != string(down) {
-				t.Errorf("%s, %s: %s, %d bytes", asked, answered, resp.Status, len(got))
+			resp, got := sidecar.send(req)
+			if resp.StatusCode != 200 || got != string(responseBody) {
+				t.Errorf("%s, %s: %s, %d bytes", requestFraming, responseFraming, resp.Status, len(got))
 			}
-			if trailer := resp.Trailer.Get("Checksum"); answered == "chunks" && trailer != "down" {
+			if trailer := resp.Trailer.Get("Checksum"); responseFraming == "chunks" && trailer != "down" {
 				t.Errorf("trailer %q", trailer)
 			}
-			p.waitUntilIdle()
+			sidecar.waitUntilIdle()
 		}
 	}
 }
 
-// A connection serves on after bodies that came whole, either way.
+// A caller's connection must serve further requests after streamed bodies that were complete, in
+// either direction.
 func TestCallerConnectionIsReusedAfterStreamedBodies(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
 		w.Write(text)
 	})
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
-	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
+	c, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(c)
 	want := randomBytes(300_000)
 	for i, class := range []string{"book", "read", "book"} {
-		req := p.uploadRequest(class, bytes.NewReader(want), int64(len(want)))
+		req := sidecar.uploadRequest(class, bytes.NewReader(want), int64(len(want)))
 		if i == 1 {
 			req.ContentLength = -1
 		}
 		go req.Write(c)
-		resp, err := http.ReadResponse(in, req)
+		resp, err := http.ReadResponse(reader, req)
 		if err != nil {
 			t.Fatal(i, err)
 		}
@@ -152,25 +157,26 @@
 			t.Fatal(i, resp.Status, len(got), err)
 		}
 	}
-	p.waitUntilIdle()
+	sidecar.waitUntilIdle()
 }
 
-// resettingNode is a node that resets the connection after so many bytes of the first request's body,
-// and keeps what it got of each that came whole.
+// resettingNode is a node that resets the connection of the first request. It records the hash of each
+// body that it received completely.
 type resettingNode struct {
-	resetAfterBytes  int64 // bytes; -1 for all of them, before it answers
+	resetAfterBytes  int64 // of the first request's body; -1 for the end of the body, before the response
 	mu               sync.Mutex
 	requestCount     int
 	completeBodySums [][32]byte
 }
 
-func (b *resettingNode) serve(w http.ResponseWriter, r *http.Request) {
-	b.mu.Lock()
-	b.requestCount++
-	first := b.requestCount == 1
-	b.mu.Unlock()
-	if first && b.resetAfterBytes >= 0 {
-		io.CopyN(io.Discard, r.Body, b.resetAfterBytes)
+// serve handles a request.
+func (n *resettingNode) serve(w http.ResponseWriter, r *http.Request) {
+	n.mu.Lock()
+	n.requestCount++
+	first := n.requestCount == 1
+	n.mu.Unlock()
+	if first && n.resetAfterBytes >= 0 {
+		io.CopyN(io.Discard, r.Body, n.resetAfterBytes)
 		resetConn(w)
 		return
 	}
@@ -178,14 +184,15 @@
 	if _, err := io.Copy(h, r.Body); err != nil {
 		return
 	}
-	b.mu.Lock()
-	b.completeBodySums = append(b.completeBodySums, [32]byte(h.Sum(nil)))
-	b.mu.Unlock()
+	n.mu.Lock()
+	n.completeBodySums = append(n.completeBodySums, [32]byte(h.Sum(nil)))
+	n.mu.Unlock()
 	if first {
 		resetConn(w)
 	}
 }
 
+// resetConn resets the connection of a request.
 func resetConn(w http.ResponseWriter) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -195,60 +202,60 @@
 	c.Close()
 }
 
-// An endpoint resets in the middle of an upload, at every stage: what was not whole has not run,
-// and is sent again from its begin, byte for byte, also of the class that may not run twice. What
-// was handed to the kernel whole may have run, also where the endpoint has not read all of it: the
-// body is longer than the kernel holds.
+// An endpoint resets the connection at different points of an upload. An incomplete request has not
+// run and must be retried from its first byte, unchanged, also for an unsafe class. A request that was
+// handed to the kernel completely may have run, even if the endpoint has not read all of it. The body is
+// larger than the kernel's buffers.
 func TestEndpointResetMidUpload(t *testing.T) {
 	const size = 24 << 20
 	want := randomBytes(size)
 	for _, class := range []string{"read", "book", "pay"} {
-		for _, after := range []int64{1, size / 2, size - 1, -1} {
-			b := &resettingNode{resetAfterBytes: after}
-			addr := fake.StartHTTPServer(t, b.serve)
-			p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, fake.StartHTTPServer(t, b.serve)), streamSettings))
-			resp, _ := p.send(p.uploadRequest(class, bytes.NewReader(want), size))
-			served := after >= 0 && after <= size/2 || class != "pay"
-			if got := resp.StatusCode; served && got != 200 || !served && got != http.StatusBadGateway {
-				t.Errorf("%s after %d: %s", class, after, resp.Status)
+		for _, resetAfter := range []int64{1, size / 2, size - 1, -1} {
+			node := &resettingNode{resetAfterBytes: resetAfter}
+			addr := fake.StartHTTPServer(t, node.serve)
+			sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, fake.StartHTTPServer(t, node.serve)), streamSettings))
+			resp, _ := sidecar.send(sidecar.uploadRequest(class, bytes.NewReader(want), size))
+			wantServed := resetAfter >= 0 && resetAfter <= size/2 || class != "pay"
+			if got := resp.StatusCode; wantServed && got != 200 || !wantServed && got != http.StatusBadGateway {
+				t.Errorf("%s after %d: %s", class, resetAfter, resp.Status)
 			}
-			b.mu.Lock()
-			if n := map[bool]int{true: 2, false: 1}[served]; b.requestCount != n {
-				t.Errorf("%s after %d: sent %d times, want %d", class, after, b.requestCount, n)
+			node.mu.Lock()
+			if n := map[bool]int{true: 2, false: 1}[wantServed]; node.requestCount != n {
+				t.Errorf("%s after %d: sent %d times, want %d", class, resetAfter, node.requestCount, n)
 			}
-			for _, sum := range b.completeBodySums {
+			for _, sum := range node.completeBodySums {
 				if sum != sha256.Sum256(want) {
-					t.Errorf("%s after %d: a node got something else", class, after)
+					t.Errorf("%s after %d: a node got another body", class, resetAfter)
 				}
 			}
-			b.mu.Unlock()
-			p.waitUntilIdle()
+			node.mu.Unlock()
+			sidecar.waitUntilIdle()
 		}
 	}
 }
 
-// limitedFile is a file that is full after so many bytes.
+// limitedFile is a body.File in memory that is full after capacityBytes.
 type limitedFile struct {
 	capacityBytes int64
-	shortWrites   bool
-	writeErr      error
+	shortWrites   bool  // a write beyond the capacity returns a smaller count and no error
+	writeErr      error // of a write beyond the capacity
 	data          []byte
 }
 
-func (d *limitedFile) WriteAt(p []byte, off int64) (int, error) {
-	n := int(min(int64(len(p)), max(d.capacityBytes-off, 0)))
-	d.data = append(d.data[:off], p[:n]...)
-	if n < len(p) && !d.shortWrites {
-		return n, d.writeErr
+func (f *limitedFile) WriteAt(p []byte, off int64) (int, error) {
+	n := int(min(int64(len(p)), max(f.capacityBytes-off, 0)))
+	f.data = append(f.data[:off], p[:n]...)
+	if n < len(p) && !f.shortWrites {
+		return n, f.writeErr
 	}
 	return n, nil
 }
 
-func (d *limitedFile) ReadAt(p []byte, off int64) (int, error) { return copy(p, d.data[off:]), nil }
-func (d *limitedFile) Close() error                            { return nil }
+func (f *limitedFile) ReadAt(p []byte, off int64) (int, error) { return copy(p, f.data[off:]), nil }
+func (f *limitedFile) Close() error                            { return nil }
 
-// A body that can't be kept, for whatever reason, goes out once and no more: a node that resets
-// it costs a safe or keyed request a refusal, an unsafe one that may have run a failure.
+// A body that can't be retained, for whatever reason, must be sent only once. If the endpoint resets
+// the connection, a safe or keyed request is refused, and an unsafe one, which may have run, fails.
 func TestUploadThatIsNotRetainedIsSentOnce(t *testing.T) {
 	const size = 1 << 20
 	want := randomBytes(size)
@@ -259,31 +266,31 @@
 		"short":   body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: size/4 + 5, shortWrites: true}, nil }),
 	} {
 		for class, status := range map[string]int{"read": 503, "book": 503, "pay": 502} {
-			b := &resettingNode{resetAfterBytes: -1}
-			p := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), streamSettings))
-			p.server.bodies = store
-			resp, _ := p.send(p.uploadRequest(class, bytes.NewReader(want), size))
-			b.mu.Lock()
-			if resp.StatusCode != status || b.requestCount != 1 || len(b.completeBodySums) != 1 || b.completeBodySums[0] != sha256.Sum256(want) {
-				t.Errorf("%s, %s: %s, sent %d times, %d whole", name, class, resp.Status, b.requestCount, len(b.completeBodySums))
+			node := &resettingNode{resetAfterBytes: -1}
+			sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node.serve), fake.StartHTTPServer(t, node.serve)), streamSettings))
+			sidecar.server.bodies = store
+			resp, _ := sidecar.send(sidecar.uploadRequest(class, bytes.NewReader(want), size))
+			node.mu.Lock()
+			if resp.StatusCode != status || node.requestCount != 1 || len(node.completeBodySums) != 1 || node.completeBodySums[0] != sha256.Sum256(want) {
+				t.Errorf("%s, %s: %s, sent %d times, %d complete", name, class, resp.Status, node.requestCount, len(node.completeBodySums))
 			}
-			b.mu.Unlock()
-			p.waitUntilIdle()
+			node.mu.Unlock()
+			sidecar.waitUntilIdle()
 		}
 	}
 }
 
-// A caller of a few bytes a second is ended, told that it was slow, and its endpoint is none the
-// worse for it: the next request goes there at once.
+// An upload of a few bytes per second must be ended with 408. The endpoint must not be blamed for it:
+// the next request is sent there at once.
 func TestSlowUploadIsRejectedAndEndpointNotBlamed(t *testing.T) {
-	var broken atomic.Int32
+	var brokenRequests atomic.Int32
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			broken.Add(1)
+			brokenRequests.Add(1)
 		}
 	})
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), shortRateWindowSettings))
-	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), shortRateWindowSettings))
+	c, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -308,246 +315,250 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if why, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusRequestTimeout || !strings.Contains(string(why), "caller is slow") {
-		t.Errorf("%s %q", resp.Status, why)
+	if reason, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusRequestTimeout || !strings.Contains(string(reason), "caller is slow") {
+		t.Errorf("%s %q", resp.Status, reason)
 	}
-	p.waitUntilIdle()
-	if resp, _ := p.send(p.request("pay", "x")); resp.StatusCode != 200 {
-		t.Errorf("the endpoint is blamed: %s", resp.Status)
+	sidecar.waitUntilIdle()
+	if resp, _ := sidecar.send(sidecar.request("pay", "x")); resp.StatusCode != 200 {
+		t.Errorf("next request after the slow upload: %s", resp.Status)
 	}
-	if f, _ := p.server.StreamStats(); f.SlowCallers != 1 || f.SlowEndpoints != 0 || broken.Load() != 1 {
-		t.Errorf("%+v, %d broken at the node", f, broken.Load())
+	if streams, _ := sidecar.server.StreamStats(); streams.SlowCallers != 1 || streams.SlowEndpoints != 0 || brokenRequests.Load() != 1 {
+		t.Errorf("%+v, %d broken requests at the node", streams, brokenRequests.Load())
 	}
 }
 
-// An endpoint that takes an upload too slowly has not run it: the upload goes to another.
+// An endpoint that reads an upload too slowly has not run it: the upload must be sent to another one.
 func TestUploadMovesFromSlowEndpointToAnother(t *testing.T) {
-	want := randomBytes(32 << 20) // more than the kernel's buffers take
-	var first atomic.Bool
+	want := randomBytes(32 << 20) // larger than the kernel's buffers
+	var firstReached atomic.Bool
 	stop := make(chan struct{})
 	node := func(w http.ResponseWriter, r *http.Request) {
-		if first.CompareAndSwap(false, true) {
+		if firstReached.CompareAndSwap(false, true) {
 			<-stop
 			return
 		}
 		h := sha256.New()
 		if io.Copy(h, r.Body); [32]byte(h.Sum(nil)) != sha256.Sum256(want) {
-			t.Error("the second node got something else")
+			t.Error("the second node got another body")
 		}
 	}
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), shortRateWindowSettings))
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), shortRateWindowSettings))
 	defer close(stop)
-	if resp, _ := p.send(p.uploadRequest("pay", bytes.NewReader(want), int64(len(want)))); resp.StatusCode != 200 || !first.Load() {
+	if resp, _ := sidecar.send(sidecar.uploadRequest("pay", bytes.NewReader(want), int64(len(want)))); resp.StatusCode != 200 || !firstReached.Load() {
 		t.Errorf("%s", resp.Status)
 	}
-	p.waitUntilIdle()
+	sidecar.waitUntilIdle()
 }
 
-// An endpoint answers before it has read the request, while the caller goes on sending, or has
-// stopped: the answer comes at once and whole, the connections end, and nothing is left.
+// An endpoint responds before it has read the request, while the caller continues to send or has
+// stopped. The complete response must reach the caller at once, the connections must end, and nothing may
+// remain open.
 func TestEarlyResponseReachesCaller(t *testing.T) {
-	long := randomBytes(2 << 20)
-	for _, c := range []struct {
-		name   string
-		answer []byte
-		stops  bool
+	longBody := randomBytes(2 << 20)
+	for _, test := range []struct {
+		name         string
+		responseBody []byte
+		callerStops  bool
 	}{
 		{"short", []byte("enough"), false}, {"short, the caller has stopped", []byte("enough"), true},
-		{"long", long, false}, {"long, the caller has stopped", long, true},
+		{"long", longBody, false}, {"long, the caller has stopped", longBody, true},
 	} {
-		addr := fake.StartTCPServer(t, func(n net.Conn) {
-			defer n.Close()
-			in := bufio.NewReader(n)
-			if _, err := http.ReadRequest(in); err != nil {
+		addr := fake.StartTCPServer(t, func(conn net.Conn) {
+			defer conn.Close()
+			reader := bufio.NewReader(conn)
+			if _, err := http.ReadRequest(reader); err != nil {
 				return
 			}
-			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(c.answer))
-			n.Write(c.answer)
-			io.Copy(io.Discard, in)
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(test.responseBody))
+			conn.Write(test.responseBody)
+			io.Copy(io.Discard, reader)
 		})
-		p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
-		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+		sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
+		caller, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(caller, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: e\r\nX-Priority-Class: pay\r\nContent-Length: 60000000\r\n\r\n")
 		caller.Write(make([]byte, 100_000))
-		if !c.stops {
+		if !test.callerStops {
 			go io.Copy(caller, zeroReader{})
 		}
 		caller.SetReadDeadline(time.Now().Add(testTimeout))
 		resp, err := http.ReadResponse(bufio.NewReader(caller), nil)
 		if err != nil {
-			t.Fatal(c.name, err)
+			t.Fatal(test.name, err)
 		}
-		if got, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || !bytes.Equal(got, c.answer) || !resp.Close {
-			t.Errorf("%s: %s, %d bytes, %v, close %v", c.name, resp.Status, len(got), err, resp.Close)
+		if got, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || !bytes.Equal(got, test.responseBody) || !resp.Close {
+			t.Errorf("%s: %s, %d bytes, %v, close %v", test.name, resp.Status, len(got), err, resp.Close)
 		}
 		caller.Close()
-		p.waitUntilIdle()
+		sidecar.waitUntilIdle()
 	}
 }
 
+// zeroReader reads zeros without end.
 type zeroReader struct{}
 
 func (zeroReader) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-// Once part of an answer has gone to the caller there is no other: one that breaks off, or stops,
-// is seen as broken by the caller, in every framing; and no further attempt is made.
+// Once part of a response has been sent to the caller, no other response may follow. If the endpoint's
+// response is truncated, stalls or is malformed, the caller must see a broken response in every framing,
+// and there must be no further attempt.
 func TestTruncatedStreamedResponseIsNotRetried(t *testing.T) {
-	part := randomBytes(200_000)
+	firstPart := randomBytes(200_000)
 	for _, framing := range []string{"Content-Length: 1000000", "Transfer-Encoding: chunked"} {
-		for _, how := range []string{"reset", "end", "silence", "bad chunk"} {
-			var seen atomic.Int32
+		for _, failure := range []string{"reset", "close", "silence", "bad chunk"} {
+			var attempts atomic.Int32
 			stop := make(chan struct{})
-			addr := fake.StartTCPServer(t, func(n net.Conn) {
-				defer n.Close()
-				if err := fake.DiscardRequest(bufio.NewReader(n)); err != nil {
+			addr := fake.StartTCPServer(t, func(conn net.Conn) {
+				defer conn.Close()
+				if err := fake.DiscardRequest(bufio.NewReader(conn)); err != nil {
 					return
 				}
-				seen.Add(1)
-				fmt.Fprintf(n, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", framing)
+				attempts.Add(1)
+				fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%s\r\n\r\n", framing)
 				if strings.HasPrefix(framing, "T") {
-					fmt.Fprintf(n, "%x\r\n%s\r\n", len(part), part)
+					fmt.Fprintf(conn, "%x\r\n%s\r\n", len(firstPart), firstPart)
 				} else {
-					n.Write(part)
+					conn.Write(firstPart)
 				}
-				switch how {
+				switch failure {
 				case "reset":
-					n.(*net.TCPConn).SetLinger(0)
+					conn.(*net.TCPConn).SetLinger(0)
 				case "silence":
 					<-stop
 				case "bad chunk":
-					io.WriteString(n, "zz\r\n")
+					io.WriteString(conn, "zz\r\n")
 				}
 			})
-			p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, addr), shortRateWindowSettings))
-			resp, err := http.DefaultTransport.RoundTrip(p.request("read", ""))
+			sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, addr), shortRateWindowSettings))
+			resp, err := http.DefaultTransport.RoundTrip(sidecar.request("read", ""))
 			if err == nil {
 				var got []byte
 				got, err = io.ReadAll(resp.Body)
 				resp.Body.Close()
-				if !bytes.HasPrefix(append(part, "zz\r\n"...), got) {
-					t.Errorf("%s, %s: something else came", framing, how)
+				if !bytes.HasPrefix(append(firstPart, "zz\r\n"...), got) {
+					t.Errorf("%s, %s: the caller got other bytes", framing, failure)
 				}
 			}
-			if err == nil || seen.Load() != 1 {
-				t.Errorf("%s, %s: %v after %d attempts", framing, how, err, seen.Load())
+			if err == nil || attempts.Load() != 1 {
+				t.Errorf("%s, %s: %v after %d attempts", framing, failure, err, attempts.Load())
 			}
 			close(stop)
-			p.waitUntilIdle()
+			sidecar.waitUntilIdle()
 		}
 	}
 }
 
-// Until part of an answer has gone to the caller, another attempt may answer.
+// Until part of a response has been sent to the caller, another attempt may provide the response.
 func TestResponseTruncatedBeforeCommitThresholdIsRetried(t *testing.T) {
-	var seen atomic.Int32
-	addr := fake.StartTCPServer(t, func(n net.Conn) {
-		defer n.Close()
-		if err := fake.DiscardRequest(bufio.NewReader(n)); err != nil {
+	var attempts atomic.Int32
+	addr := fake.StartTCPServer(t, func(conn net.Conn) {
+		defer conn.Close()
+		if err := fake.DiscardRequest(bufio.NewReader(conn)); err != nil {
 			return
 		}
-		if seen.Add(1) == 1 { // less than what is looked at
-			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n%s", randomBytes(8000))
+		if attempts.Add(1) == 1 { // less than the threshold (setting look)
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n%s", randomBytes(8000))
 			return
 		}
-		fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n%s", randomBytes(100000))
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n%s", randomBytes(100000))
 	})
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, addr), streamSettings))
-	if resp, got := p.send(p.request("read", "")); resp.StatusCode != 200 || got != string(randomBytes(100000)) || seen.Load() != 2 {
-		t.Errorf("%s, %d bytes, %d attempts", resp.Status, len(got), seen.Load())
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr, addr), streamSettings))
+	if resp, got := sidecar.send(sidecar.request("read", "")); resp.StatusCode != 200 || got != string(randomBytes(100000)) || attempts.Load() != 2 {
+		t.Errorf("%s, %d bytes, %d attempts", resp.Status, len(got), attempts.Load())
 	}
-	p.waitUntilIdle()
+	sidecar.waitUntilIdle()
 }
 
-// A caller that stops reading a long answer is ended, or goes by itself: the endpoint is let go.
+// A caller stops reading a long response, or disconnects. In the first case its connection must be
+// ended. In both, the endpoint must be released.
 func TestStalledOrDisconnectedCallerReleasesEndpoint(t *testing.T) {
-	for _, goes := range []bool{false, true} {
-		let := make(chan struct{})
-		addr := fake.StartTCPServer(t, func(n net.Conn) {
-			defer n.Close()
-			if err := fake.DiscardRequest(bufio.NewReader(n)); err != nil {
+	for _, disconnects := range []bool{false, true} {
+		released := make(chan struct{})
+		addr := fake.StartTCPServer(t, func(conn net.Conn) {
+			defer conn.Close()
+			if err := fake.DiscardRequest(bufio.NewReader(conn)); err != nil {
 				return
 			}
-			fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
-			io.CopyN(n, zeroReader{}, 60_000_000)
-			close(let)
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
+			io.CopyN(conn, zeroReader{}, 60_000_000)
+			close(released)
 		})
-		text := shortRateWindowSettings
-		if goes {
-			text = streamSettings
+		settings := shortRateWindowSettings
+		if disconnects {
+			settings = streamSettings
 		}
-		p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), text))
-		caller, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+		sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), settings))
+		caller, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.request("read", "").Write(caller)
+		sidecar.request("read", "").Write(caller)
 		io.ReadFull(caller, make([]byte, 1000))
-		if goes {
+		if disconnects {
 			caller.Close()
 		}
-		waitFor(t, let, "the endpoint is let go")
-		p.waitUntilIdle()
-		if f, _ := p.server.StreamStats(); f.IncompleteBodies != 1 || f.SlowEndpoints != 0 || !goes && f.SlowCallers != 1 {
-			t.Errorf("%+v", f)
+		waitFor(t, released, "release of the endpoint")
+		sidecar.waitUntilIdle()
+		if streams, _ := sidecar.server.StreamStats(); streams.IncompleteBodies != 1 || streams.SlowEndpoints != 0 || !disconnects && streams.SlowCallers != 1 {
+			t.Errorf("%+v", streams)
 		}
 		caller.Close()
 	}
 }
 
-// A caller goes in the middle of its upload: no endpoint gets it whole.
+// When a caller disconnects in the middle of an upload, no endpoint may receive a complete request.
 func TestCallerDisconnectMidUpload(t *testing.T) {
-	came := make(chan error, 1)
+	received := make(chan error, 1)
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, err := io.Copy(io.Discard, r.Body)
-		came <- err
+		received <- err
 	})
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
-	for _, chunked := range []string{"Content-Length: 1000000\r\n\r\n" + strings.Repeat("x", 500_000), "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
+	for _, fieldsAndBody := range []string{"Content-Length: 1000000\r\n\r\n" + strings.Repeat("x", 500_000), "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n"} {
+		c, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: g\r\nX-Priority-Class: pay\r\n%s", chunked)
-		for p.engine.Stats().AttemptsInFlight == 0 {
+		fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: g\r\nX-Priority-Class: pay\r\n%s", fieldsAndBody)
+		for sidecar.engine.Stats().AttemptsInFlight == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		c.Close()
-		if err := <-came; err == nil {
-			t.Error("the node got a whole request")
+		if err := <-received; err == nil {
+			t.Error("the node got a complete request")
 		}
-		p.waitUntilIdle()
+		sidecar.waitUntilIdle()
 	}
 }
 
-// Chunks that can be read in two ways, and bodies that are too long, are refused, and what went
-// on of them never becomes a whole request at the endpoint.
+// Ambiguous chunk framing and bodies that are too long must be rejected, and what was forwarded of them
+// must never become a complete request at the endpoint.
 func TestServerRejectsMalformedChunkedUploads(t *testing.T) {
-	var whole atomic.Int32
+	var completeRequests atomic.Int32
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
-			whole.Add(1)
+			completeRequests.Add(1)
 		}
 	})
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), strings.Replace(streamSettings, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
-	good := "5\r\nhello\r\n"
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), strings.Replace(streamSettings, `max_body = "64MiB"`, `max_body = "100kB"`, 1)))
+	firstChunk := "5\r\nhello\r\n"
 	for text, status := range map[string]int{
-		good + "zz\r\n":                         400,
-		good + "5\nhello\r\n":                   400,
-		good + "5\r\nhelloX":                    400,
-		good + "-1\r\n":                         400,
-		good + " 5\r\nhello\r\n":                400,
-		good + "0x5\r\nhello\r\n":               400,
-		good + "1111111111111111\r\n":           400,
-		good + "0\r\nHost: b\r\n\r\n":           400,
-		good + "0\r\nContent-Length: 3\r\n\r\n": 400,
-		good + "5;" + strings.Repeat("x", 300):  400,
-		good + "0\r\n" + strings.Repeat("A: "+string(make([]byte, 0))+strings.Repeat("b", 90)+"\r\n", 60): 431,
-		strings.Repeat(fmt.Sprintf("%x\r\n%s\r\n", 50_000, make([]byte, 50_000)), 3):                      413,
+		firstChunk + "zz\r\n":                         400,
+		firstChunk + "5\nhello\r\n":                   400,
+		firstChunk + "5\r\nhelloX":                    400,
+		firstChunk + "-1\r\n":                         400,
+		firstChunk + " 5\r\nhello\r\n":                400,
+		firstChunk + "0x5\r\nhello\r\n":               400,
+		firstChunk + "1111111111111111\r\n":           400,
+		firstChunk + "0\r\nHost: b\r\n\r\n":           400,
+		firstChunk + "0\r\nContent-Length: 3\r\n\r\n": 400,
+		firstChunk + "5;" + strings.Repeat("x", 300):  400,
+		firstChunk + "0\r\n" + strings.Repeat("A: "+string(make([]byte, 0))+strings.Repeat("b", 90)+"\r\n", 60): 431,
+		strings.Repeat(fmt.Sprintf("%x\r\n%s\r\n", 50_000, make([]byte, 50_000)), 3):                            413,
 	} {
-		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+		c, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -561,39 +572,40 @@
 			t.Errorf("%.40q: %s, close %v, want %d", text, resp.Status, resp.Close, status)
 		}
 		c.Close()
-		p.waitUntilIdle()
+		sidecar.waitUntilIdle()
 	}
-	if n := whole.Load(); n > 0 {
-		t.Errorf("the node got %d whole requests", n)
+	if n := completeRequests.Load(); n > 0 {
+		t.Errorf("the node got %d complete requests", n)
 	}
-	if resp, _ := p.send(p.uploadRequest("pay", bytes.NewReader(randomBytes(100_001)), 100_001)); resp.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("one byte too many: %s", resp.Status)
+	if resp, _ := sidecar.send(sidecar.uploadRequest("pay", bytes.NewReader(randomBytes(100_001)), 100_001)); resp.StatusCode != http.StatusRequestEntityTooLarge {
+		t.Errorf("body of one byte more than the limit: %s", resp.Status)
 	}
 }
 
-// A caller that waits for a 100 gets it once its body is wanted, and none where it is not.
+// A caller that expects a 100 must get it once the body has a reader, and must not get it if the
+// request is refused without reading the body.
 func TestContinueIsSentOnlyIfBodyIsRead(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	for name, list := range map[string]discovery.List{"wanted": fake.EndpointList(addr), "not wanted": fake.EndpointList()} {
-		p := startSidecar(t, configWithSettings(t, list, streamSettings))
-		c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	for name, list := range map[string]discovery.List{"endpoint available": fake.EndpointList(addr), "no endpoint": fake.EndpointList()} {
+		sidecar := startSidecar(t, configWithSettings(t, list, streamSettings))
+		c, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: w\r\nX-Priority-Class: pay\r\nX-Timeout: 500m\r\n"+
 			"Expect: 100-continue\r\nContent-Length: 100000\r\n\r\n")
 		c.SetReadDeadline(time.Now().Add(testTimeout))
-		in := bufio.NewReader(c)
-		resp, err := http.ReadResponse(in, nil)
+		reader := bufio.NewReader(c)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if name == "wanted" {
+		if name == "endpoint available" {
 			if resp.StatusCode != 100 {
 				t.Errorf("%s: %s", name, resp.Status)
 			}
 			c.Write(make([]byte, 100_000))
-			if resp, err = http.ReadResponse(in, nil); err != nil {
+			if resp, err = http.ReadResponse(reader, nil); err != nil {
 				t.Fatal(err)
 			}
 			if resp.StatusCode != 200 {
@@ -603,104 +615,105 @@
 			t.Errorf("%s: %s", name, resp.Status)
 		}
 		c.Close()
-		p.waitUntilIdle()
+		sidecar.waitUntilIdle()
 	}
 }
 
-// Only so many such requests are let in; one more is told when to come back, while short ones
-// are served as ever.
+// At the limit of open streamed requests, a further one must be refused with a Retry-After, while
+// requests with short bodies are served as usual.
 func TestOpenStreamedRequestsAreLimited(t *testing.T) {
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
-	c := configWithSettings(t, fake.EndpointList(addr), streamSettings+"open = 1\n")
-	c.BalancerConfig.Limits.MaxRetryAfter = 2 * time.Second
-	p := startSidecar(t, c)
-	in, out := io.Pipe()
-	done := make(chan *http.Response, 1)
+	cfg := configWithSettings(t, fake.EndpointList(addr), streamSettings+"open = 1\n")
+	cfg.BalancerConfig.Limits.MaxRetryAfter = 2 * time.Second
+	sidecar := startSidecar(t, cfg)
+	bodyReader, bodyWriter := io.Pipe()
+	responses := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.uploadRequest("pay", in, 100_000))
-		done <- resp
+		resp, _ := sidecar.send(sidecar.uploadRequest("pay", bodyReader, 100_000))
+		responses <- resp
 	}()
-	out.Write(make([]byte, 1000))
-	for f, _ := p.server.StreamStats(); f.OpenRequests == 0; f, _ = p.server.StreamStats() {
+	bodyWriter.Write(make([]byte, 1000))
+	for streams, _ := sidecar.server.StreamStats(); streams.OpenRequests == 0; streams, _ = sidecar.server.StreamStats() {
 		time.Sleep(time.Millisecond)
 	}
-	req := p.uploadRequest("book", bytes.NewReader(make([]byte, 100_000)), 100_000)
+	req := sidecar.uploadRequest("book", bytes.NewReader(make([]byte, 100_000)), 100_000)
 	req.Header.Set("X-Request-ID", "another")
-	if resp, _ := p.send(req); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "2.000" {
+	if resp, _ := sidecar.send(req); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "2.000" {
 		t.Errorf("%s %v", resp.Status, resp.Header)
 	}
-	req = p.request("pay", "short")
+	req = sidecar.request("pay", "short")
 	req.Header.Set("X-Request-ID", "a third")
-	if resp, _ := p.send(req); resp.StatusCode != 200 {
-		t.Errorf("a short one: %s", resp.Status)
+	if resp, _ := sidecar.send(req); resp.StatusCode != 200 {
+		t.Errorf("short request: %s", resp.Status)
 	}
-	out.Write(make([]byte, 99_000))
-	out.Close()
-	if resp := <-done; resp.StatusCode != 200 {
-		t.Errorf("the first: %s", resp.Status)
+	bodyWriter.Write(make([]byte, 99_000))
+	bodyWriter.Close()
+	if resp := <-responses; resp.StatusCode != 200 {
+		t.Errorf("first request: %s", resp.Status)
 	}
-	p.waitUntilIdle()
+	sidecar.waitUntilIdle()
 }
 
-// An endpoint drains in the middle of a long upload: what runs there goes on to its end, and
-// nothing new is sent there.
+// An endpoint drains in the middle of a long upload. The upload must be completed there, and new
+// requests must go to another endpoint.
 func TestEndpointDrainsMidUpload(t *testing.T) {
-	var old, other atomic.Int32
+	var drainingRequests, freshRequests atomic.Int32
 	list := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
-		old.Add(1)
+		drainingRequests.Add(1)
 		io.Copy(io.Discard, r.Body)
 	}))
-	p := startSidecar(t, configWithSettings(t, list, streamSettings))
-	in, out := io.Pipe()
-	done := make(chan *http.Response, 1)
+	sidecar := startSidecar(t, configWithSettings(t, list, streamSettings))
+	bodyReader, bodyWriter := io.Pipe()
+	responses := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.uploadRequest("pay", in, 500_000))
-		done <- resp
+		resp, _ := sidecar.send(sidecar.uploadRequest("pay", bodyReader, 500_000))
+		responses <- resp
 	}()
-	out.Write(make([]byte, 200_000))
-	for old.Load() == 0 {
+	bodyWriter.Write(make([]byte, 200_000))
+	for drainingRequests.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	list.Instances[0].Lifecycle = "draining"
-	fresh := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { other.Add(1) })).Instances[0]
+	fresh := fake.EndpointList(fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) { freshRequests.Add(1) })).Instances[0]
 	fresh.ID = "s-fresh"
 	list.Instances = append(list.Instances, fresh)
-	p.engine.UpdateEndpoints(&list)
-	req := p.request("pay", "short")
+	sidecar.engine.UpdateEndpoints(&list)
+	req := sidecar.request("pay", "short")
 	req.Header.Set("X-Request-ID", "another")
-	if resp, _ := p.send(req); resp.StatusCode != 200 {
-		t.Errorf("the next: %s", resp.Status)
+	if resp, _ := sidecar.send(req); resp.StatusCode != 200 {
+		t.Errorf("next request: %s", resp.Status)
 	}
-	out.Write(make([]byte, 300_000))
-	out.Close()
-	if resp := <-done; resp.StatusCode != 200 || old.Load() != 1 || other.Load() != 1 {
-		t.Errorf("%s, %d at the old, %d at the new", resp.Status, old.Load(), other.Load())
+	bodyWriter.Write(make([]byte, 300_000))
+	bodyWriter.Close()
+	if resp := <-responses; resp.StatusCode != 200 || drainingRequests.Load() != 1 || freshRequests.Load() != 1 {
+		t.Errorf("%s, %d requests at the draining endpoint, %d at the fresh one", resp.Status, drainingRequests.Load(), freshRequests.Load())
 	}
-	p.waitUntilIdle()
+	sidecar.waitUntilIdle()
 }
 
-// The end and a change of settings come while 100 streams are open: all get their answers whole.
+// Settings are reloaded and the shutdown starts while 100 streams are open. Each of them must get its
+// complete response.
 func TestShutdownAndReloadWithStreams(t *testing.T) {
 	const streams, half = 100, 100_000
 	addr := fake.StartHTTPServer(t, echoBody)
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), streamSettings))
 	want := randomBytes(2 * half)
-	var begun, ended sync.WaitGroup
-	rest := make(chan struct{})
+	var started, ended sync.WaitGroup
+	sendRest := make(chan struct{})
 	for i := range streams {
-		begun.Add(1)
+		started.Add(1)
 		ended.Add(1)
 		go func() {
 			defer ended.Done()
-			in, out := io.Pipe()
+			bodyReader, bodyWriter := io.Pipe()
 			go func() {
-				out.Write(want[:half])
-				begun.Done()
-				<-rest
-				out.Write(want[half:])
-				out.Close()
+				bodyWriter.Write(want[:half])
+				started.Done()
+				<-sendRest
+				bodyWriter.Write(want[half:])
+				bodyWriter.Close()
 			}()
-			req := p.uploadRequest("book", in, int64(len(want)))
+			req := sidecar.uploadRequest("book", bodyReader, int64(len(want)))
 			req.Header.Set("X-Request-ID", fmt.Sprint("s", i))
 			resp, err := new(http.Transport).RoundTrip(req)
 			if err != nil {
@@ -714,85 +727,85 @@
 			resp.Body.Close()
 		}()
 	}
-	begun.Wait()
-	p.engine.ApplySettings(parseSettings(t, strings.Replace(streamSettings, `"128KiB"`, `"0"`, 1)))
-	down := make(chan struct{})
+	started.Wait()
+	sidecar.engine.ApplySettings(parseSettings(t, strings.Replace(streamSettings, `"128KiB"`, `"0"`, 1)))
+	stopped := make(chan struct{})
 	go func() {
-		p.server.Shutdown()
-		close(down)
+		sidecar.server.Shutdown()
+		close(stopped)
 	}()
-	for !p.server.httpServer.Draining() {
+	for !sidecar.server.httpServer.Draining() {
 		time.Sleep(time.Millisecond)
 	}
-	close(rest)
+	close(sendRest)
 	ended.Wait()
-	waitFor(t, down, "shutdown")
-	p.waitUntilIdle()
+	waitFor(t, stopped, "shutdown")
+	sidecar.waitUntilIdle()
 }
 
-// A keyed upload that is sent again, and would be whole only after its key is forgotten where it
-// may have run, never becomes whole.
+// A keyed upload that may have run is retried, but the endpoints forget its key before the retry is
+// complete. The retry must then never become complete, since it would run a second time.
 func TestRetriedUploadNeverCompletesAfterRepeatWindow(t *testing.T) {
-	var whole atomic.Int32
-	first := make(chan struct{}, 2)
-	second := make(chan struct{})
+	var completeRequests atomic.Int32
+	requests := make(chan struct{}, 2)
+	windowPassed := make(chan struct{})
 	addr := fake.StartHTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case first <- struct{}{}:
+		case requests <- struct{}{}:
 		default:
 		}
-		if len(first) == 2 {
-			<-second // it is not read until the window has passed
+		if len(requests) == 2 {
+			<-windowPassed // the second request is not read until the repeat window has passed
 		}
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
-			whole.Add(1)
+			completeRequests.Add(1)
 		}
-		if len(first) == 1 {
-			first <- struct{}{}
-			time.AfterFunc(600*time.Millisecond, func() { close(second) })
+		if len(requests) == 1 {
+			requests <- struct{}{}
+			time.AfterFunc(600*time.Millisecond, func() { close(windowPassed) })
 			resetConn(w)
 		}
 	})
-	c := configWithSettings(t, fake.EndpointList(addr, addr), streamSettings)
-	c.BalancerConfig.Classes[c.ClassIndex["book"]].RepeatWindow = 300 * time.Millisecond
-	p := startSidecar(t, c)
+	cfg := configWithSettings(t, fake.EndpointList(addr, addr), streamSettings)
+	cfg.BalancerConfig.Classes[cfg.ClassIndex["book"]].RepeatWindow = 300 * time.Millisecond
+	sidecar := startSidecar(t, cfg)
 	want := randomBytes(32 << 20)
-	resp, err := http.DefaultTransport.RoundTrip(p.uploadRequest("book", bytes.NewReader(want), int64(len(want))))
+	resp, err := http.DefaultTransport.RoundTrip(sidecar.uploadRequest("book", bytes.NewReader(want), int64(len(want))))
 	if err == nil {
 		io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
-		if resp.StatusCode != 503 { // all endpoints drop its repeats, so that coming again does no harm
+		if resp.StatusCode != 503 { // all endpoints drop repeats of its key, so a retry by the caller is safe
 			t.Errorf("%s", resp.Status)
 		}
 	}
-	p.waitUntilIdle()
-	if n := whole.Load(); n != 1 {
-		t.Errorf("it was whole %d times", n)
+	sidecar.waitUntilIdle()
+	if n := completeRequests.Load(); n != 1 {
+		t.Errorf("%d complete requests, want 1", n)
 	}
 }
 
-// A random mix of bodies, faults and settings: exactly one final answer for each request, an
-// effect at most once for each unsafe one, nothing whole that is not as it was sent, and nothing
-// left.
+// Sends a random mix of bodies with faults and small limits. Each request must get exactly one final
+// response. A served request must have run, a refused unsafe one must not have run, no unsafe one may
+// run twice, complete bodies must be as they were sent, and nothing may remain open.
 func TestRandomStreams(t *testing.T) {
 	const seed = 20261201
 	rng := rand.New(rand.NewPCG(seed, 0))
-	type sent struct {
+	type sentRequest struct {
 		sum   [32]byte
 		class string
 	}
 	var mu sync.Mutex
-	asked, ran := map[string]sent{}, map[string]int{}
-	fault := func(id string, attempt int) uint64 {
+	sentRequests, counts := map[string]sentRequest{}, map[string]int{}
+	faultOf := func(id string, attempt int) uint64 {
 		return uint64(id[0])*31 + uint64(id[len(id)-1])*7 + uint64(attempt)*13
 	}
 	node := func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-ID")
 		mu.Lock()
-		attempt := ran[id+" seen"]
-		ran[id+" seen"]++
+		attempt := counts[id+" seen"]
+		counts[id+" seen"]++
 		mu.Unlock()
-		switch fault(id, attempt) % 7 {
+		switch faultOf(id, attempt) % 7 {
 		case 0:
 			io.CopyN(io.Discard, r.Body, 90_000)
 			resetConn(w)
@@ -810,12 +823,12 @@
 			return
 		}
 		mu.Lock()
-		ran[id]++
-		if [32]byte(h.Sum(nil)) != asked[id].sum {
-			t.Errorf("%s: whole, and not as it was sent", id)
+		counts[id]++
+		if [32]byte(h.Sum(nil)) != sentRequests[id].sum {
+			t.Errorf("%s: complete, but not as it was sent", id)
 		}
 		mu.Unlock()
-		switch fault(id, attempt) % 11 {
+		switch faultOf(id, attempt) % 11 {
 		case 3:
 			resetConn(w)
 		case 4, 5:
@@ -823,85 +836,86 @@
 		}
 	}
 	addrs := []string{fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), "127.0.0.1:1"}
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addrs...), strings.Replace(streamSettings, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
-	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: 500_000, writeErr: syscall.ENOSPC}, nil })
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addrs...), strings.Replace(streamSettings, `files_all = "256MiB"`, `files_all = "600kB"`, 1)+"open = 20\n"))
+	sidecar.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: 500_000, writeErr: syscall.ENOSPC}, nil })
 	var wg sync.WaitGroup
 	for i := range 200 {
 		id := fmt.Sprintf("%c-%d", 'a'+rng.IntN(26), i)
 		class := []string{"read", "book", "pay"}[rng.IntN(3)]
-		text := randomBytes(70_000 + rng.IntN(700_000))
-		chunked, goes := rng.IntN(3) == 0, rng.IntN(8) == 0
+		requestBody := randomBytes(70_000 + rng.IntN(700_000))
+		chunked, disconnects := rng.IntN(3) == 0, rng.IntN(8) == 0
 		mu.Lock()
-		asked[id] = sent{sha256.Sum256(text), class}
+		sentRequests[id] = sentRequest{sha256.Sum256(requestBody), class}
 		mu.Unlock()
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			var in io.Reader = bytes.NewReader(text)
-			if goes { // the caller goes half way
-				in = io.MultiReader(bytes.NewReader(text[:len(text)/2]), failingReader{})
+			var bodyReader io.Reader = bytes.NewReader(requestBody)
+			if disconnects { // the caller disconnects halfway
+				bodyReader = io.MultiReader(bytes.NewReader(requestBody[:len(requestBody)/2]), failingReader{})
 			}
-			length := int64(len(text))
+			length := int64(len(requestBody))
 			if chunked {
 				length = -1
 			}
-			req := p.uploadRequest(class, in, length)
+			req := sidecar.uploadRequest(class, bodyReader, length)
 			req.Header.Set("X-Request-ID", id)
 			if class == "pay" {
 				req.Header.Del("Idempotency-Key")
 			}
 			resp, err := new(http.Transport).RoundTrip(req.WithContext(context.Background()))
 			if err != nil {
-				return // it was closed early: counted below by what ran
+				return // closed early; checked below by how often it ran
 			}
 			defer resp.Body.Close()
 			_, err = io.Copy(io.Discard, resp.Body)
 			mu.Lock()
 			defer mu.Unlock()
-			if resp.StatusCode == 200 && err == nil && ran[id] == 0 {
-				t.Errorf("%s: served and never run", id)
+			if resp.StatusCode == 200 && err == nil && counts[id] == 0 {
+				t.Errorf("%s: served, but never ran", id)
 			}
-			if resp.StatusCode == 503 && class == "pay" && ran[id] > 0 {
-				t.Errorf("%s: refused, and run", id)
+			if resp.StatusCode == 503 && class == "pay" && counts[id] > 0 {
+				t.Errorf("%s: refused, but ran", id)
 			}
 		}()
 	}
 	wg.Wait()
-	p.waitUntilIdle()
+	sidecar.waitUntilIdle()
 	mu.Lock()
 	defer mu.Unlock()
-	for id, s := range asked {
-		if s.class == "pay" && ran[id] > 1 {
-			t.Errorf("%s ran %d times", id, ran[id])
+	for id, sent := range sentRequests {
+		if sent.class == "pay" && counts[id] > 1 {
+			t.Errorf("%s ran %d times", id, counts[id])
 		}
 	}
 }
 
+// failingReader fails each Read.
 type failingReader struct{}
 
-func (failingReader) Read([]byte) (int, error) { return 0, errors.New("the caller goes") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("the caller disconnects") }
 
-// echoBody sends a request's body back as it arrives.
+// echoBody sends the body of a request back as it arrives.
 func echoBody(w http.ResponseWriter, r *http.Request) {
 	http.NewResponseController(w).EnableFullDuplex()
 	io.Copy(w, r.Body)
 }
 
-// An endpoint answers at length before it has read the request, to a caller that sends on and reads
-// nothing: it is ended in bounded time, and the endpoint is let go.
+// An endpoint sends a long response before it has read the request, to a caller that continues to send
+// and reads nothing. The caller's connection must be ended in bounded time, and the endpoint released.
 func TestEarlyResponseToStalledCallerReleasesEndpoint(t *testing.T) {
-	let := make(chan struct{})
-	addr := fake.StartTCPServer(t, func(n net.Conn) {
-		defer n.Close()
-		if _, err := http.ReadRequest(bufio.NewReader(n)); err != nil {
+	released := make(chan struct{})
+	addr := fake.StartTCPServer(t, func(conn net.Conn) {
+		defer conn.Close()
+		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 			return
 		}
-		io.WriteString(n, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
-		io.CopyN(n, zeroReader{}, 60_000_000)
-		close(let)
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 60000000\r\n\r\n")
+		io.CopyN(conn, zeroReader{}, 60_000_000)
+		close(released)
 	})
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), shortRateWindowSettings))
-	c, err := net.Dial("tcp", strings.TrimPrefix(p.url, "http://"))
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), shortRateWindowSettings))
+	c, err := net.Dial("tcp", strings.TrimPrefix(sidecar.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -910,45 +924,45 @@
 		io.WriteString(c, "POST /api/a HTTP/1.1\r\nHost: a\r\nX-Request-ID: n\r\nX-Priority-Class: pay\r\nContent-Length: 60000000\r\n\r\n")
 		io.CopyN(c, zeroReader{}, 60_000_000)
 	}()
-	waitFor(t, let, "the endpoint is let go")
-	p.waitUntilIdle()
+	waitFor(t, released, "release of the endpoint")
+	sidecar.waitUntilIdle()
 }
 
-// The disk fills while a booking is being sent again and its body still arrives: the attempt that
-// is out gets the whole of it, and the booking is served.
+// The disk becomes full during the retry of a keyed upload whose body is still arriving. The attempt in
+// flight must get the complete body, and the request must be served.
 func TestDiskFillsDuringRetry(t *testing.T) {
-	b := &resettingNode{resetAfterBytes: 50_000}
-	p := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, b.serve), fake.StartHTTPServer(t, b.serve)), streamSettings))
-	p.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: 400_000, writeErr: syscall.ENOSPC}, nil })
+	node := &resettingNode{resetAfterBytes: 50_000}
+	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node.serve), fake.StartHTTPServer(t, node.serve)), streamSettings))
+	sidecar.server.bodies = body.NewStoreWithFileOpener(func() (body.File, error) { return &limitedFile{capacityBytes: 400_000, writeErr: syscall.ENOSPC}, nil })
 	want := randomBytes(2 << 20)
-	in, out := io.Pipe()
-	done := make(chan *http.Response, 1)
+	bodyReader, bodyWriter := io.Pipe()
+	responses := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.uploadRequest("book", in, int64(len(want))))
-		done <- resp
+		resp, _ := sidecar.send(sidecar.uploadRequest("book", bodyReader, int64(len(want))))
+		responses <- resp
 	}()
-	out.Write(want[:100_000])
-	seen := func() int {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return b.requestCount
+	bodyWriter.Write(want[:100_000])
+	requestCount := func() int {
+		node.mu.Lock()
+		defer node.mu.Unlock()
+		return node.requestCount
 	}
-	for seen() < 2 {
+	for requestCount() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	out.Write(want[100_000:])
-	out.Close()
-	resp := <-done
-	if _, held := p.server.StreamStats(); resp.StatusCode != 200 || seen() != 2 || b.completeBodySums[0] != sha256.Sum256(want) || held.DiscardedBodies != 1 || held.FileErrors != 1 {
-		t.Errorf("%s, sent %d times, %+v", resp.Status, seen(), held)
+	bodyWriter.Write(want[100_000:])
+	bodyWriter.Close()
+	resp := <-responses
+	if _, stored := sidecar.server.StreamStats(); resp.StatusCode != 200 || requestCount() != 2 || node.completeBodySums[0] != sha256.Sum256(want) || stored.DiscardedBodies != 1 || stored.FileErrors != 1 {
+		t.Errorf("%s, sent %d times, %+v", resp.Status, requestCount(), stored)
 	}
-	p.waitUntilIdle()
+	sidecar.waitUntilIdle()
 }
 
-// No second copy goes out while a body is still arriving, however long that takes; once it is whole
-// and its endpoint takes long, one does, and has the whole of it.
+// No hedge may be sent while a body is still arriving, however long that takes. Once the body is
+// complete and its endpoint is slow, one hedge must be sent with the complete body.
 func TestUploadIsHedgedOnlyOnceComplete(t *testing.T) {
-	var seen atomic.Int32
+	var attempts atomic.Int32
 	stop := make(chan struct{})
 	want := randomBytes(300_000)
 	node := func(w http.ResponseWriter, r *http.Request) {
@@ -956,46 +970,46 @@
 			io.WriteString(w, "TEXT busy_reqs=0")
 			return
 		}
-		n := seen.Add(1)
+		n := attempts.Add(1)
 		text, err := io.ReadAll(r.Body)
-		if len(text) < 100 { // the calls before
-			seen.Add(-1)
+		if len(text) < 100 { // the preceding short requests
+			attempts.Add(-1)
 			return
 		}
 		if err == nil && !bytes.Equal(text, want) {
-			t.Error("a node got something else")
+			t.Error("a node got another body")
 		}
 		if n == 1 {
 			<-stop
 		}
 	}
-	c := configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), streamSettings)
-	c.BalancerConfig.Reporting, c.BalancerConfig.Limits.Probes = balance.ReportsInProbe, true
-	c.BalancerConfig.Classes[c.ClassIndex["book"]].TargetLatency = 10 * time.Second // a quarter of it is what a call is taken to need at first
-	p := startSidecar(t, c)
+	cfg := configWithSettings(t, fake.EndpointList(fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node), fake.StartHTTPServer(t, node)), streamSettings)
+	cfg.BalancerConfig.Reporting, cfg.BalancerConfig.Limits.Probes = balance.ReportsInProbe, true
+	cfg.BalancerConfig.Classes[cfg.ClassIndex["book"]].TargetLatency = 10 * time.Second // the initial estimate of a request's duration is a quarter of it
+	sidecar := startSidecar(t, cfg)
 	defer close(stop)
-	for i := range 60 { // calls are quick, so that a hedge comes soon
-		req := p.request("book", "x")
+	for i := range 60 { // short requests are fast, so hedges are sent early
+		req := sidecar.request("book", "x")
 		req.Header.Set("X-Request-ID", fmt.Sprint("before ", i))
-		p.send(req)
+		sidecar.send(req)
 	}
-	in, out := io.Pipe()
-	done := make(chan *http.Response, 1)
+	bodyReader, bodyWriter := io.Pipe()
+	responses := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := p.send(p.uploadRequest("book", in, int64(len(want))))
-		done <- resp
+		resp, _ := sidecar.send(sidecar.uploadRequest("book", bodyReader, int64(len(want))))
+		responses <- resp
 	}()
-	out.Write(want[:200_000])
-	for seen.Load() == 0 {
+	bodyWriter.Write(want[:200_000])
+	for attempts.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(500 * time.Millisecond) // many times what a hedge waits for
-	if n := seen.Load(); n != 1 {
-		t.Errorf("%d copies while the body arrives", n)
+	time.Sleep(500 * time.Millisecond) // many times the hedge delay
+	if n := attempts.Load(); n != 1 {
+		t.Errorf("%d attempts while the body arrives, want 1", n)
 	}
-	out.Write(want[200_000:])
-	out.Close()
-	if resp := <-done; resp.StatusCode != 200 || seen.Load() != 2 {
-		t.Errorf("%s, %d copies", resp.Status, seen.Load())
+	bodyWriter.Write(want[200_000:])
+	bodyWriter.Close()
+	if resp := <-responses; resp.StatusCode != 200 || attempts.Load() != 2 {
+		t.Errorf("%s, %d attempts, want 2", resp.Status, attempts.Load())
 	}
 }
