--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -27,7 +27,7 @@
 // service.
 type DiscoveryClient struct {
 	pollMode                      bool          // requests wait until the balancer subscribes to the list, see Engine.SubscribeRequested
-	minRequestInterval            time.Duration // minimum time between two requests, to avoid a busy loop when they are answered at once
+	minRequestInterval            time.Duration // minimum time between two requests, to avoid a busy loop when responses are immediate
 	longPollWait, responseTimeout time.Duration // how long the service may wait for an update, and how long the response may take beyond that
 	engine                        *engine.Engine
 	client                        *http.Client
@@ -150,8 +150,8 @@
 	ctx, cancel := context.WithTimeout(ctx, d.longPollWait+d.responseTimeout)
 	defer cancel()
 	query := url.Values{}
-	// Generation "0" is sent like any other. Without an index, every request would be answered at
-	// once with the whole list.
+	// Generation "0" is sent like any other. Without an index, every request would immediately get
+	// the whole list.
 	if d.generation != "" {
 		query.Set("index", d.generation)
 		query.Set("wait", strconv.FormatInt(d.longPollWait.Milliseconds(), 10))
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Generation 0 must be sent as the index like any other: if it is left out, every request is answered
-// at once with the whole list.
+// Generation 0 must be sent as the index like any other: if it is left out, every request immediately
+// gets the whole list.
 func TestWatchSendsGenerationZero(t *testing.T) {
 	queries := make(chan string, 100)
 	list := fake.EndpointList("127.0.0.1:2")
@@ -119,7 +119,7 @@
 }
 
 // Invalid lists and failed requests must leave the current list unchanged, and the watch must go on.
-// Requests that are answered at once must not be repeated in a busy loop.
+// Requests that get an immediate response must not be repeated in a busy loop.
 func TestWatchContinuesAfterBadListsAndFailures(t *testing.T) {
 	badLists := []string{
 		"", "{", `{"generation": "x"}`, `{"instances": [{"instanceId": "", "lifecycle": "up"}]}`,
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -87,7 +87,7 @@
 	expectAttempts(1)
 }
 
-// A target latency that the settings shorten must end a request that no endpoint answers.
+// A target latency that the settings shorten must end a request that no endpoint responds to.
 func TestTargetLatencyFollowsSettings(t *testing.T) {
 	addr := fake.StartTCPServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	sidecar := startSidecar(t, configWithSettings(t, fake.EndpointList(addr), "[class.pay]\nwanted = \"50ms\"\ndeadline = \"100ms\"\n"))
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -637,8 +637,8 @@
 	}
 }
 
-// A request that no endpoint answers during the whole shutdown must get a 502 before the platform may
-// kill the process.
+// A request to which no endpoint responds during the whole shutdown must get a 502 before the platform
+// may kill the process.
 func TestShutdownFailsHangingRequestBeforeProcessIsKilled(t *testing.T) {
 	started := make(chan struct{}, 1)
 	addr := fake.StartHTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
