--- a/balance/balance.go
+++ b/balance/balance.go
@@ -111,7 +111,7 @@
 	Connection float64 // average number of open connections, divided by 100 x endpoints
 	CrossZone  float64 // attempts that cross zones, divided by first attempts
 	Handshake  float64 // new connections, divided by first attempts
-	LateFail   float64 // value of requests that end unserved after their target latency
+	LateFail   float64 // value of requests that end unserved once their target latency has passed
 	Peer       float64 // bytes of messages between sidecars, divided by 256 x first attempts
 	Probe      float64 // probes, divided by first attempts
 	Waste      float64 // work that yields no response, divided by the work offered
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -2,8 +2,8 @@
 
 // This file makes all decisions; the interface (settings, events, actions) is in balance.go. The mechanism
 // is SA-JIQ (speed-aware join-idle-queue): a request goes to an endpoint known to be idle, of the fastest
-// speed type that has one. With none idle, a type is drawn with a probability proportional to speed x
-// share, and an endpoint of that type uniformly.
+// speed type that has one. With none idle, a type is drawn with a probability proportional to its speed times
+// its share of the endpoints, and then an endpoint of that type uniformly.
 
 import (
 	"cmp"
@@ -65,7 +65,7 @@
 	// a full window add windowIncrease.
 	windowDecrease, windowIncrease, minWindow = 0.5, 0.1, 0.05
 
-	sendRateSeconds = 2.0 // averaging time of the send rate: of sends, as overload refuses most requests
+	sendRateSeconds = 2.0 // averaging time of the send rate (not of arrivals: overload refuses most)
 )
 
 const ( // admission
@@ -121,7 +121,7 @@
 // maxSendDelay is the longest delay of a sidecar between reading its clock and writing to a connection.
 const maxSendDelay = 150 * time.Millisecond
 
-// The kinds of timer: check a request (Ref is its ID), ask discovery again, dispatch queued requests.
+// The kinds of timer: check a request (Ref is its ID), ask discovery for the list, dispatch queued requests.
 const timerRequest, timerSubscribe, timerDispatch = 1, 2, 3
 
 // endpoint is the state of an endpoint as seen by this sidecar.
@@ -229,7 +229,7 @@
 	inFlight         int     // own attempts in flight that don't wait for their callers
 	congestionWindow float64 // own attempts that may be in flight
 
-	idleLossShares    [8]float64 // share of attempts lost silently, by idle time of their connection
+	idleLossShares    [8]float64 // share of attempts timed out or reset, by idle time of their connection
 	idleLossDecayedAt time.Duration
 
 	oversubscribed      bool        // too many sidecars share an endpoint to tell its load by own attempts
@@ -370,8 +370,8 @@
 	}
 }
 
-// updateSubset sets local and remote. Without probes they are an arc of the ring of endpoints that starts at
-// this sidecar's position, so that all sidecars together cover each endpoint alike.
+// updateSubset sets local and remote. Without probesOnArrival they are an arc of the ring of endpoints that
+// starts at this sidecar's position, so that all sidecars together cover each endpoint alike.
 func (b *Balancer) updateSubset() {
 	b.local, b.remote, b.readyCapacity = b.local[:0], b.remote[:0], 0
 	for _, e := range b.ready {
@@ -456,8 +456,8 @@
 	return b.actions
 }
 
-// overQuota reports whether a new request is over its tenant's quota, and takes it from the quota if not. The
-// quota applies at tier 0 only: requests that were admitted there are not counted again in further tiers.
+// overQuota reports whether a new request is over its tenant's quota, and counts it against the quota if not.
+// The quota applies at tier 0 only: requests that were admitted there are not counted again in further tiers.
 func (b *Balancer) overQuota(tenant int) bool {
 	if b.cfg.Tier > 0 || tenant < 0 || tenant >= len(b.quotaTokens) || b.cfg.Tenants[tenant].Quota <= 0 {
 		return false
@@ -597,8 +597,8 @@
 	return b.actions
 }
 
-// admitRetry reports whether a request whose attempts have all failed may have another, and takes it from the
-// retry budget if an attempt may have run.
+// admitRetry reports whether a request whose attempts have all failed may have another, and counts that one
+// against the retry budget if an earlier attempt may have run.
 func (b *Balancer) admitRetry(r *request) bool {
 	may := b.mayAddAttempt(r) && (r.firstRunEndpoint == nil ||
 		r.class.Semantics != Unsafe && b.retryTokens >= 1 &&
@@ -652,7 +652,7 @@
 		b.queue = append(b.queue, r)
 	}
 	if r.inFlight == 0 {
-		if b.probesOnArrival { // a probe may find an idle endpoint: worth a try however late
+		if b.probesOnArrival { // a probe may find an idle endpoint even for a late request
 			r.latestStart = max(r.latestStart, b.now+probeWait)
 		}
 		if len(r.attempts) > 0 && r.class.RetryStartWindow > 0 { // it ends when no attempt may start anymore
@@ -799,7 +799,7 @@
 
 // windowHasRoom reports whether the congestion window allows another attempt; a window below one spaces them
 // out. It applies where so many sidecars share an endpoint that one attempt of each is too much, whatever
-// congests it. AIMD: an attempt lost silently cuts it, and responses while requests are queued widen it.
+// congests it. AIMD: an attempt timed out or reset cuts it, and responses while requests are queued widen it.
 // Drawback: it refuses requests if attempts are lost for other reasons.
 func (b *Balancer) windowHasRoom(r *request) bool {
 	return float64(b.inFlight) < b.congestionWindow && (b.congestionWindow >= 1 ||
@@ -903,8 +903,8 @@
 }
 
 // pickFree returns the endpoint of a set whose free cores would run the next attempt fastest. An endpoint is
-// free while fewer own attempts are in flight to it than its speed times the concurrency limit. total is the
-// capacity that this sidecar spreads its attempts over.
+// free while its cores run fewer own attempts than its speed times the concurrency limit, which allows one at
+// least. total is the capacity that this sidecar spreads its attempts over.
 func (b *Balancer) pickFree(r *request, set []*endpoint, total float64) *endpoint {
 	var best *endpoint
 	bestSpeed := 0.0
@@ -1026,7 +1026,7 @@
 	return b.cfg.Limits.Hedging && !r.class.NoHedging && !r.BodyArriving
 }
 
-// mayRepeatAt reports whether a request that was sent to first at sentAt and may run may also go to e.
+// mayRepeatAt reports whether a request that was sent to first at sentAt, and may run there, may go to e too.
 func (b *Balancer) mayRepeatAt(r *request, first *endpoint, sentAt time.Duration, e *endpoint) bool {
 	if r.class.Semantics != Keyed {
 		return r.class.Semantics == Safe
@@ -1041,8 +1041,9 @@
 	return sentAt + c.RepeatWindow - min(maxSendDelay, c.RepeatWindow/2)
 }
 
-// sendDeadline returns the time before which the next attempt of a request must go out, which may be later
-// than the decision, as a connection may have to be opened. It returns 0 if no other attempt may have run.
+// sendDeadline returns the time before which the next attempt of a keyed request must go out, which may be
+// later than the decision, as a connection may have to be opened. It returns 0, for no limit, if the request
+// is not keyed or no other attempt may run or have run.
 func (b *Balancer) sendDeadline(r *request) time.Duration {
 	deadline := time.Duration(math.MaxInt64)
 	if r.class.Semantics == Keyed && r.firstRunEndpoint != nil {
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// The draw among busy endpoints must follow speed x share: in 20,000 draws with a fixed seed each endpoint's
+// The draw among busy endpoints must follow their speeds: in 20,000 draws with a fixed seed each endpoint's
 // count must be within five standard deviations.
 func TestDrawWeightedFollowsSpeed(t *testing.T) {
 	cfg := testConfig()
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The module is to be ported by hand: it must stay short.
-func TestModuleStaysShort(t *testing.T) {
+// balancer.go must stay short because it is to be ported by hand.
+func TestBalancerFileStaysShort(t *testing.T) {
 	text, err := os.ReadFile("balancer.go")
 	if err != nil {
 		t.Fatal(err)
