--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -12,7 +12,8 @@
 )
 
 // Call is a request with its attempts, until the last attempt has ended. The goroutine that serves
-// it runs the first attempt itself, and every later one that starts while it runs no other.
+// it runs the first attempt itself, and every later one that starts while it runs no other. Attempts
+// that must open a connection or send a streamed body run in goroutines of their own.
 // The exported fields must be set before Serve.
 type Call struct {
 	balance.Request // the engine sets its ID
@@ -274,7 +275,9 @@
 }
 
 // startAttempt starts the attempt that the balancer decided on: in the serving goroutine if that
-// runs no other, else in a goroutine of its own. The caller must hold e.mu.
+// runs no other and the request's body is not streamed, else in a goroutine of its own. An attempt that
+// must not be sent anymore is canceled and run all the same, so that its end is reported. The caller
+// must hold e.mu.
 func (e *Engine) startAttempt(action *balance.Action) {
 	c, ep := e.calls[action.Request], e.endpoints[action.Endpoint]
 	if c == nil || ep == nil {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -29,7 +29,7 @@
 	pool               *upstream.Pool
 	cfg                *config.Config
 	settings           *currentSettings
-	subscribeRequested chan struct{} // holds a value when the balancer has requested a watch
+	subscribeRequested chan struct{} // holds a value when the balancer has subscribed to the endpoint list
 	ready              atomic.Bool   // at least one endpoint has been known
 	callPool           sync.Pool     // of *Call
 
@@ -56,7 +56,7 @@
 
 	// reportedStart is the start time that discovery's lists give, as Unix time.
 	reportedStart    time.Duration
-	routeClosed      bool // the route keeps no idle connections any more
+	routeClosed      bool // the route keeps no idle connections anymore
 	outOfService     bool // draining or removed
 	removed          bool
 	inFlightCount    int // attempts and probes in flight
@@ -210,8 +210,8 @@
 	}
 }
 
-// SubscribeRequested returns a channel that holds a value when the balancer has requested a watch
-// of the endpoint list.
+// SubscribeRequested returns a channel that holds a value when the balancer has subscribed to the
+// endpoint list.
 func (e *Engine) SubscribeRequested() <-chan struct{} { return e.subscribeRequested }
 
 // Ready reports whether any endpoint has been known since the start.
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -27,7 +27,7 @@
 	Sidecars     []Sidecar
 	Nodes        []Node
 	Classes      []Class       // one for each of Balancer.Classes, in their order
-	OfferedLoad  float64       // work of the clients' first tries over the capacity of all nodes' cores
+	OfferedLoad  float64       // work of the clients' first tries, divided by the capacity of all nodes' cores
 	Duration     time.Duration // new requests arrive for this time
 	NetworkDelay time.Duration // one way between a sidecar and a node
 	Clients      Clients
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -181,8 +181,8 @@
 // Bodies of the responses to refused (503) and failed (502) requests.
 var refusedBody, failedBody = []byte("refused\n"), []byte("failed\n")
 
-// respond writes the response to a request with a final result whose body is not streamed. Only a
-// refused request gets 503: this status tells the caller that a retry is safe.
+// respond writes the response for a final result that is not streamed. Only a refused request gets
+// 503: this status means that a retry is safe.
 func (s *Server) respond(x *httpserver.Exchange, result engine.FinalResult) {
 	switch {
 	case result.ServedBy != nil:
