--- a/cmd/barleydrum/lost_response_test.go
+++ b/cmd/barleydrum/lost_response_test.go
@@ -95,7 +95,7 @@
 
 // A request that arrives on an idle connection as the program gets SIGTERM must either get a response or
 // not be forwarded to an endpoint: forwarded without a response, it may have run and its caller can't know.
-func TestRequestConcurrentWithSIGTERMIsAnsweredOrNotForwarded(t *testing.T) {
+func TestRequestConcurrentWithSIGTERMGetsResponseOrIsNotForwarded(t *testing.T) {
 	const (
 		rounds  = 4
 		callers = 64
--- a/cmd/barleydrum/main.go
+++ b/cmd/barleydrum/main.go
@@ -5,8 +5,8 @@
 //
 // The environment variable PROXY_CONFIG names the platform's configuration file. The operators'
 // settings FILE may only narrow it; without a platform configuration, FILE alone configures the
-// program. SIGHUP reloads both files. On SIGTERM or SIGINT the program stops accepting requests,
-// finishes those that it has accepted, and exits.
+// program. SIGHUP reloads both files. On SIGTERM or SIGINT the program shuts down: it accepts
+// connections for a short grace period, responds to the requests that it has received, and exits.
 package main
 
 import (
--- a/cmd/barleydrum/reload.go
+++ b/cmd/barleydrum/reload.go
@@ -24,8 +24,10 @@
 // reload reads the configuration again while the program runs.
 func (l configLoader) reload() (*config.Config, error) { return l.load(config.ReloadPlatform) }
 
-// load reads, merges and checks the configuration, the platform's part through loadPlatform. Findings
-// that forbid the use of a settings file are returned as an error, all others are logged.
+// load reads, merges and checks the configuration, the platform's part through loadPlatform. With a
+// settings file, findings that forbid its use are returned as an error, and all others are logged.
+// Without one, findings that would forbid the use of the platform's configuration are only logged, and
+// all others are ignored.
 func (l configLoader) load(loadPlatform func(func(string) string) (*config.Platform, error)) (*config.Config, error) {
 	var p *config.Platform
 	if l.settingsPath == "" || l.getenv("PROXY_CONFIG") != "" {
@@ -35,7 +37,7 @@
 		}
 	}
 	if l.settingsPath == "" {
-		// The platform's configuration is used in spite of findings: the balancer enforces its rules itself,
+		// The platform's configuration is used in spite of findings: the balancer enforces the rules itself,
 		// whatever its configuration says.
 		cfg, findings := check.Sidecar(p, l.getenv("PROXY_CONFIG"), nil, "")
 		for _, f := range findings {
