--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -25,7 +25,7 @@
 // Limits for closing a connection on which more data may arrive. The server reads on for a while, since
 // closing with unread data would reset the connection and the caller could lose the response. A caller
 // that keeps sending is read up to maxLingerBytes only; the connection then closes once the caller's
-// machine has acknowledged the response, which is polled.
+// machine has acknowledged the response, which is checked every lingerPollInterval.
 const (
 	lingerTimeout      = 500 * time.Millisecond
 	maxLingerBytes     = 1 << 20
@@ -123,8 +123,8 @@
 }
 
 // waitForRequest waits for the first bytes of a request and reads them. It waits up to Timeouts.Idle, on a
-// new connection up to Timeouts.Head. Data that has arrived by the end of that time, or by the time at which the
-// connection is requested to close, is read: only a connection without unread data is closed here.
+// new connection up to Timeouts.Head. Data that has arrived by then, or by the time of requestClose, is read:
+// only a connection without unread data is closed here.
 func (d *Server) waitForRequest(c *conn) error {
 	timeouts := d.cfg.Timeouts()
 	timeout := timeouts.Idle
@@ -143,7 +143,8 @@
 	return d.fill(c)
 }
 
-// readHead reads a request's head and returns its length in bytes.
+// readHead reads a request's head and returns its length in bytes. It waits for the end of an incomplete head
+// until Timeouts.Head after timerStartedAt, but at least for Timeouts.Body after the data at hand was read.
 func (d *Server) readHead(c *conn) (headBytes int, err error) {
 	c.head.Reset()
 	headBytes, err = c.head.Parse(c.buf.Bytes())
@@ -182,7 +183,8 @@
 // bodyTimeoutResponse is the response to a request whose body is not complete at its deadline.
 var bodyTimeoutResponse = &ErrorResponse{Status: 400, Message: "body: it did not come whole in time"}
 
-// startBodyRead sets the deadline for reading a body and sends 100 Continue if the caller expects it.
+// startBodyRead sets the deadline for reading a body and sends 100 Continue if the caller expects it. The
+// deadline is Timeouts.Head plus Timeouts.Body after timerStartedAt, but at least Timeouts.Body from now.
 func (d *Server) startBodyRead(c *conn) error {
 	d.setStage(c, stageReading, time.Now())
 	timeouts := d.cfg.Timeouts()
--- a/internal/httpserver/conntable.go
+++ b/internal/httpserver/conntable.go
@@ -32,8 +32,8 @@
 	lists     [numStages]struct{ front, back *tableEntry }
 }
 
-// add adds a new connection. The table never holds more than maxOpen+1 entries, since the
-// listener waits for a slot before it accepts.
+// add adds a connection, in stageNew. The table never holds more than maxOpen entries, since each has one
+// of the server's maxOpen slots, for which Serve waits before it accepts.
 func (p *connTable) add(e *tableEntry, now time.Time) {
 	e.inTable = true
 	p.openCount++
@@ -69,8 +69,8 @@
 // evictionCandidate returns the connection whose eviction does the least harm, nil if none may be evicted:
 // the one that has been new for longest, else idle for longest, else reading for longest. New and reading
 // connections are evicted only after grace in their stage, as their requests may be on their way, and never
-// if they are the newest. New and idle connections must have no unread data, which readWouldBlock reports.
-// Connections whose request is being served are never evicted.
+// if they are newest, which may be nil. New and idle connections must have no unread data, which
+// readWouldBlock reports. Connections whose request is being served are never evicted.
 func (p *connTable) evictionCandidate(newest *tableEntry, now time.Time, grace time.Duration, readWouldBlock func(*tableEntry) bool) *tableEntry {
 	for _, stage := range []connStage{stageNew, stageIdle, stageReading} {
 		for e := p.lists[stage].front; e != nil; e = e.next {
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -22,8 +22,8 @@
 	responseData []byte
 	pooledBuffer *[]byte // from Server.responseBuffers; responseData may have outgrown it
 
-	receiver *bodyReceiver
-	stream   responseStream
+	receiver *bodyReceiver  // of a streamed request body; nil before ReceiveBody
+	stream   responseStream // of a response that StartResponse has started
 }
 
 // RequestHead returns the request's head.
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -52,7 +52,7 @@
 }
 
 // Canceler is notified when the caller of a request that is being served disconnects. The server
-// calls Cancel once, with its lock held, so that Cancel must not call the server.
+// calls Cancel once, with its lock held, so Cancel must not call the server.
 type Canceler interface{ Cancel() }
 
 // Timeouts are the times that a caller is allowed. They may change while the server is running.
@@ -103,7 +103,7 @@
 	id           uint64
 	disconnected bool     // the caller has disconnected; guarded by Server.mu
 	canceler     Canceler // of the request that is being served; guarded by Server.mu
-	closeReason  error    // why the connection was requested to close, nil if it was not; guarded by Server.mu
+	closeReason  error    // why the connection must close, nil if it may stay open; guarded by Server.mu
 
 	head              *http1.Request
 	buf               *http1.Buffer // data that was read but not consumed, nil if there is none
@@ -222,7 +222,8 @@
 	<-d.slots
 }
 
-// removeConn removes a connection from the table and the map of open connections.
+// removeConn removes a connection from the table and the map of open connections. When the last one
+// is removed, it wakes Shutdown.
 func (d *Server) removeConn(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -234,9 +235,8 @@
 	}
 }
 
-// setStage records the stage that a connection has reached. It cancels a request to close the
-// connection, and adds an evicted connection to the table again: data that has been read always
-// gets a response.
+// setStage records the stage that a connection has reached. It revokes an earlier requestClose and
+// adds an evicted connection to the table again: data that has been read always gets a response.
 func (d *Server) setStage(c *conn, stage connStage, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -252,22 +252,22 @@
 	}
 }
 
-// requestClose requests a connection to close on which no request is being served. The connection's
-// own goroutine closes it, unless it has read data in the meantime. d.mu must be held.
+// requestClose makes a connection close that is serving no request. The connection's own goroutine
+// closes it, unless it has read data in the meantime. The caller must hold d.mu.
 func (d *Server) requestClose(c *conn, reason error) {
 	c.closeReason = reason
 	c.SetReadDeadline(expiredDeadline)
 }
 
-// closeReason returns why a connection was requested to close, nil if it was not.
+// closeReason returns why a connection that serves no request must close, nil if it may stay open.
 func (d *Server) closeReason(c *conn) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return c.closeReason
 }
 
-// setReadDeadline sets the deadline for the next read. On a connection that was requested to close, or
-// that the shutdown closes in its present stage, it sets one that has passed.
+// setReadDeadline sets the deadline for the next read. It sets expiredDeadline instead if requestClose was
+// called for the connection, or if the shutdown closes connections in its stage.
 func (d *Server) setReadDeadline(c *conn, deadline time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -281,7 +281,8 @@
 }
 
 // evictUntilBelowLimit evicts connections until the table has a free slot. If none may be evicted yet,
-// it tries again after EvictionGrace. d.mu must be held.
+// it tries again after EvictionGrace. newest is the connection that was just added or has just changed
+// its stage, nil for none. The caller must hold d.mu.
 func (d *Server) evictUntilBelowLimit(newest *tableEntry) {
 	for d.table.full() {
 		if d.evictOne(newest) {
@@ -300,8 +301,8 @@
 	}
 }
 
-// evictOne removes the table's eviction candidate and requests its connection to close. It reports whether
-// there was a candidate. d.mu must be held.
+// evictOne removes the table's eviction candidate and calls requestClose for its connection. It reports
+// whether there was a candidate. The caller must hold d.mu.
 func (d *Server) evictOne(newest *tableEntry) bool {
 	candidate := d.table.evictionCandidate(newest, time.Now(), d.cfg.Timeouts().EvictionGrace, func(e *tableEntry) bool { return e.conn.ReadWouldBlock() })
 	if candidate == nil {
@@ -334,10 +335,11 @@
 	}
 }
 
-// Shutdown drains the server: it closes idle connections and has responses announce the end of theirs
-// with Connection: close. After acceptGrace it accepts no more connections and closes those without a
-// complete request. It returns when all connections are closed, or when ctx ends, with the number of
-// connections that remained; it closes these.
+// Shutdown drains the server: it closes idle connections, and from then on the last response on each
+// connection carries Connection: close. After acceptGrace it accepts no more connections and closes
+// those without a complete request. It returns once all connections are closed or ctx has ended.
+// remaining is the number of connections that were still open then; Shutdown closes them before it
+// returns.
 func (d *Server) Shutdown(ctx context.Context, acceptGrace time.Duration) (remaining int) {
 	d.draining.Store(true)
 	d.requestCloseAll(stageIdle)
@@ -361,7 +363,7 @@
 	return remaining
 }
 
-// requestCloseAll requests all connections in the given stages to close because of the shutdown.
+// requestCloseAll calls requestClose, because of the shutdown, for all connections in the given stages.
 func (d *Server) requestCloseAll(stages ...connStage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -531,7 +531,7 @@
 	}
 }
 
-// A connection may become idle just after Shutdown has requested idle connections to close, with a response
+// A connection may become idle just after Shutdown has called requestClose for the idle ones, with a response
 // that was composed before the shutdown and so lacks Connection: close. It must be closed at once; Shutdown
 // must not wait for its idle timeout.
 func TestShutdownClosesConnectionThatBecomesIdle(t *testing.T) {
@@ -547,7 +547,7 @@
 	for !srv.server.Draining() {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(10 * time.Millisecond) // by now Shutdown has requested idle connections to close
+	time.Sleep(10 * time.Millisecond) // by now Shutdown has called requestClose for idle connections
 	close(srv.handler.release)
 	reader := bufio.NewReader(c)
 	if resp, _ := srv.readResponse(reader); resp.StatusCode != 200 {
--- a/internal/httpserver/shutdown_test.go
+++ b/internal/httpserver/shutdown_test.go
@@ -44,8 +44,8 @@
 	return srv, handler
 }
 
-// startShutdown starts the shutdown and waits until the server accepts no more connections. By then, idle
-// connections have been requested to close. The channel receives the result of Shutdown.
+// startShutdown starts the shutdown and waits until the server accepts no more connections. By then, the
+// server has called requestClose for idle connections. The channel receives the result of Shutdown.
 func (h *testServer) startShutdown() (remaining chan int) {
 	h.t.Helper()
 	remaining = make(chan int, 1)
@@ -66,7 +66,7 @@
 }
 
 // A request whose head was read while its connection counted as idle gets a response, though the shutdown has
-// requested the connection to close.
+// called requestClose for the connection.
 func TestRequestReadDuringShutdownIsServed(t *testing.T) {
 	srv, handler := startPausingServer(t, 10, longTimeouts())
 	c := srv.dial(postRequest("/", ""))
--- a/internal/httpserver/stream.go
+++ b/internal/httpserver/stream.go
@@ -24,7 +24,7 @@
 // StreamLimits are the limits of a streamed body.
 type StreamLimits struct {
 	MaxBytes  int64              // largest length of a chunked request body, in bytes
-	RateMeter transferrate.Meter // minimum rate at which the caller must send or receive
+	RateMeter transferrate.Meter // minimum transfer rate of the caller, who sends or receives the body
 	Deadline  time.Time          // of the whole body
 }
 
@@ -115,7 +115,7 @@
 	return err
 }
 
-// receiveFixedLength receives a body of a known length in bytes, straight into the store.
+// receiveFixedLength receives a body of remaining bytes, straight into the store.
 func (u *bodyReceiver) receiveFixedLength(remaining int64) error {
 	for remaining > 0 {
 		space, err := u.store.Reserve(int(min(remaining, body.BlockSize)))
@@ -183,9 +183,9 @@
 	}
 }
 
-// readWithinLimits calls read, which reads once from the connection, for as long as the caller keeps the
-// minimum rate and the deadline has not passed. Time spent waiting for the reader of the body does not
-// count against the caller.
+// readWithinLimits calls read, which reads once from the connection, and repeats the call after a read
+// deadline as long as the caller keeps the minimum transfer rate and the stream's deadline has not passed.
+// Time spent waiting for the reader of the body does not count against the caller.
 func (u *bodyReceiver) readWithinLimits(read func() (int, error)) (int, error) {
 	for {
 		startedAt := time.Now()
@@ -289,7 +289,8 @@
 	return nil
 }
 
-// writeAll writes all data, for as long as the caller keeps the minimum rate and the deadline has not passed.
+// writeAll writes all data, as long as the caller receives it at the minimum transfer rate and the stream's
+// deadline has not passed.
 func (x *Exchange) writeAll(data ...[]byte) error {
 	unsent := net.Buffers(data)
 	stream := &x.stream
