--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -93,9 +93,9 @@
 	return b
 }
 
-// Reserve waits until the writer is less than a window ahead of the readers and returns space for
-// between 1 and maxBytes bytes. Commit adds those that were written to it to the body. Reserve fails
-// with ErrClosed once the body is closed.
+// Reserve waits until the writer is less than a window ahead of the reader that is farthest ahead,
+// and returns space for between 1 and maxBytes bytes. Commit adds those that were written to it to
+// the body. Reserve fails with ErrClosed once the body is closed.
 func (b *Body) Reserve(maxBytes int) ([]byte, error) {
 	b.mu.Lock()
 	for !b.closed && b.endOffset-b.maxReadOffset() >= int64(b.limits.WindowBytes) {
@@ -118,7 +118,7 @@
 }
 
 // allocate returns space for the next bytes. A body for which neither memory nor a file has space
-// within the limits is discarded; its bytes then pass through recent only. Callers must hold b.mu.
+// within the limits is discarded; its bytes then pass through recent only. The caller must hold b.mu.
 func (b *Body) allocate() []byte {
 	if b.retained && b.retentionStopped {
 		b.discard()
@@ -194,7 +194,7 @@
 }
 
 // spill appends the bytes p, which lie in recent too, to the file. If the file can't take all of them,
-// the body is discarded; the reader that is farthest ahead still finds them in recent. Callers must
+// the body is discarded; the reader that is farthest ahead still finds them in recent. The caller must
 // hold b.mu.
 func (b *Body) spill(p []byte) (becameUnavailable bool) {
 	startOffset := b.endOffset
@@ -211,7 +211,7 @@
 }
 
 // discard stops retaining the body: the reader that is farthest ahead continues from recent, all else
-// is dropped, and readers that are farther behind fail with ErrDiscarded. Callers must hold b.mu.
+// is dropped, and readers that are farther behind fail with ErrDiscarded. The caller must hold b.mu.
 func (b *Body) discard() {
 	if b.file == nil { // then the bytes received last are at the end of memory
 		b.recent, b.memory = b.memory, segment{}
@@ -279,7 +279,7 @@
 	b.fail(err)
 }
 
-// fail sets the error of readers, unless the body is complete or has one. Callers must hold b.mu.
+// fail sets the error of readers, unless the body is complete or has one. The caller must hold b.mu.
 func (b *Body) fail(err error) {
 	if b.err == nil && !b.complete {
 		b.err = err
@@ -385,7 +385,7 @@
 	return p, err
 }
 
-// next is Next with the body's lock held.
+// next is Next without locking and without the notification. The caller must hold b.mu.
 func (r *Reader) next() ([]byte, error) {
 	b := r.body
 	for {
@@ -406,7 +406,7 @@
 }
 
 // dataFor returns the bytes at the offset of a reader that is not at the end: from recent if they are
-// there, else from memory or the file. Callers must hold b.mu.
+// there, else from memory or the file. The caller must hold b.mu.
 func (b *Body) dataFor(r *Reader) ([]byte, error) {
 	usesRecent := b.file != nil || !b.retained
 	switch {
--- a/internal/tcpconn/conn.go
+++ b/internal/tcpconn/conn.go
@@ -22,7 +22,7 @@
 type Conn struct {
 	net.Conn
 	raw  syscall.RawConn
-	bufs *http1.BufferPool // for reads into no given buffer
+	bufs *http1.BufferPool // for reads that are given no buffer
 
 	// Functions that the runtime calls with the file descriptor, and the fields by which they get arguments
 	// and return results. The functions are created once, since a closure for each call would be garbage.
@@ -86,9 +86,9 @@
 
 // WriteThenRead writes a request and reads the first part of the response, as Write and ReadInto do. The
 // connection must be open without unread data: otherwise stale is true and nothing has been written. If
-// not all of p could be written without waiting, it returns early, with a nil buffer and no error. The check
-// for unread data takes the place of the attempt to read with which waiting starts in any case, which saves a
-// system call for each request.
+// not all of p could be written without waiting, it returns early, with a nil buffer and no error. Waiting for
+// data always starts with an attempt to read; the check for unread data takes the place of that attempt, which
+// saves a system call for each request.
 func (s *Conn) WriteThenRead(p []byte) (written int, stale bool, b *http1.Buffer, err error) {
 	s.writeData, s.writtenBytes, s.writeTried, s.stale, s.readBuffer, s.readBytes, s.syscallErr = p, 0, false, false, nil, 0, nil
 	err = s.raw.Read(s.writeThenReadFunc)
--- a/internal/tcpconn/errors.go
+++ b/internal/tcpconn/errors.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// transientLocalErrors are the errors of accept(2), socket(2) and connect(2) with which this machine is
-// temporarily unable to make a connection. They say nothing about the peer.
+// transientLocalErrors are the errors of accept(2), socket(2) and connect(2) which mean that this machine
+// can't make a connection for the moment. They say nothing about the peer.
 var transientLocalErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR, syscall.EPERM, syscall.ENOSPC,
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -113,9 +113,9 @@
 // between Prepare and the first Run.
 func (x *Exchange) SetStartDeadline(t time.Time) { x.startDeadline = t }
 
-// SkipSendIf sets a function that reports whether the caller has disconnected; the request is then not sent.
-// The function is called right before the first byte is written, with no lock held. Callers must call
-// SkipSendIf between Prepare and the first Run.
+// SkipSendIf sets a function that reports whether the caller has disconnected. It is called right before the
+// first byte of the request is written, with no lock held; if it returns true, the request is not sent. Callers
+// must call SkipSendIf between Prepare and the first Run.
 func (x *Exchange) SkipSendIf(disconnected func() bool) { x.skipSend = disconnected }
 
 // prepareSend reports whether the request may still start to be sent. If so, it updates X-Timeout.
@@ -126,9 +126,9 @@
 	return x.updateTimeoutField()
 }
 
-// updateTimeoutField sets X-Timeout to the time left until the deadline. That may be less than when the
-// request was composed, since the exchange may have waited for a connection. It reports whether the
-// request may still start to be sent: time is left, and the start deadline has not passed.
+// updateTimeoutField sets X-Timeout to the time left until the deadline, in microseconds. That may be less
+// than when the request was composed, since the exchange may have waited for a connection. It reports whether
+// the request may still start to be sent: time is left, and the start deadline has not passed.
 func (x *Exchange) updateTimeoutField() bool {
 	now := time.Now()
 	leftMicros := x.currentDeadline().Sub(now).Microseconds()
@@ -370,7 +370,7 @@
 	}
 }
 
-// cancel is Cancel for callers that hold x.mu.
+// cancel is Cancel without locking. The caller must hold x.mu.
 func (x *Exchange) cancel(cause error) {
 	if x.cancelCause == nil {
 		x.cancelCause = cause
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -10,7 +10,8 @@
 
 // parseLoad parses a load report, such as "TEXT busy_reqs=7, pending=2". It returns false if
 // text is no load report, or a malformed one. A field has the name that the settings give it, or
-// the protocol's own name. Both are accepted: with the latter alone every report was empty.
+// the protocol's own name. Both are accepted: when only the protocol's names were accepted,
+// every report was empty.
 // A field that the report does not have is -1.
 func parseLoad(text []byte) (l balance.Load, ok bool) {
 	text, ok = bytes.CutPrefix(bytes.TrimSpace(text), []byte("TEXT "))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -122,7 +122,7 @@
 }
 
 // takeOldestIdle removes and returns the longest idle connection of all routes, or nil if there is none. That
-// connection is also the first of its route's. The caller holds p.mu.
+// connection is also the first in its route's list. The caller must hold p.mu.
 func (p *Pool) takeOldestIdle() *conn {
 	c := p.oldestIdle
 	if c == nil {
@@ -157,7 +157,7 @@
 }
 
 // unlink removes a connection from the list of all idle connections, but not from its route's. The caller
-// holds p.mu.
+// must hold p.mu.
 func (p *Pool) unlink(c *conn) {
 	if c.prev != nil {
 		c.prev.next = c.next
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// Data that arrived on a connection after a response, or while the connection was idle, was read as
-// the response to the next request. Here the second request must get its own response.
+// Guards against a fault: data that arrived on a connection after a response, or while the connection was
+// idle, was read as the response to the next request. The second request must get its own response.
 func TestUnsolicitedDataIsNotTakenAsResponse(t *testing.T) {
 	for name, extra := range map[string]string{"second response": okResponse("first"), "garbage": "\x00\xff", "none": ""} {
 		for _, delayed := range []bool{false, true} {
@@ -823,8 +823,8 @@
 	})
 }
 
-// A load report whose field names were not recognized was read as empty, and then no endpoint counted
-// as idle.
+// Guards against a fault: a load report whose field names were not recognized was read as empty, and then no
+// endpoint counted as idle.
 func TestParseLoad(t *testing.T) {
 	for _, text := range []string{"TEXT busy_reqs=7, pending=2, cpu_share=0.61", "TEXT inflight=7, queue=2, util=0.61\r\n"} {
 		l, ok := parseLoad([]byte(text))
