--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
 // Package http1 parses and writes HTTP/1.1 messages. It uses no sockets and reads no clock. It follows
 // RFC 9112 (syntax and framing) and RFC 9110 (semantics) strictly: input that two parsers could read as
-// different messages is refused, and a message that is accepted is forwarded in one canonical form.
+// different messages is rejected, and a message that is accepted is forwarded in one canonical form.
 //
 // A head is parsed in place, as its bytes arrive, into fields by offset, without copies, maps or
 // canonical names. [Request] and [Response] are reused from message to message. What they return points
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-// Limits bound what a peer may send before a body and, besides data, in a chunked body.
+// Limits bound the head of a message and the parts of a chunked body that are not data.
 type Limits struct {
 	HeadBytes      int // bytes of a head, including its start line and the empty line at its end
 	Fields         int // number of fields of a head
@@ -27,7 +27,7 @@
 // DefaultLimits are the limits that apply unless others are configured.
 var DefaultLimits = Limits{HeadBytes: 16 << 10, Fields: 100, ChunkLineBytes: 256, TrailerBytes: 4 << 10}
 
-// Error is the reason why a message is refused. All errors are predeclared, so that refusing a message
+// Error is the reason why a message is rejected. All errors are predeclared, so that rejecting a message
 // allocates nothing.
 type Error struct {
 	Status  int    // status code with which a server must respond, see RFC 9110, 15.5 and 15.6
@@ -38,7 +38,7 @@
 // Error returns the reason with the section.
 func (e *Error) Error() string { return e.Reason + " (" + e.Section + ")" }
 
-// The reasons why a message is refused.
+// The reasons why a message is rejected.
 var (
 	ErrBareLF                      = &Error{400, "RFC 9112, 2.2", "a line ends without CR"}
 	ErrControlByte                 = &Error{400, "RFC 9110, 5.5", "a control byte in a field"}
@@ -219,7 +219,7 @@
 // startLineHandler is the part of parsing that differs between requests and responses.
 type startLineHandler interface {
 	// checkPrefix checks the bytes of the start line that have arrived so far, so that input that is
-	// no HTTP message is refused without waiting for the line to end.
+	// no HTTP message is rejected without waiting for the line to end.
 	checkPrefix(b []byte) error
 	// handleEmptyLine handles an empty line where the start line should be.
 	handleEmptyLine() error
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -17,7 +17,7 @@
 // smallLimits are low enough for the test cases to exceed them.
 var smallLimits = Limits{HeadBytes: 4 << 10, Fields: 20, ChunkLineBytes: 64, TrailerBytes: 256}
 
-// requestCases are requests that are refused, with their error, and requests that are accepted, with the
+// requestCases are requests that are rejected, with their error, and requests that are accepted, with the
 // canonical form in which they are forwarded. docs/design/0003-http1.md shows them by section of the RFC.
 var requestCases = []struct {
 	name, text string
@@ -118,7 +118,7 @@
 	return fmt.Sprintf("%s %s %s %s %d", r.Method(), r.Target(), r.Host(), r.Framing(), r.ContentLength())
 }
 
-// Each request must be refused with its error, or be accepted with the right head length and canonical form.
+// Each request must be rejected with its error, or be accepted with the right head length and canonical form.
 func TestRequestParse(t *testing.T) {
 	for _, c := range requestCases {
 		r := NewRequest(smallLimits)
@@ -210,7 +210,7 @@
 	{"a folded line", "HTTP/1.1 200 OK\r\nX: a\r\n b\r\n\r\n", false, ErrLineFolding, 0},
 }
 
-// Each response must be refused with its error, or be accepted with the right framing, whether it arrives at
+// Each response must be rejected with its error, or be accepted with the right framing, whether it arrives at
 // once or one byte at a time.
 func TestResponseParse(t *testing.T) {
 	for _, c := range responseCases {
@@ -239,7 +239,7 @@
 var chunkCases = []struct {
 	name, text string
 	err        error
-	want       string // the data, empty if the body is refused or incomplete
+	want       string // the data, empty if the body is rejected or incomplete
 }{
 	{"plain", "3\r\nabc\r\n0\r\n\r\n", nil, "abc"},
 	{"two chunks", "3\r\nabc\r\nA\r\n0123456789\r\n000\r\n\r\n", nil, "abc0123456789"},
@@ -298,7 +298,7 @@
 	}
 }
 
-// Each body must be refused with its error, or be decoded to its data and consumed exactly, whatever the size
+// Each body must be rejected with its error, or be decoded to its data and consumed exactly, whatever the size
 // of the pieces in which it arrives.
 func TestChunkedDecoder(t *testing.T) {
 	for _, c := range chunkCases {
@@ -396,7 +396,7 @@
 
 // compareWithOtherParsers parses text with this package, net/http and fasthttp. If this package accepts a
 // complete request, it returns an error if one of the others reads another message: such differences make
-// request smuggling possible. The others may refuse what this package accepts.
+// request smuggling possible. The others may reject what this package accepts.
 func compareWithOtherParsers(text []byte) error {
 	r := NewRequest(DefaultLimits)
 	n, err := r.Parse(text)
@@ -474,8 +474,8 @@
 		if n != m || err != errInTwo {
 			t.Fatalf("%q: %d, %v; in two pieces %d, %v", text, n, err, m, errInTwo)
 		}
-		var refusal *Error
-		if err != nil && !errors.As(err, &refusal) {
+		var reason *Error
+		if err != nil && !errors.As(err, &reason) {
 			t.Fatalf("%q: %v", text, err)
 		}
 		if n > len(text) || n > smallLimits.HeadBytes || atOnce.NumFields() > smallLimits.Fields {
--- a/internal/http1/other_parsers_test.go
+++ b/internal/http1/other_parsers_test.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// net/http and fasthttp accept some of the heads that this package refuses, which is why it exists. The counts
+// net/http and fasthttp accept some of the heads that this package rejects, which is why it exists. The counts
 // are logged for docs/design/0003-http1.md. If one of them accepted none, that parser would do instead.
 func TestOtherParsersAcceptRefusedHeads(t *testing.T) {
 	var refused int
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -6,7 +6,7 @@
 // concurrent use.
 type Request struct {
 	head
-	method, target  fieldSpan // only their values are used
+	method, target  fieldSpan // without a name: only valueStart and valueEnd are set
 	hostFields      int       // number of Host fields
 	host            fieldSpan
 	expectsContinue bool
@@ -77,7 +77,7 @@
 }
 
 // checkTarget accepts the origin form, the absolute form with the scheme http, and * for OPTIONS. It
-// refuses the authority form of CONNECT, which asks for a tunnel, because the sidecar opens no tunnels.
+// rejects the authority form of CONNECT, which asks for a tunnel, because the sidecar opens no tunnels.
 func checkTarget(target, method []byte) error {
 	switch {
 	case string(target) == "*":
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -23,9 +23,9 @@
 		dueAt time.Duration
 		timer balance.Timer
 	}
-	sentTo        []balance.EndpointID // one entry for each attempt, in order
-	outcome       string               // "refuse" or "fail" once the balancer has ended a request so
-	answersProbes bool
+	sentTo           []balance.EndpointID // one entry for each attempt, in order
+	outcome          string               // "refuse" or "fail" once the balancer has ended a request so
+	respondsToProbes bool
 }
 
 const (
@@ -36,7 +36,7 @@
 // newHarness returns a harness of a balancer with one class and four endpoints in service. If inScope is
 // not set, the endpoints of a keyed class forget a request after a millisecond.
 func newHarness(t *testing.T, semantics balance.Semantics, scope balance.Scope, inScope bool) *harness {
-	h := &harness{t: t, now: time.Hour, answersProbes: true}
+	h := &harness{t: t, now: time.Hour, respondsToProbes: true}
 	class := balance.Class{Name: "k", TargetLatency: targetLatency, Deadline: targetLatency, Value: 1, Semantics: semantics, Scope: scope}
 	if semantics == balance.Keyed {
 		if class.RepeatWindow = repeatWindow; !inScope {
@@ -87,7 +87,7 @@
 				timer balance.Timer
 			}{h.now + a.Delay, a.Timer})
 		case balance.Probe:
-			if h.answersProbes {
+			if h.respondsToProbes {
 				h.apply(h.balancer.ProbeEnded(h.now, a.Endpoint, balance.OK, &balance.Load{Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}, nil))
 			}
 		}
