--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -487,9 +487,9 @@
 	})
 }
 
-// FuzzAnswer checks that net/http reads the same status and framing of each response that Parse and Framing
+// FuzzResponse checks that net/http reads the same status and framing of each response that Parse and Framing
 // accept.
-func FuzzAnswer(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	for _, c := range responseCases {
 		f.Add([]byte(c.text))
 	}
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -50,10 +50,10 @@
 	}
 }
 
-// BenchmarkFlow measures streaming 8 MiB up and 8 MiB down on one connection, and compares it with the
+// BenchmarkStream measures streaming 8 MiB up and 8 MiB down on one connection, and compares it with the
 // standard library's reverse proxy. The sidecar retains request bodies in files in one case, and not at
 // all in another. Caller and node run in the same process.
-func BenchmarkFlow(b *testing.B) {
+func BenchmarkStream(b *testing.B) {
 	const size = 8 << 20
 	node, addr, err := fake.NewLargeBodyServer(size)
 	if err != nil {
