--- a/internal/fake/bench.go
+++ b/internal/fake/bench.go
@@ -51,13 +51,13 @@
 }
 
 // Addr returns the address that the node listens on.
-func (q *BenchNode) Addr() string { return q.listener.Addr().String() }
+func (n *BenchNode) Addr() string { return n.listener.Addr().String() }
 
 // Close closes the listener. Open connections are still served.
-func (q *BenchNode) Close() error { return q.listener.Close() }
+func (n *BenchNode) Close() error { return n.listener.Close() }
 
 // serveConn responds to the requests of a connection until it fails or a request is malformed.
-func (q *BenchNode) serveConn(c net.Conn) {
+func (n *BenchNode) serveConn(c net.Conn) {
 	defer c.Close()
 	r := http1.NewRequest(http1.DefaultLimits)
 	var buf http1.Buffer
@@ -67,11 +67,11 @@
 		headBytes, err := r.Parse(buf.Bytes())
 		requestBytes := headBytes + int(max(r.ContentLength(), 0))
 		for headBytes == 0 && err == nil || headBytes > 0 && buf.Len() < requestBytes {
-			var n int
-			if n, err = c.Read(buf.Reserve(2048)); err != nil {
+			var readBytes int
+			if readBytes, err = c.Read(buf.Reserve(2048)); err != nil {
 				return
 			}
-			buf.Commit(n)
+			buf.Commit(readBytes)
 			if headBytes == 0 {
 				headBytes, err = r.Parse(buf.Bytes())
 				requestBytes = headBytes + int(max(r.ContentLength(), 0))
@@ -80,18 +80,18 @@
 		if err != nil {
 			return
 		}
-		q.inFlight.Add(1)
+		n.inFlight.Add(1)
 		path := r.Path()
-		response = q.response
+		response = n.response
 		if string(path) == "/api/hold" {
 			time.Sleep(BenchHoldTime)
 		} else if string(path) == "/load" {
-			text := fmt.Sprintf("TEXT inflight=%d, queue=0, util=0.00", q.inFlight.Load()-1)
+			text := fmt.Sprintf("TEXT inflight=%d, queue=0, util=0.00", n.inFlight.Load()-1)
 			response = append(benchResponseHead(len(text)), text...)
 		}
 		buf.Consume(requestBytes)
 		_, err = c.Write(response)
-		q.inFlight.Add(-1)
+		n.inFlight.Add(-1)
 		if err != nil {
 			return
 		}
@@ -137,42 +137,42 @@
 // Do sends the next request, waits for the response with its whole body, and returns its status. It
 // fails if the response has no Content-Length or is followed by further bytes. There is no timeout on
 // the caller's side.
-func (q *BenchCaller) Do() (status int, err error) {
-	q.lastID++
-	for i, n := len(q.idDigits)-1, q.lastID; i >= 0; i, n = i-1, n>>4 {
-		q.idDigits[i] = "0123456789abcdef"[n&15]
+func (c *BenchCaller) Do() (status int, err error) {
+	c.lastID++
+	for i, n := len(c.idDigits)-1, c.lastID; i >= 0; i, n = i-1, n>>4 {
+		c.idDigits[i] = "0123456789abcdef"[n&15]
 	}
-	copy(q.keyDigits, q.idDigits)
-	if _, err := q.conn.Write(q.requestBytes); err != nil {
+	copy(c.keyDigits, c.idDigits)
+	if _, err := c.conn.Write(c.requestBytes); err != nil {
 		return 0, err
 	}
-	q.response.Reset()
-	q.buf.Reset()
+	c.response.Reset()
+	c.buf.Reset()
 	for headBytes := 0; ; {
-		n, err := q.conn.Read(q.buf.Reserve(2048))
+		n, err := c.conn.Read(c.buf.Reserve(2048))
 		if err != nil {
 			return 0, err
 		}
-		q.buf.Commit(n)
+		c.buf.Commit(n)
 		if headBytes == 0 {
-			if headBytes, err = q.response.Parse(q.buf.Bytes()); err != nil {
+			if headBytes, err = c.response.Parse(c.buf.Bytes()); err != nil {
 				return 0, err
 			}
 			if headBytes == 0 {
 				continue
 			}
-			if q.response.ContentLength() < 0 {
+			if c.response.ContentLength() < 0 {
 				return 0, errors.New("fake caller: response has no Content-Length")
 			}
 		}
-		switch responseBytes := headBytes + int(q.response.ContentLength()); {
-		case q.buf.Len() > responseBytes:
+		switch responseBytes := headBytes + int(c.response.ContentLength()); {
+		case c.buf.Len() > responseBytes:
 			return 0, errors.New("fake caller: unexpected bytes after the response")
-		case q.buf.Len() == responseBytes:
-			return q.response.Status(), nil
+		case c.buf.Len() == responseBytes:
+			return c.response.Status(), nil
 		}
 	}
 }
 
 // Close closes the connection.
-func (q *BenchCaller) Close() error { return q.conn.Close() }
+func (c *BenchCaller) Close() error { return c.conn.Close() }
--- a/internal/fake/largebody.go
+++ b/internal/fake/largebody.go
@@ -68,26 +68,26 @@
 
 // Do sends the request and reads the response. It returns an error unless the response has status
 // 200 and a complete body of ResponseBytes bytes, and the whole request was sent.
-func (b LargeBodyCaller) Do() error {
-	c, err := net.Dial("tcp", b.Addr)
+func (c LargeBodyCaller) Do() error {
+	conn, err := net.Dial("tcp", c.Addr)
 	if err != nil {
 		return fmt.Errorf("fake caller: %w", err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(b.Timeout))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(c.Timeout))
 	sent := make(chan error, 1)
 	go func() {
-		_, err := fmt.Fprintf(c, "POST /api/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nIdempotency-Key: %s\r\nX-Priority-Class: %s\r\n"+
-			"X-Timeout: %dm\r\nContent-Length: %d\r\n\r\n", b.Path, b.ID, b.ID, b.Class, b.Timeout.Milliseconds(), b.BodyBytes)
-		sent <- errors.Join(err, copyAtRate(c, fillerReader{}, b.BodyBytes, b.BytesPerSecond))
+		_, err := fmt.Fprintf(conn, "POST /api/%s HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: %s\r\nIdempotency-Key: %s\r\nX-Priority-Class: %s\r\n"+
+			"X-Timeout: %dm\r\nContent-Length: %d\r\n\r\n", c.Path, c.ID, c.ID, c.Class, c.Timeout.Milliseconds(), c.BodyBytes)
+		sent <- errors.Join(err, copyAtRate(conn, fillerReader{}, c.BodyBytes, c.BytesPerSecond))
 	}()
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return fmt.Errorf("fake caller: %w", err)
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK || resp.ContentLength != b.ResponseBytes {
+	if resp.StatusCode != http.StatusOK || resp.ContentLength != c.ResponseBytes {
 		return fmt.Errorf("fake caller: unexpected response: %s, Content-Length %d", resp.Status, resp.ContentLength)
 	}
-	return errors.Join(copyAtRate(io.Discard, resp.Body, b.ResponseBytes, b.BytesPerSecond), <-sent)
+	return errors.Join(copyAtRate(io.Discard, resp.Body, c.ResponseBytes, c.BytesPerSecond), <-sent)
 }
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -33,45 +33,45 @@
 )
 
 // serveConn serves the requests of a connection until it closes.
-func (d *Server) serveConn(c *conn) {
+func (s *Server) serveConn(c *conn) {
 	defer func() {
 		if fault := recover(); fault != nil { // a panic of one request must not affect the others
 			slog.Error("httpserver: panic while serving a request", "fault", fault, "stack", string(debug.Stack()))
-			d.respondToPanic(c)
+			s.respondToPanic(c)
 		}
 		if !c.hijacked {
 			c.Close()
-			d.releaseConn(c)
+			s.releaseConn(c)
 		}
 	}()
 	var reason error
 	for reason == nil {
-		reason = d.serveRequest(c)
+		reason = s.serveRequest(c)
 	}
-	d.logClose(c, reason)
+	s.logClose(c, reason)
 	if c.buf != nil {
-		d.readBuffers.Put(c.buf)
+		s.readBuffers.Put(c.buf)
 	}
 }
 
 // respondToPanic responds with 500 to a request whose handler has panicked, unless its response has started.
-func (d *Server) respondToPanic(c *conn) {
+func (s *Server) respondToPanic(c *conn) {
 	x := &c.exchange
 	if !c.responsePending || c.hijacked || x.pooledBuffer == nil || x.stream.started {
 		return
 	}
 	x.Close = true
 	x.Respond(500, "text/plain; charset=utf-8", nil, []byte("failed\n"))
-	if d.writeResponse(c) == nil {
-		d.linger(c)
+	if s.writeResponse(c) == nil {
+		s.linger(c)
 	}
 }
 
 // logClose logs why a connection closes. The level is Warn if a request is left without a complete
 // response and its caller has not disconnected, otherwise Debug.
-func (d *Server) logClose(c *conn, reason error) {
+func (s *Server) logClose(c *conn, reason error) {
 	level, message := slog.LevelDebug, "connection closed"
-	disconnected := d.callerDisconnected(c)
+	disconnected := s.callerDisconnected(c)
 	var requestID []byte
 	if c.responsePending {
 		message = "connection closed without a complete response"
@@ -88,92 +88,92 @@
 
 // serveRequest reads and serves one request. It returns nil if the connection can serve another request,
 // otherwise why it closes.
-func (d *Server) serveRequest(c *conn) error {
+func (s *Server) serveRequest(c *conn) error {
 	if c.buf == nil {
-		if err := d.waitForRequest(c); err != nil {
+		if err := s.waitForRequest(c); err != nil {
 			return err
 		}
 		c.receivedAt = c.earliestArrivalAt
 	}
 	c.requestStartedAt = c.receivedAt
-	headBytes, err := d.readHead(c)
+	headBytes, err := s.readHead(c)
 	if err != nil {
 		return err
 	}
 	c.exchange.HandlerState, c.exchange.Streaming = nil, false
-	if r := d.cfg.Handler.CheckHead(&c.exchange); r != nil {
-		return d.reject(c, r)
+	if r := s.cfg.Handler.CheckHead(&c.exchange); r != nil {
+		return s.reject(c, r)
 	}
 	if c.exchange.Streaming {
-		return d.serveStreaming(c, headBytes)
+		return s.serveStreaming(c, headBytes)
 	}
 	if c.head.Framing() == http1.Chunked {
-		return d.serveChunked(c, headBytes)
+		return s.serveChunked(c, headBytes)
 	}
 	requestBytes := headBytes + int(max(c.head.ContentLength(), 0))
 	if c.buf.Len() < requestBytes {
-		if err := d.readBody(c, requestBytes); err != nil {
+		if err := s.readBody(c, requestBytes); err != nil {
 			return err
 		}
 	}
 	data := c.buf.Bytes()
 	c.head.Rebase(data)
-	d.setStage(c, stageServing, c.lastReadAt)
-	return d.serveBuffered(c, data[headBytes:requestBytes], requestBytes)
+	s.setStage(c, stageServing, c.lastReadAt)
+	return s.serveBuffered(c, data[headBytes:requestBytes], requestBytes)
 }
 
 // waitForRequest waits for the first bytes of a request and reads them. It waits up to Timeouts.Idle, on a
 // new connection up to Timeouts.Head. Data that has arrived by then, or by the time of requestClose, is read:
 // only a connection without unread data is closed here.
-func (d *Server) waitForRequest(c *conn) error {
-	timeouts := d.cfg.Timeouts()
+func (s *Server) waitForRequest(c *conn) error {
+	timeouts := s.cfg.Timeouts()
 	timeout := timeouts.Idle
 	if c.receivedAt.IsZero() {
 		timeout = timeouts.Head
 	}
-	d.setReadDeadline(c, c.idleSince.Add(timeout))
-	err := d.fill(c)
+	s.setReadDeadline(c, c.idleSince.Add(timeout))
+	err := s.fill(c)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	if c.ReadWouldBlock() {
-		return cmp.Or(d.closeReason(c), err)
+		return cmp.Or(s.closeReason(c), err)
 	}
 	c.SetReadDeadline(time.Time{}) // there is data to read, so that the read does not wait
-	return d.fill(c)
+	return s.fill(c)
 }
 
 // readHead reads a request's head and returns its length in bytes. It waits for the end of an incomplete head
 // until Timeouts.Head after timerStartedAt, but at least for Timeouts.Body after the data at hand was read.
-func (d *Server) readHead(c *conn) (headBytes int, err error) {
+func (s *Server) readHead(c *conn) (headBytes int, err error) {
 	c.head.Reset()
 	headBytes, err = c.head.Parse(c.buf.Bytes())
 	for waiting := false; headBytes == 0 && err == nil; waiting = true {
 		if !waiting {
-			d.setStage(c, stageReading, time.Now())
-			timeouts := d.cfg.Timeouts()
-			d.setReadDeadline(c, later(c.timerStartedAt().Add(timeouts.Head), c.lastReadAt.Add(timeouts.Body)))
+			s.setStage(c, stageReading, time.Now())
+			timeouts := s.cfg.Timeouts()
+			s.setReadDeadline(c, later(c.timerStartedAt().Add(timeouts.Head), c.lastReadAt.Add(timeouts.Body)))
 		}
-		if err := d.fill(c); err != nil {
-			return 0, d.abortRequest(c, err, nil)
+		if err := s.fill(c); err != nil {
+			return 0, s.abortRequest(c, err, nil)
 		}
 		c.receivedAt = c.earliestArrivalAt
 		headBytes, err = c.head.Parse(c.buf.Bytes())
 	}
 	if err != nil {
-		return 0, d.reject(c, errorResponse(err))
+		return 0, s.reject(c, errorResponse(err))
 	}
 	return headBytes, nil
 }
 
 // readBody reads the rest of a request of requestBytes bytes, head included, into c.buf.
-func (d *Server) readBody(c *conn, requestBytes int) error {
-	if err := d.startBodyRead(c); err != nil {
+func (s *Server) readBody(c *conn, requestBytes int) error {
+	if err := s.startBodyRead(c); err != nil {
 		return err
 	}
 	for c.buf.Len() < requestBytes {
-		if err := d.fill(c); err != nil {
-			return d.abortRequest(c, err, bodyTimeoutResponse)
+		if err := s.fill(c); err != nil {
+			return s.abortRequest(c, err, bodyTimeoutResponse)
 		}
 		c.receivedAt = c.earliestArrivalAt
 	}
@@ -185,15 +185,15 @@
 
 // startBodyRead sets the deadline for reading a body and sends 100 Continue if the caller expects it. The
 // deadline is Timeouts.Head plus Timeouts.Body after timerStartedAt, but at least Timeouts.Body from now.
-func (d *Server) startBodyRead(c *conn) error {
-	d.setStage(c, stageReading, time.Now())
-	timeouts := d.cfg.Timeouts()
+func (s *Server) startBodyRead(c *conn) error {
+	s.setStage(c, stageReading, time.Now())
+	timeouts := s.cfg.Timeouts()
 	if c.head.ExpectsContinue() {
 		if err := c.WriteWithDeadline([]byte(http1.ContinueResponse), time.Now().Add(timeouts.Write)); err != nil {
 			return err
 		}
 	}
-	d.setReadDeadline(c, later(c.timerStartedAt().Add(timeouts.Head+timeouts.Body), time.Now().Add(timeouts.Body)))
+	s.setReadDeadline(c, later(c.timerStartedAt().Add(timeouts.Head+timeouts.Body), time.Now().Add(timeouts.Body)))
 	return nil
 }
 
@@ -215,41 +215,41 @@
 }
 
 // serveChunked serves a request with a chunked body that is buffered whole.
-func (d *Server) serveChunked(c *conn, headBytes int) error {
-	d.detachHead(c, headBytes)
+func (s *Server) serveChunked(c *conn, headBytes int) error {
+	s.detachHead(c, headBytes)
 	decoder := http1.ChunkedDecoder{Limits: http1.DefaultLimits}
 	var body []byte
 	for bodyReadStarted := false; ; {
 		data, n, err := decoder.Decode(c.buf.Bytes())
 		if err != nil {
-			return d.reject(c, errorResponse(err))
+			return s.reject(c, errorResponse(err))
 		}
-		if len(body)+len(data) > d.cfg.MaxBodyBytes() {
-			return d.reject(c, &ErrorResponse{Status: 413, Message: "body: it is too long"})
+		if len(body)+len(data) > s.cfg.MaxBodyBytes() {
+			return s.reject(c, &ErrorResponse{Status: 413, Message: "body: it is too long"})
 		}
 		body = append(body, data...)
 		c.buf.Consume(n)
 		switch {
 		case decoder.Done():
-			d.setStage(c, stageServing, c.lastReadAt)
-			return d.serveBuffered(c, body, 0)
+			s.setStage(c, stageServing, c.lastReadAt)
+			return s.serveBuffered(c, body, 0)
 		case n > 0:
 			continue
 		case !bodyReadStarted:
 			bodyReadStarted = true
-			if err := d.startBodyRead(c); err != nil {
+			if err := s.startBodyRead(c); err != nil {
 				return err
 			}
 		}
-		if err := d.fill(c); err != nil {
-			return d.abortRequest(c, err, bodyTimeoutResponse)
+		if err := s.fill(c); err != nil {
+			return s.abortRequest(c, err, bodyTimeoutResponse)
 		}
 		c.receivedAt = c.earliestArrivalAt
 	}
 }
 
 // detachHead moves a request's head to memory of its own, so that reads can reuse the buffer.
-func (d *Server) detachHead(c *conn, headBytes int) {
+func (s *Server) detachHead(c *conn, headBytes int) {
 	c.head.Rebase(append([]byte(nil), c.buf.Bytes()[:headBytes]...))
 	c.buf.Consume(headBytes)
 }
@@ -257,20 +257,20 @@
 // abortRequest handles a read error on a connection that has received part of a request, and returns why
 // the connection closes. An evicted connection closes at once, without a response. One that the shutdown
 // closes gets 503, so that its caller retries. Otherwise the response is r, nil for none.
-func (d *Server) abortRequest(c *conn, err error, r *ErrorResponse) error {
-	switch reason := d.closeReason(c); {
+func (s *Server) abortRequest(c *conn, err error, r *ErrorResponse) error {
+	switch reason := s.closeReason(c); {
 	case reason == errShuttingDown:
-		return d.reject(c, &ErrorResponse{Status: 503, Message: "shutting down"})
+		return s.reject(c, &ErrorResponse{Status: 503, Message: "shutting down"})
 	case reason != nil:
 		return reason
 	case r != nil:
-		return d.reject(c, r)
+		return s.reject(c, r)
 	}
 	return err
 }
 
 // fill reads the data that has arrived into c.buf, and waits for it until the read deadline.
-func (d *Server) fill(c *conn) error {
+func (s *Server) fill(c *conn) error {
 	b, err := c.ReadInto(c.buf)
 	c.buf = b
 	if err != nil {
@@ -293,24 +293,24 @@
 }
 
 // reject sends an error response to a request and lingers. It returns why the connection closes.
-func (d *Server) reject(c *conn, r *ErrorResponse) error {
-	d.setStage(c, stageReading, time.Now())
+func (s *Server) reject(c *conn, r *ErrorResponse) error {
+	s.setStage(c, stageReading, time.Now())
 	slog.Debug("request rejected", "connection", c.id, "status", r.Status, "why", r.Message)
 	x := &c.exchange
 	x.reset(nil)
 	x.Close = true
 	x.Respond(r.Status, "text/plain; charset=utf-8", r.appendFields, []byte(r.Message+"\n"))
-	err := d.writeResponse(c)
+	err := s.writeResponse(c)
 	x.releaseBuffers()
 	if err != nil {
 		return err
 	}
-	d.linger(c)
+	s.linger(c)
 	return errRequestRejected
 }
 
 // linger ends sending and reads on for a while after the last response, see lingerTimeout.
-func (d *Server) linger(c *conn) {
+func (s *Server) linger(c *conn) {
 	if c.CloseWrite() != nil {
 		return
 	}
@@ -320,7 +320,7 @@
 		c.buf.Reset()
 	}
 	for remaining := maxLingerBytes; remaining > 0; {
-		if d.fill(c) != nil {
+		if s.fill(c) != nil {
 			return
 		}
 		remaining -= c.buf.Len()
@@ -333,26 +333,26 @@
 
 // serveBuffered serves a request whose body is complete, and prepares the connection for the next request.
 // The request's first requestBytes bytes are still in c.buf.
-func (d *Server) serveBuffered(c *conn, body []byte, requestBytes int) error {
+func (s *Server) serveBuffered(c *conn, body []byte, requestBytes int) error {
 	x := &c.exchange
 	x.reset(body)
 	x.Close = c.head.ClosesConnection()
 	c.requestBytes, c.responsePending = requestBytes, true
-	d.cfg.Handler.ServeExchange(x)
+	s.cfg.Handler.ServeExchange(x)
 	if c.hijacked {
 		c.responsePending = false
 		x.releaseBuffers()
 		return errHijacked
 	}
-	return d.sendResponse(c, requestBytes)
+	return s.sendResponse(c, requestBytes)
 }
 
 // sendResponse sends the response, unless it was streamed, and prepares the connection for the next
 // request, which starts after requestBytes bytes of c.buf.
-func (d *Server) sendResponse(c *conn, requestBytes int) error {
+func (s *Server) sendResponse(c *conn, requestBytes int) error {
 	x := &c.exchange
 	if x.stream.started {
-		return d.finishStreamedResponse(c, requestBytes)
+		return s.finishStreamedResponse(c, requestBytes)
 	}
 	if x.responseData == nil {
 		x.Respond(502, "text/plain; charset=utf-8", nil, []byte("failed\n"))
@@ -361,7 +361,7 @@
 	// is unknown: the earliest possible time is assumed, so that its response is not late.
 	c.idleSince = x.respondedAt
 	pipelined := !x.Streaming && c.idleSince.Sub(c.lastReadAt) > pipelineTolerance && !c.ReadWouldBlock()
-	err := d.writeResponse(c)
+	err := s.writeResponse(c)
 	closing := x.Close
 	x.releaseBuffers()
 	if err != nil {
@@ -371,33 +371,33 @@
 	c.responseCount++
 	if closing {
 		if x.Streaming || pipelined || c.buf.Len() > requestBytes {
-			d.linger(c)
+			s.linger(c)
 		}
 		return errLastResponseSent
 	}
 	c.buf.Consume(requestBytes)
-	return d.prepareForNextRequest(c, pipelined)
+	return s.prepareForNextRequest(c, pipelined)
 }
 
 // prepareForNextRequest prepares a connection for the next request. unreadData means that data of that
 // request has arrived but has not been read. Other data of it may have been read into c.buf already.
-func (d *Server) prepareForNextRequest(c *conn, unreadData bool) error {
+func (s *Server) prepareForNextRequest(c *conn, unreadData bool) error {
 	c.pipelined = unreadData || c.buf.Len() > 0
 	if c.buf.Len() > 0 { // the next request arrived together with this one
 		c.receivedAt = c.earliestArrivalAt
 		return nil
 	}
-	d.readBuffers.Put(c.buf)
+	s.readBuffers.Put(c.buf)
 	c.buf = nil
 	if unreadData {
-		c.SetReadDeadline(time.Now().Add(d.cfg.Timeouts().Head))
-		if err := d.fill(c); err != nil {
+		c.SetReadDeadline(time.Now().Add(s.cfg.Timeouts().Head))
+		if err := s.fill(c); err != nil {
 			return err
 		}
 		c.receivedAt = c.earliestArrivalAt
 		return nil
 	}
-	d.setStage(c, stageIdle, c.idleSince)
+	s.setStage(c, stageIdle, c.idleSince)
 	return nil
 }
 
@@ -406,6 +406,6 @@
 const pipelineTolerance = 5 * time.Millisecond
 
 // writeResponse writes the buffered response, within Timeouts.Write.
-func (d *Server) writeResponse(c *conn) error {
-	return c.WriteWithDeadline(c.exchange.responseData, time.Now().Add(d.cfg.Timeouts().Write))
+func (s *Server) writeResponse(c *conn) error {
+	return c.WriteWithDeadline(c.exchange.responseData, time.Now().Add(s.cfg.Timeouts().Write))
 }
--- a/internal/httpserver/conntable.go
+++ b/internal/httpserver/conntable.go
@@ -34,46 +34,46 @@
 
 // add adds a connection, in stageNew. The table never holds more than maxOpen entries, since each has one
 // of the server's maxOpen slots, for which Serve waits before it accepts.
-func (p *connTable) add(e *tableEntry, now time.Time) {
+func (t *connTable) add(e *tableEntry, now time.Time) {
 	e.inTable = true
-	p.openCount++
-	p.pushBack(e, stageNew, now)
+	t.openCount++
+	t.pushBack(e, stageNew, now)
 }
 
 // setStage records the stage that a connection has reached. It returns false if the connection is not
 // in the table: an evicted connection is about to close.
-func (p *connTable) setStage(e *tableEntry, stage connStage, now time.Time) bool {
+func (t *connTable) setStage(e *tableEntry, stage connStage, now time.Time) bool {
 	if !e.inTable {
 		return false
 	}
-	p.unlink(e)
-	p.pushBack(e, stage, now)
+	t.unlink(e)
+	t.pushBack(e, stage, now)
 	return true
 }
 
 // remove removes a connection and reports whether it was in the table.
-func (p *connTable) remove(e *tableEntry) bool {
+func (t *connTable) remove(e *tableEntry) bool {
 	if !e.inTable {
 		return false
 	}
-	p.unlink(e)
+	t.unlink(e)
 	e.inTable = false
-	p.openCount--
+	t.openCount--
 	return true
 }
 
 // full reports whether maxOpen connections are in the table. Connections are evicted then, so that one
 // slot stays free for the next caller; otherwise new and idle connections would occupy all slots.
-func (p *connTable) full() bool { return p.openCount >= p.maxOpen }
+func (t *connTable) full() bool { return t.openCount >= t.maxOpen }
 
 // evictionCandidate returns the connection whose eviction does the least harm, nil if none may be evicted:
 // the one that has been new for longest, else idle for longest, else reading for longest. New and reading
 // connections are evicted only after grace in their stage, as their requests may be on their way, and never
 // if they are newest, which may be nil. New and idle connections must have no unread data, which
 // readWouldBlock reports. Connections whose request is being served are never evicted.
-func (p *connTable) evictionCandidate(newest *tableEntry, now time.Time, grace time.Duration, readWouldBlock func(*tableEntry) bool) *tableEntry {
+func (t *connTable) evictionCandidate(newest *tableEntry, now time.Time, grace time.Duration, readWouldBlock func(*tableEntry) bool) *tableEntry {
 	for _, stage := range []connStage{stageNew, stageIdle, stageReading} {
-		for e := p.lists[stage].front; e != nil; e = e.next {
+		for e := t.lists[stage].front; e != nil; e = e.next {
 			if stage != stageIdle && (e == newest || now.Sub(e.stageSince) < grace) || stage != stageReading && !readWouldBlock(e) {
 				continue
 			}
@@ -84,8 +84,8 @@
 }
 
 // pushBack appends an entry to the list of a stage.
-func (p *connTable) pushBack(e *tableEntry, stage connStage, now time.Time) {
-	l := &p.lists[stage]
+func (t *connTable) pushBack(e *tableEntry, stage connStage, now time.Time) {
+	l := &t.lists[stage]
 	e.stage, e.stageSince, e.prev, e.next = stage, now, l.back, nil
 	if l.back != nil {
 		l.back.next = e
@@ -96,8 +96,8 @@
 }
 
 // unlink removes an entry from the list of its stage.
-func (p *connTable) unlink(e *tableEntry) {
-	l := &p.lists[e.stage]
+func (t *connTable) unlink(e *tableEntry) {
+	l := &t.lists[e.stage]
 	if e.prev != nil {
 		e.prev.next = e.next
 	} else {
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -157,11 +157,11 @@
 }
 
 // appendDate appends the Date field line for now, which is formatted once a second.
-func (d *Server) appendDate(b []byte, now time.Time) []byte {
-	cached := d.dateField.Load()
+func (s *Server) appendDate(b []byte, now time.Time) []byte {
+	cached := s.dateField.Load()
 	if cached == nil || cached.unixSeconds != now.Unix() {
 		cached = &cachedDate{now.Unix(), http1.AppendField(nil, "Date", now.UTC().Format(http.TimeFormat))}
-		d.dateField.Store(cached)
+		s.dateField.Store(cached)
 	}
 	return append(b, cached.field...)
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -146,29 +146,29 @@
 
 // Serve accepts connections until Shutdown or Close, and returns nil then. Otherwise it returns the
 // error after which the listener can accept no more. Several listeners may be served concurrently.
-func (d *Server) Serve(l net.Listener) error {
-	d.mu.Lock()
-	d.listeners = append(d.listeners, l)
-	d.mu.Unlock()
+func (s *Server) Serve(l net.Listener) error {
+	s.mu.Lock()
+	s.listeners = append(s.listeners, l)
+	s.mu.Unlock()
 	var retryDelay time.Duration
 	for {
 		select {
-		case d.slots <- struct{}{}:
-		case <-d.acceptStopped:
+		case s.slots <- struct{}{}:
+		case <-s.acceptStopped:
 			return nil
 		}
 		c, err := l.Accept()
 		if err == nil {
-			if err := d.addConn(c); err != nil {
+			if err := s.addConn(c); err != nil {
 				slog.Warn("httpserver: accepted connection can't be served", "err", err)
-				<-d.slots
+				<-s.slots
 			}
 			retryDelay = 0
 			continue
 		}
-		<-d.slots
+		<-s.slots
 		select {
-		case <-d.acceptStopped:
+		case <-s.acceptStopped:
 			return nil
 		default:
 		}
@@ -178,14 +178,14 @@
 			return fmt.Errorf("httpserver: %w", err)
 		}
 		if tcpconn.IsOutOfDescriptors(err) {
-			d.mu.Lock()
-			d.evictOne(nil)
-			d.mu.Unlock()
+			s.mu.Lock()
+			s.evictOne(nil)
+			s.mu.Unlock()
 		}
 		retryDelay = min(max(2*retryDelay, time.Millisecond), 100*time.Millisecond)
 		select {
 		case <-time.After(retryDelay):
-		case <-d.acceptStopped:
+		case <-s.acceptStopped:
 			return nil
 		}
 	}
@@ -193,85 +193,85 @@
 
 // addConn starts to serve an accepted connection, for which Serve has acquired a slot. On an error
 // the connection is closed, and Serve returns the slot.
-func (d *Server) addConn(nc net.Conn) error {
-	tc, err := tcpconn.New(nc, &d.readBuffers)
+func (s *Server) addConn(nc net.Conn) error {
+	tc, err := tcpconn.New(nc, &s.readBuffers)
 	if err != nil {
 		return errors.Join(err, nc.Close())
 	}
-	c := &conn{Conn: tc, head: http1.NewRequest(d.limits), idleSince: time.Now()}
+	c := &conn{Conn: tc, head: http1.NewRequest(s.limits), idleSince: time.Now()}
 	c.openedAt = c.idleSince
-	c.entry.conn, c.exchange.conn, c.exchange.server = c, c, d
-	d.mu.Lock()
-	d.lastConnID++
-	c.id = d.lastConnID
-	d.conns[c.id] = c
-	d.table.add(&c.entry, c.idleSince)
-	d.evictUntilBelowLimit(&c.entry)
-	d.mu.Unlock()
-	if err := d.watcher.Add(tc, c.id); err != nil && !errors.Is(err, net.ErrClosed) {
-		d.removeConn(c)
+	c.entry.conn, c.exchange.conn, c.exchange.server = c, c, s
+	s.mu.Lock()
+	s.lastConnID++
+	c.id = s.lastConnID
+	s.conns[c.id] = c
+	s.table.add(&c.entry, c.idleSince)
+	s.evictUntilBelowLimit(&c.entry)
+	s.mu.Unlock()
+	if err := s.watcher.Add(tc, c.id); err != nil && !errors.Is(err, net.ErrClosed) {
+		s.removeConn(c)
 		return errors.Join(err, nc.Close())
 	}
-	go d.serveConn(c)
+	go s.serveConn(c)
 	return nil
 }
 
 // releaseConn removes a connection and returns its slot.
-func (d *Server) releaseConn(c *conn) {
-	d.removeConn(c)
-	<-d.slots
+func (s *Server) releaseConn(c *conn) {
+	s.removeConn(c)
+	<-s.slots
 }
 
 // removeConn removes a connection from the table and the map of open connections. When the last one
 // is removed, it wakes Shutdown.
-func (d *Server) removeConn(c *conn) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.table.remove(&c.entry)
-	delete(d.conns, c.id)
-	if len(d.conns) == 0 && d.allClosed != nil {
-		close(d.allClosed)
-		d.allClosed = nil
+func (s *Server) removeConn(c *conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.table.remove(&c.entry)
+	delete(s.conns, c.id)
+	if len(s.conns) == 0 && s.allClosed != nil {
+		close(s.allClosed)
+		s.allClosed = nil
 	}
 }
 
 // setStage records the stage that a connection has reached. It revokes an earlier requestClose and
 // adds an evicted connection to the table again: data that has been read always gets a response.
-func (d *Server) setStage(c *conn, stage connStage, now time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *Server) setStage(c *conn, stage connStage, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	c.closeReason = nil
-	if !d.table.setStage(&c.entry, stage, now) {
-		d.table.add(&c.entry, now)
-		d.table.setStage(&c.entry, stage, now)
-		d.evictUntilBelowLimit(&c.entry)
+	if !s.table.setStage(&c.entry, stage, now) {
+		s.table.add(&c.entry, now)
+		s.table.setStage(&c.entry, stage, now)
+		s.evictUntilBelowLimit(&c.entry)
 		return
 	}
 	if stage != stageServing {
-		d.evictUntilBelowLimit(&c.entry)
+		s.evictUntilBelowLimit(&c.entry)
 	}
 }
 
 // requestClose makes a connection close that is serving no request. The connection's own goroutine
-// closes it, unless it has read data in the meantime. The caller must hold d.mu.
-func (d *Server) requestClose(c *conn, reason error) {
+// closes it, unless it has read data in the meantime. The caller must hold s.mu.
+func (s *Server) requestClose(c *conn, reason error) {
 	c.closeReason = reason
 	c.SetReadDeadline(expiredDeadline)
 }
 
 // closeReason returns why a connection that serves no request must close, nil if it may stay open.
-func (d *Server) closeReason(c *conn) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *Server) closeReason(c *conn) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return c.closeReason
 }
 
 // setReadDeadline sets the deadline for the next read. It sets expiredDeadline instead if requestClose was
 // called for the connection, or if the shutdown closes connections in its stage.
-func (d *Server) setReadDeadline(c *conn, deadline time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if c.closeReason == nil && (d.abortIncomplete || c.entry.stage == stageIdle && d.draining.Load()) {
+func (s *Server) setReadDeadline(c *conn, deadline time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c.closeReason == nil && (s.abortIncomplete || c.entry.stage == stageIdle && s.draining.Load()) {
 		c.closeReason = errShuttingDown
 	}
 	if c.closeReason != nil {
@@ -282,19 +282,19 @@
 
 // evictUntilBelowLimit evicts connections until the table has a free slot. If none may be evicted yet,
 // it tries again after EvictionGrace. newest is the connection that was just added or has just changed
-// its stage, nil for none. The caller must hold d.mu.
-func (d *Server) evictUntilBelowLimit(newest *tableEntry) {
-	for d.table.full() {
-		if d.evictOne(newest) {
+// its stage, nil for none. The caller must hold s.mu.
+func (s *Server) evictUntilBelowLimit(newest *tableEntry) {
+	for s.table.full() {
+		if s.evictOne(newest) {
 			continue
 		}
-		if !d.evictionScheduled {
-			d.evictionScheduled = true
-			time.AfterFunc(d.cfg.Timeouts().EvictionGrace, func() {
-				d.mu.Lock()
-				defer d.mu.Unlock()
-				d.evictionScheduled = false
-				d.evictUntilBelowLimit(nil)
+		if !s.evictionScheduled {
+			s.evictionScheduled = true
+			time.AfterFunc(s.cfg.Timeouts().EvictionGrace, func() {
+				s.mu.Lock()
+				defer s.mu.Unlock()
+				s.evictionScheduled = false
+				s.evictUntilBelowLimit(nil)
 			})
 		}
 		return
@@ -302,30 +302,30 @@
 }
 
 // evictOne removes the table's eviction candidate and calls requestClose for its connection. It reports
-// whether there was a candidate. The caller must hold d.mu.
-func (d *Server) evictOne(newest *tableEntry) bool {
-	candidate := d.table.evictionCandidate(newest, time.Now(), d.cfg.Timeouts().EvictionGrace, func(e *tableEntry) bool { return e.conn.ReadWouldBlock() })
+// whether there was a candidate. The caller must hold s.mu.
+func (s *Server) evictOne(newest *tableEntry) bool {
+	candidate := s.table.evictionCandidate(newest, time.Now(), s.cfg.Timeouts().EvictionGrace, func(e *tableEntry) bool { return e.conn.ReadWouldBlock() })
 	if candidate == nil {
 		return false
 	}
-	d.table.remove(candidate)
-	d.requestClose(candidate.conn, errEvicted)
+	s.table.remove(candidate)
+	s.requestClose(candidate.conn, errEvicted)
 	return true
 }
 
 // callerDisconnected reports whether the disconnect watcher has reported a connection's caller.
-func (d *Server) callerDisconnected(c *conn) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *Server) callerDisconnected(c *conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return c.disconnected
 }
 
 // notifyDisconnect records that a connection's caller has disconnected and calls the Canceler of the
 // request that is being served, if there is one.
-func (d *Server) notifyDisconnect(id uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c := d.conns[id]
+func (s *Server) notifyDisconnect(id uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	c := s.conns[id]
 	if c == nil || c.disconnected {
 		return
 	}
@@ -340,78 +340,78 @@
 // those without a complete request. It returns once all connections are closed or ctx has ended.
 // remaining is the number of connections that were still open then; Shutdown closes them before it
 // returns.
-func (d *Server) Shutdown(ctx context.Context, acceptGrace time.Duration) (remaining int) {
-	d.draining.Store(true)
-	d.requestCloseAll(stageIdle)
+func (s *Server) Shutdown(ctx context.Context, acceptGrace time.Duration) (remaining int) {
+	s.draining.Store(true)
+	s.requestCloseAll(stageIdle)
 	select {
 	case <-time.After(acceptGrace):
 	case <-ctx.Done():
 	}
-	d.closeListeners()
-	d.mu.Lock()
-	d.abortIncomplete = true
-	d.mu.Unlock()
-	d.requestCloseAll(stageNew, stageIdle, stageReading)
+	s.closeListeners()
+	s.mu.Lock()
+	s.abortIncomplete = true
+	s.mu.Unlock()
+	s.requestCloseAll(stageNew, stageIdle, stageReading)
 	select {
-	case <-d.allConnsClosed():
+	case <-s.allConnsClosed():
 	case <-ctx.Done():
 	}
-	d.mu.Lock()
-	remaining = len(d.conns)
-	d.mu.Unlock()
-	d.Close()
+	s.mu.Lock()
+	remaining = len(s.conns)
+	s.mu.Unlock()
+	s.Close()
 	return remaining
 }
 
 // requestCloseAll calls requestClose, because of the shutdown, for all connections in the given stages.
-func (d *Server) requestCloseAll(stages ...connStage) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *Server) requestCloseAll(stages ...connStage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, stage := range stages {
-		for e := d.table.lists[stage].front; e != nil; e = e.next {
-			d.requestClose(e.conn, errShuttingDown)
+		for e := s.table.lists[stage].front; e != nil; e = e.next {
+			s.requestClose(e.conn, errShuttingDown)
 		}
 	}
 }
 
 // allConnsClosed returns a channel that is closed once no connection is open.
-func (d *Server) allConnsClosed() <-chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *Server) allConnsClosed() <-chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	allClosed := make(chan struct{})
-	if len(d.conns) == 0 {
+	if len(s.conns) == 0 {
 		close(allClosed)
 	} else {
-		d.allClosed = allClosed
+		s.allClosed = allClosed
 	}
 	return allClosed
 }
 
 // closeListeners closes all listeners and makes Serve return. It may be called more than once.
-func (d *Server) closeListeners() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (s *Server) closeListeners() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	select {
-	case <-d.acceptStopped:
+	case <-s.acceptStopped:
 	default:
-		close(d.acceptStopped)
+		close(s.acceptStopped)
 	}
-	for _, l := range d.listeners {
+	for _, l := range s.listeners {
 		l.Close()
 	}
-	d.listeners = nil
+	s.listeners = nil
 }
 
 // Close closes all listeners and connections immediately, and stops the disconnect watcher.
-func (d *Server) Close() {
-	d.closeListeners()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.conns {
+func (s *Server) Close() {
+	s.closeListeners()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.conns {
 		c.Close()
 	}
-	d.watcher.Close()
+	s.watcher.Close()
 }
 
 // Draining reports whether Shutdown has started.
-func (d *Server) Draining() bool { return d.draining.Load() }
+func (s *Server) Draining() bool { return s.draining.Load() }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -148,16 +148,16 @@
 }
 
 // dial opens a connection and sends data on it.
-func (h *testServer) dial(data string) net.Conn {
-	h.t.Helper()
-	c, err := net.Dial("tcp", h.addr)
+func (s *testServer) dial(data string) net.Conn {
+	s.t.Helper()
+	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
-		h.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { c.Close() })
+	s.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(c, data); err != nil {
-		h.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return c
 }
@@ -168,41 +168,41 @@
 }
 
 // readResponse reads one response and its body.
-func (h *testServer) readResponse(reader *bufio.Reader) (*http.Response, string) {
-	h.t.Helper()
+func (s *testServer) readResponse(reader *bufio.Reader) (*http.Response, string) {
+	s.t.Helper()
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		h.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		h.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return resp, string(body)
 }
 
 // waitFor waits for an element on c. event describes it in the failure message.
-func (h *testServer) waitFor(c <-chan struct{}, event string) {
-	h.t.Helper()
+func (s *testServer) waitFor(c <-chan struct{}, event string) {
+	s.t.Helper()
 	select {
 	case <-c:
 	case <-time.After(testTimeout):
-		h.t.Fatalf("%s: not within %v", event, testTimeout)
+		s.t.Fatalf("%s: not within %v", event, testTimeout)
 	}
 }
 
 // waitForOpenConns waits until at most maxOpen connections are open.
-func (h *testServer) waitForOpenConns(maxOpen int) {
-	h.t.Helper()
+func (s *testServer) waitForOpenConns(maxOpen int) {
+	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		h.server.mu.Lock()
-		n := len(h.server.conns)
-		h.server.mu.Unlock()
-		if n <= maxOpen && len(h.server.slots) <= maxOpen+1 { // Serve holds one slot for the next connection
+		s.server.mu.Lock()
+		n := len(s.server.conns)
+		s.server.mu.Unlock()
+		if n <= maxOpen && len(s.server.slots) <= maxOpen+1 { // Serve holds one slot for the next connection
 			return
 		}
 		if time.Now().After(deadline) {
-			h.t.Fatalf("%d connections remain and %d slots are in use", n, len(h.server.slots))
+			s.t.Fatalf("%d connections remain and %d slots are in use", n, len(s.server.slots))
 		}
 	}
 }
@@ -460,20 +460,20 @@
 }
 
 // waitForIdle waits until want connections are idle.
-func (h *testServer) waitForIdle(want int) {
-	h.t.Helper()
+func (s *testServer) waitForIdle(want int) {
+	s.t.Helper()
 	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		n := 0
-		h.server.mu.Lock()
-		for e := h.server.table.lists[stageIdle].front; e != nil; e = e.next {
+		s.server.mu.Lock()
+		for e := s.server.table.lists[stageIdle].front; e != nil; e = e.next {
 			n++
 		}
-		h.server.mu.Unlock()
+		s.server.mu.Unlock()
 		if n == want {
 			return
 		}
 		if time.Now().After(deadline) {
-			h.t.Fatalf("%d connections are idle, want %d", n, want)
+			s.t.Fatalf("%d connections are idle, want %d", n, want)
 		}
 	}
 }
--- a/internal/httpserver/shutdown_test.go
+++ b/internal/httpserver/shutdown_test.go
@@ -46,21 +46,21 @@
 
 // startShutdown starts the shutdown and waits until the server accepts no more connections. By then, the
 // server has called requestClose for idle connections. The channel receives the result of Shutdown.
-func (h *testServer) startShutdown() (remaining chan int) {
-	h.t.Helper()
+func (s *testServer) startShutdown() (remaining chan int) {
+	s.t.Helper()
 	remaining = make(chan int, 1)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
-		remaining <- h.server.Shutdown(ctx, 0)
+		remaining <- s.server.Shutdown(ctx, 0)
 	}()
 	select {
-	case err := <-h.serveResult:
+	case err := <-s.serveResult:
 		if err != nil {
-			h.t.Error(err)
+			s.t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		h.t.Fatal("connections are still accepted")
+		s.t.Fatal("connections are still accepted")
 	}
 	return remaining
 }
--- a/internal/httpserver/stream.go
+++ b/internal/httpserver/stream.go
@@ -78,37 +78,37 @@
 var expiredDeadline = time.Unix(1, 0)
 
 // complete reports whether the whole body has been received.
-func (u *bodyReceiver) complete() bool {
+func (r *bodyReceiver) complete() bool {
 	select {
-	case <-u.finished:
-		return u.err == nil
+	case <-r.finished:
+		return r.err == nil
 	default:
 		return false
 	}
 }
 
 // receive receives the body once it has a reader.
-func (u *bodyReceiver) receive(head *http1.Request) error {
-	if !u.store.WaitForReader() {
+func (r *bodyReceiver) receive(head *http1.Request) error {
+	if !r.store.WaitForReader() {
 		return body.ErrClosed
 	}
-	if err := u.sendContinue(); err != nil {
+	if err := r.sendContinue(); err != nil {
 		return err
 	}
 	if head.Framing() == http1.Chunked {
-		return u.receiveChunked()
+		return r.receiveChunked()
 	}
-	return u.receiveFixedLength(head.ContentLength())
+	return r.receiveFixedLength(head.ContentLength())
 }
 
 // sendContinue sends 100 Continue if the caller waits for it.
-func (u *bodyReceiver) sendContinue() error {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if !u.continuePending || u.stopped {
+func (r *bodyReceiver) sendContinue() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.continuePending || r.stopped {
 		return nil
 	}
-	n, err := u.conn.TryWrite([]byte(http1.ContinueResponse))
+	n, err := r.conn.TryWrite([]byte(http1.ContinueResponse))
 	if err == nil && n < len(http1.ContinueResponse) { // the caller reads nothing, not even these few bytes
 		err = ErrCallerTooSlow
 	}
@@ -116,49 +116,49 @@
 }
 
 // receiveFixedLength receives a body of remaining bytes, straight into the store.
-func (u *bodyReceiver) receiveFixedLength(remaining int64) error {
+func (r *bodyReceiver) receiveFixedLength(remaining int64) error {
 	for remaining > 0 {
-		space, err := u.store.Reserve(int(min(remaining, body.BlockSize)))
+		space, err := r.store.Reserve(int(min(remaining, body.BlockSize)))
 		if err != nil {
 			return err
 		}
-		n := copy(space, u.conn.buf.Bytes()) // data that was read together with the head
-		if u.conn.buf.Consume(n); n == 0 {
-			if n, err = u.readWithinLimits(func() (int, error) { return u.conn.Read(space) }); err != nil {
+		n := copy(space, r.conn.buf.Bytes()) // data that was read together with the head
+		if r.conn.buf.Consume(n); n == 0 {
+			if n, err = r.readWithinLimits(func() (int, error) { return r.conn.Read(space) }); err != nil {
 				return err
 			}
 		}
-		if err := u.store.Commit(n); err != nil {
+		if err := r.store.Commit(n); err != nil {
 			return err
 		}
 		remaining -= int64(n)
 	}
-	u.store.Complete(nil)
+	r.store.Complete(nil)
 	return nil
 }
 
 // receiveChunked receives a chunked body. Only data whose framing has been checked goes into the store.
-func (u *bodyReceiver) receiveChunked() error {
-	chunks := u.server.chunkBuffers.Get()
-	chunks.Commit(copy(chunks.Reserve(u.conn.buf.Len()), u.conn.buf.Bytes()))
-	u.conn.buf.Reset()
-	defer func() { u.server.chunkBuffers.Put(chunks) }()
+func (r *bodyReceiver) receiveChunked() error {
+	chunks := r.server.chunkBuffers.Get()
+	chunks.Commit(copy(chunks.Reserve(r.conn.buf.Len()), r.conn.buf.Bytes()))
+	r.conn.buf.Reset()
+	defer func() { r.server.chunkBuffers.Put(chunks) }()
 	decoder := http1.ChunkedDecoder{Limits: http1.DefaultLimits, KeepTrailers: true}
 	for total := int64(0); ; {
 		data, n, err := decoder.Decode(chunks.Bytes())
 		if err != nil {
 			return err
 		}
-		if total += int64(len(data)); total > u.limits.MaxBytes {
+		if total += int64(len(data)); total > r.limits.MaxBytes {
 			return ErrBodyTooLarge
 		}
 		for len(data) > 0 {
-			space, err := u.store.Reserve(len(data))
+			space, err := r.store.Reserve(len(data))
 			if err != nil {
 				return err
 			}
 			copied := copy(space, data)
-			if err := u.store.Commit(copied); err != nil {
+			if err := r.store.Commit(copied); err != nil {
 				return err
 			}
 			data = data[copied:]
@@ -166,16 +166,16 @@
 		chunks.Consume(n)
 		if decoder.Done() {
 			// The data after the body belongs to the next request.
-			u.conn.buf.Commit(copy(u.conn.buf.Reserve(chunks.Len()), chunks.Bytes()))
-			u.store.Complete(decoder.Trailers)
+			r.conn.buf.Commit(copy(r.conn.buf.Reserve(chunks.Len()), chunks.Bytes()))
+			r.store.Complete(decoder.Trailers)
 			return nil
 		}
 		if n > 0 {
 			continue
 		}
-		if _, err := u.readWithinLimits(func() (int, error) {
+		if _, err := r.readWithinLimits(func() (int, error) {
 			oldLen := chunks.Len()
-			_, err := u.conn.ReadInto(chunks)
+			_, err := r.conn.ReadInto(chunks)
 			return chunks.Len() - oldLen, err
 		}); err != nil {
 			return err
@@ -186,34 +186,34 @@
 // readWithinLimits calls read, which reads once from the connection, and repeats the call after a read
 // deadline as long as the caller keeps the minimum transfer rate and the stream's deadline has not passed.
 // Time spent waiting for the reader of the body does not count against the caller.
-func (u *bodyReceiver) readWithinLimits(read func() (int, error)) (int, error) {
+func (r *bodyReceiver) readWithinLimits(read func() (int, error)) (int, error) {
 	for {
 		startedAt := time.Now()
-		deadline := startedAt.Add(u.limits.RateMeter.MaxWait())
-		if u.limits.Deadline.Before(deadline) {
-			deadline = u.limits.Deadline
+		deadline := startedAt.Add(r.limits.RateMeter.MaxWait())
+		if r.limits.Deadline.Before(deadline) {
+			deadline = r.limits.Deadline
 		}
-		u.mu.Lock()
-		if !u.stopped {
-			u.conn.SetReadDeadline(deadline)
+		r.mu.Lock()
+		if !r.stopped {
+			r.conn.SetReadDeadline(deadline)
 		}
-		stopped := u.stopped
-		u.mu.Unlock()
+		stopped := r.stopped
+		r.mu.Unlock()
 		if stopped {
 			return 0, body.ErrClosed
 		}
 		n, err := read()
 		now := time.Now()
-		fastEnough := u.limits.RateMeter.Record(now.Sub(startedAt), n)
+		fastEnough := r.limits.RateMeter.Record(now.Sub(startedAt), n)
 		switch {
 		case err == nil && fastEnough:
-			u.conn.lastReadAt = now
+			r.conn.lastReadAt = now
 			return n, nil
 		case err == nil:
 			return 0, fmt.Errorf("body: %w", ErrCallerTooSlow)
 		case !tcpconn.IsDeadlineExceeded(err):
 			return 0, fmt.Errorf("body: %w: %w", ErrCallerDisconnected, err)
-		case !now.Before(u.limits.Deadline):
+		case !now.Before(r.limits.Deadline):
 			return 0, fmt.Errorf("body: %w", ErrStreamDeadline)
 		case !fastEnough:
 			return 0, fmt.Errorf("body: %w", ErrCallerTooSlow)
@@ -222,19 +222,19 @@
 }
 
 // serveStreaming serves a request whose body is still arriving.
-func (d *Server) serveStreaming(c *conn, headBytes int) error {
-	d.detachHead(c, headBytes)
-	d.setStage(c, stageServing, c.lastReadAt)
+func (s *Server) serveStreaming(c *conn, headBytes int) error {
+	s.detachHead(c, headBytes)
+	s.setStage(c, stageServing, c.lastReadAt)
 	x := &c.exchange
 	x.reset(nil)
 	x.Close = c.head.ClosesConnection()
 	c.requestBytes, c.responsePending = 0, true
-	d.cfg.Handler.ServeExchange(x)
+	s.cfg.Handler.ServeExchange(x)
 	x.StopReceiving()
 	if x.receiver == nil || !x.receiver.complete() {
 		x.Close = true
 	}
-	return d.sendResponse(c, 0)
+	return s.sendResponse(c, 0)
 }
 
 // responseStream is the state of a response that is sent as its body becomes available.
@@ -319,7 +319,7 @@
 
 // finishStreamedResponse finishes a streamed response and prepares the connection for the next request,
 // which starts after requestBytes bytes of c.buf.
-func (d *Server) finishStreamedResponse(c *conn, requestBytes int) error {
+func (s *Server) finishStreamedResponse(c *conn, requestBytes int) error {
 	x := &c.exchange
 	c.idleSince = time.Now()
 	c.SetWriteDeadline(time.Time{}) // the deadline of the last write must not fail the next response
@@ -331,9 +331,9 @@
 	c.responsePending = false
 	c.responseCount++
 	if closing {
-		d.linger(c)
+		s.linger(c)
 		return errLastResponseSent
 	}
 	c.buf.Consume(requestBytes)
-	return d.prepareForNextRequest(c, false)
+	return s.prepareForNextRequest(c, false)
 }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -139,12 +139,12 @@
 }
 
 // String returns the permissions in the words of the table in docs/operators/bodies.md.
-func (m Permissions) String() string {
+func (p Permissions) String() string {
 	var texts []string
 	for _, permission := range []struct {
 		allowed bool
 		text    string
-	}{{m.Retry, "again"}, {m.Hedge, "copy"}, {m.Refuse, "refuse"}} {
+	}{{p.Retry, "again"}, {p.Hedge, "copy"}, {p.Refuse, "refuse"}} {
 		if permission.allowed {
 			texts = append(texts, permission.text)
 		}
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -114,8 +114,8 @@
 // CheckHead implements [httpserver.Handler]. It decides whether the body is streamed, rejects
 // invalid requests with 400 or 413, and leaves the engine.Call of a valid one in x.HandlerState. A
 // health check has no call.
-func (s requestHandler) CheckHead(x *httpserver.Exchange) *httpserver.ErrorResponse {
-	r, settings := x.RequestHead(), s.engine.Settings()
+func (h requestHandler) CheckHead(x *httpserver.Exchange) *httpserver.ErrorResponse {
+	r, settings := x.RequestHead(), h.engine.Settings()
 	contentLength := r.ContentLength()
 	x.Streaming = settings.Streams.RequestsEnabled() && !isHealthCheck(r) &&
 		(r.Framing() == http1.Chunked && settings.Streams.ChunkedEnabled() || contentLength > int64(settings.Callers.MaxRequestBody) && contentLength <= int64(settings.Streams.MaxRequestBody))
@@ -126,9 +126,9 @@
 	case isHealthCheck(r):
 		return nil
 	}
-	call := s.engine.NewCall()
-	if err := s.parseHead(call, r); err != nil {
-		s.engine.ReleaseCall(call)
+	call := h.engine.NewCall()
+	if err := h.parseHead(call, r); err != nil {
+		h.engine.ReleaseCall(call)
 		return &httpserver.ErrorResponse{Status: http.StatusBadRequest, Message: err.Error()}
 	}
 	x.HandlerState = call
@@ -137,42 +137,42 @@
 
 // ServeExchange implements [httpserver.Handler]. It responds to a health check itself, rejects a
 // request whose id is already open with 409, and has the engine serve all others.
-func (s requestHandler) ServeExchange(x *httpserver.Exchange) {
+func (h requestHandler) ServeExchange(x *httpserver.Exchange) {
 	call, ok := x.HandlerState.(*engine.Call)
 	if !ok {
 		status := http.StatusOK
-		if s.httpServer.Draining() || !s.engine.Ready() {
+		if h.httpServer.Draining() || !h.engine.Ready() {
 			status = http.StatusServiceUnavailable
 		}
 		x.Respond(status, "", nil, nil)
 		return
 	}
-	if !s.registerID(call.CallerRequestID) {
-		s.engine.ReleaseCall(call)
+	if !h.registerID(call.CallerRequestID) {
+		h.engine.ReleaseCall(call)
 		x.Close = true
 		x.Respond(http.StatusConflict, contentTypeText, nil, []byte("X-Request-ID: a request with it is open\n"))
 		return
 	}
-	defer s.unregisterID(call.CallerRequestID)
+	defer h.unregisterID(call.CallerRequestID)
 	call.Head, call.Body, call.CallerDisconnected = x.RequestHead(), x.Body, x.CallerDisconnected
 	// One margin is reserved for the response to reach the caller, a second one for the balancer
 	// to end the attempts that it started. Each is at most a tenth of the timeout.
-	margin := min(s.engine.Settings().Callers.ResponseMargin, call.Timeout/10)
+	margin := min(h.engine.Settings().Callers.ResponseMargin, call.Timeout/10)
 	call.Deadline = x.ReceivedAt().Add(call.Timeout - margin)
 	call.Timeout -= 2*margin + time.Since(x.ReceivedAt())
 	if x.Streaming {
-		s.serveStreamedRequest(x, call)
+		h.serveStreamedRequest(x, call)
 		return
 	}
 	connected := x.NotifyDisconnect(call)
-	result := s.engine.Serve(call, !connected)
+	result := h.engine.Serve(call, !connected)
 	x.StopNotifyDisconnect()
 	if result.Streaming {
-		s.streamResponse(x, call, result)
+		h.streamResponse(x, call, result)
 	} else {
-		s.respond(x, result)
+		h.respond(x, result)
 	}
-	s.engine.ReleaseCall(call)
+	h.engine.ReleaseCall(call)
 }
 
 // contentTypeText is the Content-Type of the sidecar's own responses.
--- a/internal/tcpconn/conn.go
+++ b/internal/tcpconn/conn.go
@@ -63,22 +63,22 @@
 
 // ReadInto waits until there is data to read and appends it to b, or to a buffer from the pool if b is
 // nil. It returns that buffer, or b if no data was read, and io.EOF at the end of the stream.
-func (s *Conn) ReadInto(b *http1.Buffer) (*http1.Buffer, error) {
-	s.readBuffer = b
-	err := s.raw.Read(s.readFunc)
-	return s.readResult(err)
+func (c *Conn) ReadInto(b *http1.Buffer) (*http1.Buffer, error) {
+	c.readBuffer = b
+	err := c.raw.Read(c.readFunc)
+	return c.readResult(err)
 }
 
 // readResult returns the result of a read. err is the runtime's, such as an exceeded deadline.
-func (s *Conn) readResult(err error) (*http1.Buffer, error) {
-	b := s.readBuffer
-	s.readBuffer = nil
+func (c *Conn) readResult(err error) (*http1.Buffer, error) {
+	b := c.readBuffer
+	c.readBuffer = nil
 	switch {
 	case err != nil:
 		return b, err
-	case s.syscallErr != nil:
-		return b, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", s.syscallErr)}
-	case s.readBytes == 0:
+	case c.syscallErr != nil:
+		return b, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.syscallErr)}
+	case c.readBytes == 0:
 		return b, io.EOF
 	}
 	return b, nil
@@ -89,67 +89,67 @@
 // not all of p could be written without waiting, it returns early, with a nil buffer and no error. Waiting for
 // data always starts with an attempt to read; the check for unread data takes the place of that attempt, which
 // saves a system call for each request.
-func (s *Conn) WriteThenRead(p []byte) (written int, stale bool, b *http1.Buffer, err error) {
-	s.writeData, s.writtenBytes, s.writeTried, s.stale, s.readBuffer, s.readBytes, s.syscallErr = p, 0, false, false, nil, 0, nil
-	err = s.raw.Read(s.writeThenReadFunc)
-	s.writeData = nil
-	if s.stale || err == nil && s.writtenBytes < len(p) {
-		return s.writtenBytes, s.stale, nil, s.syscallErr
+func (c *Conn) WriteThenRead(p []byte) (written int, stale bool, b *http1.Buffer, err error) {
+	c.writeData, c.writtenBytes, c.writeTried, c.stale, c.readBuffer, c.readBytes, c.syscallErr = p, 0, false, false, nil, 0, nil
+	err = c.raw.Read(c.writeThenReadFunc)
+	c.writeData = nil
+	if c.stale || err == nil && c.writtenBytes < len(p) {
+		return c.writtenBytes, c.stale, nil, c.syscallErr
 	}
-	b, err = s.readResult(err)
-	return s.writtenBytes, false, b, err
+	b, err = c.readResult(err)
+	return c.writtenBytes, false, b, err
 }
 
 // writeThenReadOnce checks the connection and writes when it is first called, and reads after that. It reports
 // whether the runtime must stop waiting for data.
-func (s *Conn) writeThenReadOnce(fd uintptr) bool {
-	if s.writeTried {
-		return s.readOnce(fd)
+func (c *Conn) writeThenReadOnce(fd uintptr) bool {
+	if c.writeTried {
+		return c.readOnce(fd)
 	}
-	s.writeTried = true
-	if s.peek(fd); !s.wouldBlock.Load() {
-		s.stale = true
+	c.writeTried = true
+	if c.peek(fd); !c.wouldBlock.Load() {
+		c.stale = true
 		return true
 	}
-	return !s.writeOnce(fd) || s.writtenBytes < len(s.writeData) // wait for the response if all was written
+	return !c.writeOnce(fd) || c.writtenBytes < len(c.writeData) // wait for the response if all was written
 }
 
 // TryWrite writes as much of p as can be written without waiting, and returns the number of bytes written.
-func (s *Conn) TryWrite(p []byte) (n int, err error) {
-	s.writeData, s.writtenBytes, s.syscallErr = p, 0, nil
-	err = s.raw.Write(s.writeFunc)
-	s.writeData = nil
-	if err == nil && s.syscallErr != nil {
-		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", s.syscallErr)}
+func (c *Conn) TryWrite(p []byte) (n int, err error) {
+	c.writeData, c.writtenBytes, c.syscallErr = p, 0, nil
+	err = c.raw.Write(c.writeFunc)
+	c.writeData = nil
+	if err == nil && c.syscallErr != nil {
+		err = &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.syscallErr)}
 	}
-	return s.writtenBytes, err
+	return c.writtenBytes, err
 }
 
 // WriteWithDeadline writes all of p. The deadline applies to what can't be written without waiting. It is
 // cleared at the end, since it would otherwise fail a later write that needs no waiting.
-func (s *Conn) WriteWithDeadline(p []byte, deadline time.Time) error {
-	n, err := s.TryWrite(p)
+func (c *Conn) WriteWithDeadline(p []byte, deadline time.Time) error {
+	n, err := c.TryWrite(p)
 	if err != nil || n == len(p) {
 		return err
 	}
-	s.SetWriteDeadline(deadline)
-	defer s.SetWriteDeadline(time.Time{})
-	_, err = s.Write(p[n:])
+	c.SetWriteDeadline(deadline)
+	defer c.SetWriteDeadline(time.Time{})
+	_, err = c.Write(p[n:])
 	return err
 }
 
 // writeOnce writes once without waiting. It returns false if the write failed, and stores the error.
-func (s *Conn) writeOnce(fd uintptr) bool {
+func (c *Conn) writeOnce(fd uintptr) bool {
 	for {
-		n, err := syscall.Write(int(fd), s.writeData)
+		n, err := syscall.Write(int(fd), c.writeData)
 		switch err {
 		case nil:
-			s.writtenBytes = n
+			c.writtenBytes = n
 		case syscall.EINTR:
 			continue
 		case syscall.EAGAIN:
 		default:
-			s.syscallErr = err
+			c.syscallErr = err
 			return false
 		}
 		return true
@@ -157,47 +157,47 @@
 }
 
 // readOnce reads once without waiting. It returns false if there is nothing to read yet.
-func (s *Conn) readOnce(fd uintptr) bool {
-	b := s.readBuffer
+func (c *Conn) readOnce(fd uintptr) bool {
+	b := c.readBuffer
 	if b == nil {
-		b = s.bufs.Get()
+		b = c.bufs.Get()
 	}
 	for {
-		s.readBytes, s.syscallErr = syscall.Read(int(fd), b.Reserve(minReadBytes))
-		if s.syscallErr != syscall.EINTR {
+		c.readBytes, c.syscallErr = syscall.Read(int(fd), b.Reserve(minReadBytes))
+		if c.syscallErr != syscall.EINTR {
 			break
 		}
 	}
-	if s.readBytes > 0 {
-		b.Commit(s.readBytes)
-		s.readBuffer = b
+	if c.readBytes > 0 {
+		b.Commit(c.readBytes)
+		c.readBuffer = b
 		return true
 	}
-	if s.readBuffer == nil {
-		s.bufs.Put(b)
+	if c.readBuffer == nil {
+		c.bufs.Put(b)
 	}
-	return s.syscallErr != syscall.EAGAIN
+	return c.syscallErr != syscall.EAGAIN
 }
 
 // ReadWouldBlock reports whether the connection is open with nothing to read. It does not wait, and may
 // be called while another goroutine waits in ReadInto.
-func (s *Conn) ReadWouldBlock() bool {
-	return s.raw.Control(s.peekFunc) == nil && s.wouldBlock.Load()
+func (c *Conn) ReadWouldBlock() bool {
+	return c.raw.Control(c.peekFunc) == nil && c.wouldBlock.Load()
 }
 
 // peek sets wouldBlock to whether a read would have to wait: there is no data, no end of the stream and no error.
 // It consumes no data.
-func (s *Conn) peek(fd uintptr) {
+func (c *Conn) peek(fd uintptr) {
 	var b [1]byte
 	_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	s.wouldBlock.Store(err == syscall.EAGAIN)
+	c.wouldBlock.Store(err == syscall.EAGAIN)
 }
 
 // PeerDisconnected reports whether the peer has ended its sending or reset the connection, or the connection
 // has been closed on this side. It does not wait, and may be called by any goroutine.
-func (s *Conn) PeerDisconnected() bool {
+func (c *Conn) PeerDisconnected() bool {
 	disconnected := false
-	err := s.raw.Control(func(fd uintptr) {
+	err := c.raw.Control(func(fd uintptr) {
 		pollFds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		for {
 			_, err := unix.Poll(pollFds[:], 0)
@@ -213,27 +213,27 @@
 
 // WriteBuffers writes buffers until the write deadline and removes what has been written from them. Several
 // buffers are written together. It returns the number of bytes written.
-func (s *Conn) WriteBuffers(buffers *net.Buffers) (int64, error) {
+func (c *Conn) WriteBuffers(buffers *net.Buffers) (int64, error) {
 	if len(*buffers) != 1 {
-		return buffers.WriteTo(s.Conn)
+		return buffers.WriteTo(c.Conn)
 	}
-	n, err := s.Conn.Write((*buffers)[0])
+	n, err := c.Conn.Write((*buffers)[0])
 	(*buffers)[0] = (*buffers)[0][n:]
 	return int64(n), err
 }
 
 // HasUnackedData reports whether the peer's machine has not yet acknowledged all that was sent, see SIOCOUTQ in
 // tcp(7).
-func (s *Conn) HasUnackedData() bool {
+func (c *Conn) HasUnackedData() bool {
 	unackedBytes := 0
-	err := s.raw.Control(func(fd uintptr) { unackedBytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	err := c.raw.Control(func(fd uintptr) { unackedBytes, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
 	return err == nil && unackedBytes > 0
 }
 
 // CloseWrite ends sending, so that the peer can read a last response before the connection is closed.
-func (s *Conn) CloseWrite() error {
-	if c, ok := s.Conn.(*net.TCPConn); ok {
-		return c.CloseWrite()
+func (c *Conn) CloseWrite() error {
+	if tcpConn, ok := c.Conn.(*net.TCPConn); ok {
+		return tcpConn.CloseWrite()
 	}
 	return errors.ErrUnsupported
 }
