--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -60,7 +60,7 @@
 	if !c.responsePending || c.hijacked || x.pooledBuffer == nil || x.stream.started {
 		return
 	}
-	x.Close = true
+	x.CloseAfterResponse = true
 	x.Respond(500, "text/plain; charset=utf-8", nil, []byte("failed\n"))
 	if s.writeResponse(c) == nil {
 		s.linger(c)
@@ -298,7 +298,7 @@
 	slog.Debug("request rejected", "connection", c.id, "status", r.Status, "why", r.Message)
 	x := &c.exchange
 	x.reset(nil)
-	x.Close = true
+	x.CloseAfterResponse = true
 	x.Respond(r.Status, "text/plain; charset=utf-8", r.appendFields, []byte(r.Message+"\n"))
 	err := s.writeResponse(c)
 	x.releaseBuffers()
@@ -336,7 +336,7 @@
 func (s *Server) serveBuffered(c *conn, body []byte, requestBytes int) error {
 	x := &c.exchange
 	x.reset(body)
-	x.Close = c.head.ClosesConnection()
+	x.CloseAfterResponse = c.head.ClosesConnection()
 	c.requestBytes, c.responsePending = requestBytes, true
 	s.cfg.Handler.ServeExchange(x)
 	if c.hijacked {
@@ -362,7 +362,7 @@
 	c.idleSince = x.respondedAt
 	pipelined := !x.Streaming && c.idleSince.Sub(c.lastReadAt) > pipelineTolerance && !c.ReadWouldBlock()
 	err := s.writeResponse(c)
-	closing := x.Close
+	closing := x.CloseAfterResponse
 	x.releaseBuffers()
 	if err != nil {
 		return err
--- a/internal/httpserver/exchange.go
+++ b/internal/httpserver/exchange.go
@@ -11,10 +11,10 @@
 
 // Exchange is a request, which is complete or streamed, and its response.
 type Exchange struct {
-	Body         []byte // empty if Streaming
-	Streaming    bool   // set by Handler.CheckHead: ServeExchange gets the body by ReceiveBody, as it arrives
-	Close        bool   // the connection closes after the response
-	HandlerState any    // passed from Handler.CheckHead to Handler.ServeExchange
+	Body               []byte // empty if Streaming
+	Streaming          bool   // set by Handler.CheckHead: ServeExchange gets the body by ReceiveBody, as it arrives
+	CloseAfterResponse bool   // the connection closes after the response
+	HandlerState       any    // passed from Handler.CheckHead to Handler.ServeExchange
 
 	server       *Server
 	conn         *conn
@@ -36,7 +36,7 @@
 
 // reset prepares x for a response to a request with the given body.
 func (x *Exchange) reset(body []byte) {
-	x.Body, x.Close = body, false
+	x.Body, x.CloseAfterResponse = body, false
 	x.responseData, x.receiver, x.stream = nil, nil, responseStream{}
 	buffer, ok := x.server.responseBuffers.Get().(*[]byte)
 	if !ok {
@@ -100,8 +100,8 @@
 	}
 	// The connection also closes if the request's body was not read to its end, as the rest can't be told from
 	// the next request.
-	x.Close = x.Close || x.receiver != nil && !x.receiver.complete() || x.server.draining.Load() && !x.hasMoreData()
-	if x.Close {
+	x.CloseAfterResponse = x.CloseAfterResponse || x.receiver != nil && !x.receiver.complete() || x.server.draining.Load() && !x.hasMoreData()
+	if x.CloseAfterResponse {
 		b = http1.AppendField(b, "Connection", "close")
 	}
 	return b
--- a/internal/httpserver/stream.go
+++ b/internal/httpserver/stream.go
@@ -227,12 +227,12 @@
 	s.setStage(c, stageServing, c.lastReadAt)
 	x := &c.exchange
 	x.reset(nil)
-	x.Close = c.head.ClosesConnection()
+	x.CloseAfterResponse = c.head.ClosesConnection()
 	c.requestBytes, c.responsePending = 0, true
 	s.cfg.Handler.ServeExchange(x)
 	x.StopReceiving()
 	if x.receiver == nil || !x.receiver.complete() {
-		x.Close = true
+		x.CloseAfterResponse = true
 	}
 	return s.sendResponse(c, 0)
 }
@@ -323,7 +323,7 @@
 	x := &c.exchange
 	c.idleSince = time.Now()
 	c.SetWriteDeadline(time.Time{}) // the deadline of the last write must not fail the next response
-	complete, closing := x.stream.complete, x.Close
+	complete, closing := x.stream.complete, x.CloseAfterResponse
 	x.releaseBuffers()
 	if !complete {
 		return errResponseIncomplete // the missing bytes let the caller detect that
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -149,7 +149,7 @@
 	}
 	if !h.registerID(call.CallerRequestID) {
 		h.engine.ReleaseCall(call)
-		x.Close = true
+		x.CloseAfterResponse = true
 		x.Respond(http.StatusConflict, contentTypeText, nil, []byte("X-Request-ID: a request with it is open\n"))
 		return
 	}
--- a/internal/sidecar/streaming.go
+++ b/internal/sidecar/streaming.go
@@ -91,7 +91,7 @@
 	settings := &s.engine.Settings().Streams
 	if !s.acquireStream(settings.MaxOpenRequests) {
 		s.engine.ReleaseCall(call)
-		x.Close = true // the body is not read
+		x.CloseAfterResponse = true // the body is not read
 		s.respond(x, engine.FinalResult{Refused: true, RetryAfter: s.cfg.BalancerConfig.Limits.MaxRetryAfter})
 		return
 	}
