--- a/cmd/drumctl/config.go
+++ b/cmd/drumctl/config.go
@@ -98,7 +98,7 @@
 		Use:   "explain FILE...",
 		Short: "Describe the worst case of a configuration, for each class",
 		Long: `Describe for each class how many attempts a request may have and over what time, when the last
-one may begin, which endpoints it may go to, and what a refusal and a failure promise. Files are
+one may start, which endpoints it may go to, and what a refusal and a failure promise. Files are
 combined as by check. Nothing is explained if a file is refused.`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -244,10 +244,10 @@
 )
 
 // fillClassDefaults chooses values that the class descriptions leave out and for which the general
-// defaults may not fit. These are the connect and probe timeouts, which the class with the shortest
-// times decides, and for each class the number of attempts that fit then and the latest start of an
-// attempt whose key endpoints still remember. tables[i] is the TOML table of classes[i]. It returns the TOML
-// of the general settings, and the tables with the chosen keys added.
+// defaults may not fit: the connect and probe timeouts, which the class with the shortest times
+// decides, and for each class how many attempts fit in its time with that connect timeout and until
+// when an attempt may start so that endpoints still remember its key. tables[i] is the TOML table of
+// classes[i]. It returns the TOML of the general settings, and the tables with the chosen keys added.
 func fillClassDefaults(s *config.Settings, classes, tables []string) (general string, filledTables []string) {
 	connect, probe := defaultConnectTimeout, defaultProbeTimeout
 	available := func(k *config.Class) time.Duration {
--- a/internal/check/reference.go
+++ b/internal/check/reference.go
@@ -27,7 +27,7 @@
 
 `)
 	b.WriteString(config.KeyReference())
-	b.WriteString("\n## Rules\n\nThe sidecar does not run with a refused file. It runs with a file that has warnings, but the setting is unwise.\n")
+	b.WriteString("\n## Rules\n\nThe sidecar does not run with a refused file. It runs with a file that only has warnings, but the settings that they name are unwise.\n")
 	for _, level := range []config.Level{config.LevelRefused, config.LevelWarning} {
 		fmt.Fprintf(&b, "\n### %s\n\n| rule | guards | found | reason | mend |\n| --- | --- | --- | --- | --- |\n",
 			map[config.Level]string{config.LevelRefused: "Refused", config.LevelWarning: "Warnings"}[level])
--- a/internal/check/sidecar.go
+++ b/internal/check/sidecar.go
@@ -349,8 +349,9 @@
 	}
 }
 
-// setsAttemptBound reports whether the file sets a key that the bound key is checked with: the key
-// itself for the class or for all classes, connect_time, or the class's wanted.
+// setsAttemptBound reports whether the file sets any of the values that the check of a bound such as
+// "attempts" compares: the key for the class or for all classes, connect_time, or the class's wanted.
+// prefix is the key of the class.
 func (c *checker) setsAttemptBound(prefix, key string) bool {
 	return c.setsAny(prefix+"."+key, "fleet."+key, "endpoints.connect_time", prefix+".wanted")
 }
@@ -522,7 +523,7 @@
 				key = k
 			}
 		}
-		c.refuse("descriptors", key, fmt.Sprintf("%d for callers, %d for endpoints, %d for files and %d in reserve", callers, endpoints, merged.MaxBodyFiles(), config.ReservedSockets),
+		c.refuse("descriptors", key, fmt.Sprintf("%d for callers, %d for endpoints, %d for body files and %d in reserve", callers, endpoints, merged.MaxBodyFiles(), config.ReservedSockets),
 			fmt.Sprintf("%d in all", merged.Limits.Sockets))
 		return // no memory check, because so many connections can't be opened
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -21,7 +21,8 @@
 //	reload    "live" if SIGHUP changes the value, "restart" if only a restart does
 //	required  "yes" if the file must give the key
 //	unset     what it means that the file does not give the key, if that is more than a default
-//	kind      of a string or of a list's elements: "name", "address" (HOST:PORT), "path" or "text"
+//	kind      of a string or of a list's elements: "name", "address" (HOST:PORT) or "path"; a string
+//	          without a kind has choices
 type Settings struct {
 	SchemaVersion int            `key:"schema" min:"1" reload:"restart" required:"yes" doc:"The version of the file's format. This program reads version 1."`
 	Application   Application    `key:"application" doc:"The application that the sidecar belongs to. All its sidecars may share one file."`
@@ -65,7 +66,7 @@
 
 // Endpoints holds the table [endpoints].
 type Endpoints struct {
-	MaxConnections   int           `key:"connections" min:"0" max:"1000000" default:"0" reload:"restart" unset:"the descriptors that callers and the reserve leave" doc:"How many connections to endpoints may be open; 0 means all descriptors that callers and the reserve leave."`
+	MaxConnections   int           `key:"connections" min:"0" max:"1000000" default:"0" reload:"restart" unset:"the descriptors that callers, body files and the reserve leave" doc:"How many connections to endpoints may be open; 0 means all descriptors that callers, body files and the reserve for the sidecar itself leave."`
 	ConnectTimeout   time.Duration `key:"connect_time" min:"1ms" max:"1m" reload:"restart" unset:"the platform's, else 250ms" doc:"How long connecting to an endpoint may take. If it takes longer, the request has not been sent on that connection."`
 	KeepAliveTimeout time.Duration `key:"keep_alive" min:"10ms" max:"1h" reload:"restart" unset:"the platform's, else 10s" doc:"The shortest time for which endpoints keep an idle connection open. The sidecar closes idle connections after nine tenths of it."`
 	MaxResponseHead  Size          `key:"max_answer_head" default:"16KiB" min:"1KiB" max:"1MiB" reload:"live" doc:"The longest header section of a response, together with those of the 1xx responses before it."`
@@ -78,7 +79,7 @@
 	MaxResponseBody         Size          `key:"max_answer" default:"0" min:"0" max:"1TiB" reload:"live" unset:"off, so endpoints.max_answer is the limit" doc:"The longest body of a 200 response that is streamed. Bodies over endpoints.max_answer are streamed. 0 turns this off."`
 	AllowChunked            *bool         `key:"chunked" reload:"live" unset:"false" doc:"Whether bodies of unknown length are accepted: chunked requests, and responses of unknown length, which are passed on in chunks once they exceed look."`
 	MaxOpenRequests         int           `key:"open" default:"100" min:"1" max:"100000" reload:"live" doc:"How many requests with streamed bodies may be open. A further one is refused, with a time after which to retry."`
-	Window                  Size          `key:"window" default:"32KiB" min:"4KiB" max:"1MiB" reload:"live" doc:"How much of a body may be buffered that the endpoint has not received yet. When it is full, the caller has to wait."`
+	Window                  Size          `key:"window" default:"32KiB" min:"4KiB" max:"1MiB" reload:"live" doc:"How much of a body may be buffered that the endpoint has not received yet. When the window is full, the caller has to wait."`
 	MaxMemoryPerBody        Size          `key:"memory" default:"0" min:"0" max:"1GiB" reload:"live" doc:"How much of one body is retained in memory for further attempts."`
 	MaxMemoryTotal          Size          `key:"memory_all" default:"0" min:"0" max:"1TiB" reload:"live" doc:"How much memory all retained bodies together may use, in addition to their windows."`
 	MaxFilePerBody          Size          `key:"file" default:"0" min:"0" max:"1TiB" reload:"live" doc:"How much of one body is retained in a file in $TMPDIR, in addition to memory. A body that does not fit is not retained, and its request gets no further attempt."`
@@ -116,9 +117,9 @@
 
 // Discovery holds the table [discovery].
 type Discovery struct {
-	PushWait            time.Duration `key:"push_wait" default:"200ms" min:"0s" max:"1m" reload:"restart" doc:"For an agent that is pushed the list: how long it may hold a request open until there is an update."`
+	PushWait            time.Duration `key:"push_wait" default:"200ms" min:"0s" max:"1m" reload:"restart" doc:"For a pushed list: how long the agent on this machine may hold a request open until there is an update."`
 	PushResponseTimeout time.Duration `key:"push_answer" default:"200ms" min:"10ms" max:"1m" reload:"restart" doc:"How long the agent's response may take beyond push_wait."`
-	PollWait            time.Duration `key:"ask_wait" default:"20s" min:"0s" max:"1m" reload:"restart" doc:"For a service that is polled: how long it may hold a request open until there is an update."`
+	PollWait            time.Duration `key:"ask_wait" default:"20s" min:"0s" max:"1m" reload:"restart" doc:"For a polled list: how long the service may hold a request open until there is an update."`
 	PollResponseTimeout time.Duration `key:"ask_answer" default:"2s" min:"10ms" max:"1m" reload:"restart" doc:"How long the service's response may take beyond ask_wait."`
 	MinPause            time.Duration `key:"pause" default:"100ms" min:"1ms" max:"150ms" reload:"restart" doc:"The shortest time between two discovery requests. A watch ends unless the next request arrives within 200ms of the last response."`
 }
@@ -157,11 +158,11 @@
 
 // Class holds a table [class.NAME].
 type Class struct {
-	TargetLatency  time.Duration `key:"wanted" min:"1ms" max:"1h" reload:"restart" unset:"the platform's; required without a platform" doc:"The target latency: a response within this time has its full value."`
+	TargetLatency  time.Duration `key:"wanted" min:"1ms" max:"1h" reload:"restart" unset:"the platform's; required without a platform" doc:"The wanted time, or target latency: a response within it has its full value."`
 	Deadline       time.Duration `key:"deadline" min:"1ms" max:"1h" reload:"restart" unset:"the platform's; required without a platform" doc:"How long a client waits, over all its tries together."`
 	Semantics      string        `key:"semantics" choices:"safe,keyed,unsafe" reload:"restart" unset:"the platform's; required without a platform" doc:"Whether a request may run more than once: a safe one may, repeats of a keyed one are dropped by its key, an unsafe one must not."`
 	Scope          string        `key:"scope" choices:"all,zone,cell" reload:"restart" unset:"the platform's; required for keyed without a platform" doc:"For keyed: which endpoints drop the repeats of a request: all, those in one zone, or those in one cell."`
-	RepeatWindow   time.Duration `key:"repeat_window" min:"1ms" max:"24h" reload:"restart" unset:"the platform's; required for keyed without a platform" doc:"For keyed: how long these endpoints drop repeats, from when the first attempt was sent."`
+	RepeatWindow   time.Duration `key:"repeat_window" min:"1ms" max:"24h" reload:"restart" unset:"the platform's; required for keyed without a platform" doc:"For keyed: how long the endpoints of the scope drop repeats, from when the first attempt was sent."`
 	Value          float64       `key:"worth" min:"0.001" max:"1000000" reload:"restart" unset:"the platform's, else 1" doc:"The value of a response, relative to those of other classes."`
 	LateValueShare *float64      `key:"late_worth" min:"0" max:"1" reload:"restart" unset:"the platform's, else 0" doc:"The share of its value that a response still has after the wanted time, up to the deadline. With 0, the sidecar gives up on a request, and responds to its caller, when the wanted time is over."`
 	MaxAttempts    int           `key:"attempts" min:"1" max:"100" reload:"live" unset:"the limit for any request" doc:"The most attempts of a request, including those that never ran."`
