--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -216,9 +216,9 @@
 	return false
 }
 
-// refuse adds a finding of the rule id for key. The finding names the operators' file, or the
+// refuse adds a finding of the rule with the identifier id for key. The finding names the operators' file, or the
 // platform's configuration if the operators' file does not set the key. fix, if given, replaces
-// the rule's own. refuse panics if there is no rule id.
+// the rule's own. refuse panics if there is no such rule.
 func (c *checker) refuse(id, key, found, allowed string, fix ...string) {
 	r, ok := RuleByID(id)
 	if !ok {
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -343,7 +343,7 @@
 // TestDeploymentRefusesEachFault guards against faults that pass the check and against refusals for
 // the wrong reason. Each deployment has one fault, made from valid files by a mutation with a seeded
 // number. It must be refused by that fault's rule and no other, and the valid files must pass. Every
-// rule that refuses must be broken by a mutation.
+// rule that refuses, except unreadable, must be broken by a mutation.
 func TestDeploymentRefusesEachFault(t *testing.T) {
 	refusalsByRule := make(map[string]int)
 	faultyCount := 0
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -340,7 +340,8 @@
 	d.decodeValue(target, fullKey, expression.Value())
 }
 
-// excerpt returns a value as the file has it, on one line and shortened to 60 bytes.
+// excerpt returns a value as the file has it, on one line and shortened to 60 bytes. A list or a
+// table is only named as such.
 func (d *decoder) excerpt(node *unstable.Node) string {
 	switch node.Kind {
 	case unstable.Array:
@@ -510,7 +511,7 @@
 }
 
 // closestMatch returns the candidate that text is most likely a misspelling of, or "" if none is
-// within an edit distance of a third of its length and one more.
+// close enough. The edit distance may be one more than a third of the length of text.
 func closestMatch(text string, candidates []string) string {
 	best, minDistance := "", len(text)/3+2
 	for _, candidate := range candidates {
--- a/internal/config/finding.go
+++ b/internal/config/finding.go
@@ -31,7 +31,7 @@
 	Key      string `json:"key,omitempty"`
 	Found    string `json:"found,omitempty"`
 	Allowed  string `json:"allowed,omitempty"`
-	Reason   string `json:"reason,omitempty"` // why the rule exists
+	Reason   string `json:"reason,omitempty"` // what would go wrong, or the parser's message on a syntax error
 	Fix      string `json:"mend,omitempty"`   // how to correct the configuration
 }
 
--- a/internal/config/kinds.go
+++ b/internal/config/kinds.go
@@ -13,8 +13,9 @@
 // Size is a number of bytes. In a file it is a string with a unit, such as "64KiB".
 type Size int64
 
-// sizeUnits are the units of sizes. ParseSize and String take the first that fits, so larger units
-// precede smaller ones, and "B", with which the names of all units end, is last.
+// sizeUnits are the units of sizes. String takes the first binary unit that fits, so larger ones
+// precede smaller ones. ParseSize takes the first unit that a text ends with, so "B", with which the
+// names of all units end, is last.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -16,7 +16,7 @@
 type Config struct {
 	*Platform
 	Settings   *Settings
-	Standalone bool // there is no platform, so none sends SIGKILL after SIGTERM
+	Standalone bool // there is no platform, which would send SIGKILL some time after SIGTERM
 }
 
 // ReservedSockets is the number of file descriptors that are reserved for the listener, discovery,
@@ -82,7 +82,7 @@
 	"probe": balance.ReportsInProbe, "answers": balance.ReportsInResponse, "none": balance.ReportsNone,
 }
 
-// SemanticsName returns the file's word for a value of the balancer.
+// SemanticsName returns the file's word for the semantics of a class.
 func SemanticsName(s balance.Semantics) string { return nameOf(semanticsValues, s) }
 
 // ScopeName returns the file's word for a scope.
@@ -134,8 +134,8 @@
 	return min(c.LongestDeadline(), maxKillDeadline)
 }
 
-// minSet returns the smaller of two values, of which a zero one is not set. If only one is set, it
-// returns that.
+// minSet returns the smaller of two values, where zero means that a value is not set. If only one is
+// set, it returns that one.
 func minSet[V cmp.Ordered](x, y V) V {
 	var unset V
 	if x == unset || y == unset {
