--- a/internal/fake/bench.go
+++ b/internal/fake/bench.go
@@ -113,7 +113,7 @@
 
 // NewBenchCaller connects to an address. Do will send requests of the class to /api/ and path, with a
 // body of bodyBytes bytes and timeout as their X-Timeout. The request IDs and idempotency keys count up
-// from baseID+1 in hexadecimal digits; callers must give each BenchCaller a range of its own.
+// from baseID+1 in hexadecimal digits; each BenchCaller of a run needs a range of its own.
 func NewBenchCaller(addr, class, path string, bodyBytes int, timeout time.Duration, baseID uint64) (*BenchCaller, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/lab/files.go
+++ b/internal/lab/files.go
@@ -48,21 +48,21 @@
 )
 
 // platformConfig returns the platform's configuration of a sidecar as JSON, in the form that DEPLOY shows.
-// The sidecar is number (from 0) of balancers that send to the tier tierIndex; zone is an index of zones.
-// discoveryAddr is the address of the discovery agent, and loadReports how endpoints report their load
-// (the setting loadInfo.how).
-func platformConfig(name, listen string, tierIndex, zone, number, balancers, sockets int, discoveryAddr string, known discovery.List, loadReports string) ([]byte, error) {
+// sidecarIndex, from 0, numbers the sidecar among the sidecarCount sidecars that send to the tier with the
+// index tierIndex; zoneIndex is an index of zones. discoveryAddr is the address of the discovery agent, and
+// loadReports how endpoints report their load (the setting loadInfo.how).
+func platformConfig(name, listen string, tierIndex, zoneIndex, sidecarIndex, sidecarCount, sockets int, discoveryAddr string, known discovery.List, loadReports string) ([]byte, error) {
 	const ms = 1_000_000
 	layers := make([]string, len(tiers))
 	for i, t := range tiers {
 		layers[i] = t.name
 	}
 	return json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "discovery": discoveryAddr, "seed": fmt.Sprintf("%x", 1+number+100*tierIndex),
+		"name": name, "listen": listen, "discovery": discoveryAddr, "seed": fmt.Sprintf("%x", 1+sidecarIndex+100*tierIndex),
 		"limits": map[string]any{"cores": 1, "memory_mb": sidecarMemoryMB, "sockets": sockets},
 		"known":  known,
 		"settings": map[string]any{
-			"balancers": balancers, "me": number, "tier": tierIndex, "zone": zone, "zones": zones, "layers": layers,
+			"balancers": sidecarCount, "me": sidecarIndex, "tier": tierIndex, "zone": zoneIndex, "zones": zones, "layers": layers,
 			"kindOfService": "chain", "discovery": "push", "stepNs": ms, "weights": "silent", "countedBy": "request",
 			"classes": []map[string]any{{
 				"name": className, "goalTimeNs": targetLatencyMS * ms, "hardLimitNs": deadlineMS * ms, "importance": 1, "lateShare": 0,
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -131,7 +131,7 @@
 	}
 	files, err := checkFiles(l.cfg.Dir)
 	if err != nil {
-		return fmt.Errorf("lab: the checker rejected the generated configuration files: %w", err)
+		return fmt.Errorf("lab: the checker refused the generated configuration files: %w", err)
 	}
 	l.logf("%d configuration files in %s, all accepted by the checker", files, l.cfg.Dir)
 	readyCtx, cancel := context.WithTimeout(ctx, 30*time.Second)
@@ -168,15 +168,15 @@
 	return nil
 }
 
-// startSidecar starts sidecar number of those that send to a tier; there are balancers of them. zone is
-// an index of zones. It returns without waiting until the sidecar is ready.
-func (l *lab) startSidecar(tierIndex, number, balancers, zone int) (*process, error) {
-	name := fmt.Sprintf("to-%s-%d", tiers[tierIndex].name, number)
+// startSidecar starts one of the sidecarCount sidecars that send to a tier; sidecarIndex, from 0, numbers
+// it among them. zoneIndex is an index of zones. It returns without waiting until the sidecar is ready.
+func (l *lab) startSidecar(tierIndex, sidecarIndex, sidecarCount, zoneIndex int) (*process, error) {
+	name := fmt.Sprintf("to-%s-%d", tiers[tierIndex].name, sidecarIndex)
 	addrs, err := freeAddresses(1)
 	if err != nil {
 		return nil, err
 	}
-	text, err := platformConfig(name, addrs[0], tierIndex, zone, number, balancers, sidecarSockets, l.discovery[tierIndex].Addr(), l.discovery[tierIndex].List(), "pull")
+	text, err := platformConfig(name, addrs[0], tierIndex, zoneIndex, sidecarIndex, sidecarCount, sidecarSockets, l.discovery[tierIndex].Addr(), l.discovery[tierIndex].List(), "pull")
 	if err != nil {
 		return nil, err
 	}
@@ -467,7 +467,7 @@
 	if events.restartedNode == nil {
 		return nil
 	}
-	// Requests per second of a warm node. This is an upper bound: requests to the next tier take time besides.
+	// Requests per second of a warm node. This is an upper bound: requests to the next tier take further time.
 	fullRate := float64(nodeConcurrency) / (float64(tiers[0].serviceTimeMS) / 1000)
 	arrivalTimes := events.restartedNode.ArrivalTimes()
 	for i, windowStart := range arrivalTimes {
