--- a/internal/check/explain.go
+++ b/internal/check/explain.go
@@ -71,7 +71,7 @@
 	return explanations, findings
 }
 
-// explainClass describes a class. It mirrors the decisions of mayRetry, mayFollow and finish of
+// explainClass describes a class. It mirrors the decisions of admitRetry, mayRepeatAt and finish of
 // balance.Balancer.
 func (c *checker) explainClass(k balance.Class) ClassExplanation {
 	limits := c.merged.BalancerConfig.Limits
