--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -148,14 +148,14 @@
 			t.Fatalf("probe %d: sent to a busy endpoint", i)
 		}
 	}
-	more := h.actionsOf(Probe)
-	if len(more) == 0 {
+	furtherProbes := h.actionsOf(Probe)
+	if len(furtherProbes) == 0 {
 		t.Fatal("no further probe though no endpoint is idle")
 	}
 	h.now += ms
-	h.endProbe(more[0].Endpoint, 0)
-	if got := h.sentEndpoint(); got != more[0].Endpoint {
-		t.Errorf("sent to %d, want the idle %d", got, more[0].Endpoint)
+	h.endProbe(furtherProbes[0].Endpoint, 0)
+	if got := h.sentEndpoint(); got != furtherProbes[0].Endpoint {
+		t.Errorf("sent to %d, want the idle %d", got, furtherProbes[0].Endpoint)
 	}
 }
 
@@ -1399,8 +1399,8 @@
 	for _, id := range uploads[:15] {
 		h.actions = h.b.BodyStateChanged(h.now, id, BodyComplete, nil)
 	}
-	if more, _ := sendMany(false); len(more) > 0 {
-		t.Errorf("%d were sent to endpoints whose cores are busy now", len(more))
+	if sentNow, _ := sendMany(false); len(sentNow) > 0 {
+		t.Errorf("%d were sent to endpoints whose cores are busy now", len(sentNow))
 	}
 	h.actions = h.b.ResponseStarted(h.now, uploads[0], 0, nil)
 	for i, id := range uploads {
--- a/cmd/barleydrum/reload_test.go
+++ b/cmd/barleydrum/reload_test.go
@@ -124,10 +124,10 @@
 repeat_window = "20s"
 `
 
-// standaloneSettings returns an operators' settings file that needs no platform configuration. more is
-// text put in front of placeOrderClass.
-func standaloneSettings(listen, discovery, more string) string {
-	return fmt.Sprintf("schema = 1\n[application]\nname = \"test\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s%s", listen, discovery, more, placeOrderClass)
+// standaloneSettings returns an operators' settings file that needs no platform configuration.
+// extraSettings is text put in front of placeOrderClass.
+func standaloneSettings(listen, discovery, extraSettings string) string {
+	return fmt.Sprintf("schema = 1\n[application]\nname = \"test\"\ntier = \"t\"\nlisten = %q\ndiscovery = %q\n%s%s", listen, discovery, extraSettings, placeOrderClass)
 }
 
 // orderRequest returns a new request of the class in placeOrderClass.
@@ -162,9 +162,9 @@
 func TestReloadUnderLoadLosesNoRequest(t *testing.T) {
 	discoveryServer, addr := startService(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "s.toml")
-	replace := func(more string) {
+	replace := func(extraSettings string) {
 		t.Helper()
-		if err := os.WriteFile(path+".new", []byte(standaloneSettings(addr, discoveryServer.Addr(), more)), 0o600); err != nil {
+		if err := os.WriteFile(path+".new", []byte(standaloneSettings(addr, discoveryServer.Addr(), extraSettings)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Rename(path+".new", path); err != nil {
@@ -285,8 +285,8 @@
 // The program must start with any settings that the checker accepts: its parts must be created without
 // an error.
 func FuzzAcceptedSettingsStart(f *testing.F) {
-	for _, more := range []string{"", "[callers]\nconnections = 3\nmax_body = \"0\"\n", "[fleet]\nreports = \"none\"\nlist = \"ask\"\n", "[endpoints]\nconnections = 1\n[limits]\nsockets = 64\n"} {
-		f.Add(standaloneSettings("127.0.0.1:1", "127.0.0.1:2", more))
+	for _, extraSettings := range []string{"", "[callers]\nconnections = 3\nmax_body = \"0\"\n", "[fleet]\nreports = \"none\"\nlist = \"ask\"\n", "[endpoints]\nconnections = 1\n[limits]\nsockets = 64\n"} {
+		f.Add(standaloneSettings("127.0.0.1:1", "127.0.0.1:2", extraSettings))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, parseFindings := config.ParseSettings("f", []byte(text))
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -252,10 +252,10 @@
 }
 
 // otherApplication returns standaloneSettings changed to another application that listens on listen
-// and on an extra address of its own. more are further pairs of old and new text.
-func otherApplication(name, listen string, more ...string) File {
+// and on an extra address of its own. replacements are further pairs of old and new text.
+func otherApplication(name, listen string, replacements ...string) File {
 	extraAddress := fmt.Sprintf("127.0.9.%d:9001", name[0])
-	r := strings.NewReplacer(append(more, `"order-check"`, `"`+name+`"`, `calls = ["run-booking"]`, "calls = []",
+	r := strings.NewReplacer(append(replacements, `"order-check"`, `"`+name+`"`, `calls = ["run-booking"]`, "calls = []",
 		"127.0.0.1:9000", listen, "127.0.0.1:9001", extraAddress)...)
 	return newFile(name+".toml", r.Replace(standaloneSettings))
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -246,7 +246,7 @@
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := Stats{CallsTotal: int(e.lastRequestID), OpenCalls: len(e.calls), Endpoints: len(e.endpoints), EndpointNames: max(len(e.ids.byName), len(e.ids.used)),
+	s := Stats{CallsTotal: int(e.lastRequestID), OpenCalls: len(e.calls), Endpoints: len(e.endpoints), EndpointNames: max(len(e.ids.byName), len(e.ids.usedIDs)),
 		WaitingExchanges: e.pool.WaitingExchanges()}
 	for _, ep := range e.endpoints {
 		s.AttemptsInFlight += len(ep.inFlightAttempts)
--- a/internal/engine/ids.go
+++ b/internal/engine/ids.go
@@ -14,7 +14,7 @@
 // idTable maps the names of instances and zones to the numbers by which the balancer identifies them.
 type idTable struct {
 	byName          map[string]balance.EndpointID
-	used            map[balance.EndpointID]bool // the IDs in byName
+	usedIDs         map[balance.EndpointID]bool // the IDs in byName
 	configuredZones []string                    // the zones of the settings, numbered by their index
 }
 
@@ -22,7 +22,7 @@
 func newIDTable(zones []string) *idTable {
 	return &idTable{
 		byName:          make(map[string]balance.EndpointID),
-		used:            make(map[balance.EndpointID]bool),
+		usedIDs:         make(map[balance.EndpointID]bool),
 		configuredZones: zones,
 	}
 }
@@ -37,8 +37,8 @@
 	h := fnv.New32a()
 	for {
 		io.WriteString(h, name)
-		if id := balance.EndpointID(h.Sum32()); !t.used[id] {
-			t.byName[name], t.used[id] = id, true
+		if id := balance.EndpointID(h.Sum32()); !t.usedIDs[id] {
+			t.byName[name], t.usedIDs[id] = id, true
 			return id
 		}
 	}
@@ -46,7 +46,7 @@
 
 // release frees the ID of an instance that has been removed.
 func (t *idTable) release(name string) {
-	delete(t.used, t.byName[name])
+	delete(t.usedIDs, t.byName[name])
 	delete(t.byName, name)
 }
 
--- a/internal/engine/starttime.go
+++ b/internal/engine/starttime.go
@@ -13,16 +13,16 @@
 }
 
 // startTime returns when an endpoint started, on the balancer's clock, or 0 if unknown. reported is the
-// Unix time that the list gives, now the current time on the balancer's clock, and known the endpoint as
-// it was before this list, or nil if it is new. While reported stays the same, so does the result. A new
+// Unix time that the list gives, now the current time on the balancer's clock, and previous the endpoint
+// as it was before this list, or nil if it is new. While reported stays the same, so does the result. A new
 // start time is never later than now, and no earlier than maxListDelay before the last response from
 // discovery, since that one did not report it.
-func (s *startTimeEstimator) startTime(reported, now time.Duration, known *endpoint) time.Duration {
+func (s *startTimeEstimator) startTime(reported, now time.Duration, previous *endpoint) time.Duration {
 	switch {
 	case reported == 0:
 		return 0
-	case known != nil && known.reportedStart == reported:
-		return known.startedAt
+	case previous != nil && previous.reportedStart == reported:
+		return previous.startedAt
 	case reported > now:
 		return now
 	case s.lastResponseAt > 0:
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -90,11 +90,11 @@
 
 // NewConfig returns a configuration for tests: a platform's configuration with PlatformSettingsJSON
 // and the endpoints known at the start, merged with the operators' default settings.
-func NewConfig(t TestingT, known discovery.List) *config.Config {
+func NewConfig(t TestingT, knownEndpoints discovery.List) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
-		"known": known, "settings": json.RawMessage(PlatformSettingsJSON),
+		"known": knownEndpoints, "settings": json.RawMessage(PlatformSettingsJSON),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/files.go
+++ b/internal/lab/files.go
@@ -51,7 +51,7 @@
 // sidecarIndex, from 0, numbers the sidecar among the sidecarCount sidecars that send to the tier with the
 // index tierIndex; zoneIndex is an index of zones. discoveryAddr is the address of the discovery agent, and
 // loadReports how endpoints report their load (the setting loadInfo.how).
-func platformConfig(name, listen string, tierIndex, zoneIndex, sidecarIndex, sidecarCount, sockets int, discoveryAddr string, known discovery.List, loadReports string) ([]byte, error) {
+func platformConfig(name, listen string, tierIndex, zoneIndex, sidecarIndex, sidecarCount, sockets int, discoveryAddr string, knownEndpoints discovery.List, loadReports string) ([]byte, error) {
 	const ms = 1_000_000
 	layers := make([]string, len(tiers))
 	for i, t := range tiers {
@@ -60,7 +60,7 @@
 	return json.MarshalIndent(map[string]any{
 		"name": name, "listen": listen, "discovery": discoveryAddr, "seed": fmt.Sprintf("%x", 1+sidecarIndex+100*tierIndex),
 		"limits": map[string]any{"cores": 1, "memory_mb": sidecarMemoryMB, "sockets": sockets},
-		"known":  known,
+		"known":  knownEndpoints,
 		"settings": map[string]any{
 			"balancers": sidecarCount, "me": sidecarIndex, "tier": tierIndex, "zone": zoneIndex, "zones": zones, "layers": layers,
 			"kindOfService": "chain", "discovery": "push", "stepNs": ms, "weights": "silent", "countedBy": "request",
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -398,10 +398,10 @@
 	return x.cancelCause
 }
 
-// closeAndFail ends an exchange without a usable response and closes its connection. sent says whether the
-// request was completely sent. It is ignored if the upload of a streamed body did not complete: then the
+// closeAndFail ends an exchange without a usable response and closes its connection. requestSent is set if
+// the request was completely sent. It is ignored if the upload of a streamed body did not complete: then the
 // request counts as sent only if its response was unusable.
-func (x *Exchange) closeAndFail(sent bool, err error) {
+func (x *Exchange) closeAndFail(requestSent bool, err error) {
 	uploadComplete, uploadErr := x.stopUpload()
 	x.unbindConn()
 	x.conn.Close()
@@ -412,14 +412,14 @@
 		if errors.Is(uploadErr, body.ErrStopped) && !isTimeout(err) {
 			uploadErr = err
 		}
-		sent, err = errors.As(err, new(unusableResponseError)), uploadErr
+		requestSent, err = errors.As(err, new(unusableResponseError)), uploadErr
 	}
-	x.fail(sent, err)
+	x.fail(requestSent, err)
 }
 
 // fail sets the result of an exchange without a usable response. A request that was completely sent may have
 // run; one that was not can't have.
-func (x *Exchange) fail(sent bool, err error) {
+func (x *Exchange) fail(requestSent bool, err error) {
 	x.mu.Lock()
 	cause := x.cancelCause
 	x.mu.Unlock()
@@ -427,9 +427,9 @@
 	switch {
 	case cause == ErrCanceled:
 		x.result = balance.Canceled
-	case !sent && (cause == ErrCanceledUnsent || errors.Is(err, errNoSlot) || errors.Is(err, errNoTimeLeft) || errors.As(err, new(unsendableBodyError))): // not the endpoint's fault
+	case !requestSent && (cause == ErrCanceledUnsent || errors.Is(err, errNoSlot) || errors.Is(err, errNoTimeLeft) || errors.As(err, new(unsendableBodyError))): // not the endpoint's fault
 		x.result = balance.NotSent
-	case !sent:
+	case !requestSent:
 		x.result = balance.ConnectFailed
 	case errors.As(err, new(unusableResponseError)):
 		x.result = balance.Error
--- a/internal/upstream/load.go
+++ b/internal/upstream/load.go
@@ -13,34 +13,34 @@
 // the protocol's own name. Both are accepted: when only the protocol's names were accepted,
 // every report was empty.
 // A field that the report does not have is -1.
-func parseLoad(text []byte) (l balance.Load, ok bool) {
+func parseLoad(text []byte) (load balance.Load, ok bool) {
 	text, ok = bytes.CutPrefix(bytes.TrimSpace(text), []byte("TEXT "))
 	if !ok {
-		return l, false
+		return load, false
 	}
-	l = balance.Load{InFlight: -1, Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}
+	load = balance.Load{InFlight: -1, Queued: -1, Utilization: -1, LatencyMS: -1, ServedPerSecond: -1, FailedPerSecond: -1}
 	for more := true; more; {
 		var part []byte
 		part, text, more = bytes.Cut(text, []byte(","))
 		name, value, _ := bytes.Cut(bytes.TrimSpace(part), []byte("="))
 		v, err := strconv.ParseFloat(string(value), 64)
 		if err != nil || v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
-			return l, false
+			return load, false
 		}
 		switch string(name) {
 		case "busy_reqs", "inflight":
-			l.InFlight = v
+			load.InFlight = v
 		case "pending", "queue":
-			l.Queued = v
+			load.Queued = v
 		case "cpu_share", "util":
-			l.Utilization = v
+			load.Utilization = v
 		case "svc_ms", "latency_ms":
-			l.LatencyMS = v
+			load.LatencyMS = v
 		case "served_ps", "qps":
-			l.ServedPerSecond = v
+			load.ServedPerSecond = v
 		case "failed_ps", "eps":
-			l.FailedPerSecond = v
+			load.FailedPerSecond = v
 		}
 	}
-	return l, true
+	return load, true
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -178,8 +178,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := p.oldestIdle; c != nil; c = p.oldestIdle {
-		if left := p.cfg.IdleTimeout - time.Since(c.idleSince); left > 0 {
-			time.AfterFunc(left, p.closeExpired)
+		if remaining := p.cfg.IdleTimeout - time.Since(c.idleSince); remaining > 0 {
+			time.AfterFunc(remaining, p.closeExpired)
 			return
 		}
 		p.takeOldestIdle().Close()
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -39,7 +39,7 @@
 	src           *body.Body
 	contentLength int64       // in bytes; -1 for a chunked body
 	tryComplete   func() bool // reports whether the last byte may be sent now
-	done          chan error  // receives the result once; nil before startUpload and after stopUpload
+	result        chan error  // receives the result once; nil before startUpload and after stopUpload
 
 	// Guarded by Exchange.mu.
 	reader  *body.Reader // of src; nil while no goroutine sends the body
@@ -76,13 +76,13 @@
 		r.Stop()
 	}
 	x.mu.Unlock()
-	x.upload.done = make(chan error, 1)
-	u := &uploader{x: x, conn: x.conn, reader: r, meter: x.pool.cfg.NewRateMeter(), remaining: x.upload.contentLength}
+	x.upload.result = make(chan error, 1)
+	u := &uploader{exchange: x, conn: x.conn, reader: r, meter: x.pool.cfg.NewRateMeter(), remaining: x.upload.contentLength}
 	go func() {
 		err := u.run()
 		r.Close()
 		x.recordUploadEnd(err)
-		x.upload.done <- err
+		x.upload.result <- err
 	}()
 	return nil
 }
@@ -108,7 +108,7 @@
 // stopUpload stops the upload, if there is one, and waits until its goroutine is done. It reports whether the
 // request was completely sent, and if not, why.
 func (x *Exchange) stopUpload() (complete bool, err error) {
-	if x.upload.done == nil {
+	if x.upload.result == nil {
 		return true, nil
 	}
 	x.mu.Lock()
@@ -118,14 +118,14 @@
 		x.conn.SetWriteDeadline(expiredDeadline)
 	}
 	x.mu.Unlock()
-	err = <-x.upload.done
-	x.upload.done = nil
+	err = <-x.upload.result
+	x.upload.result = nil
 	return err == nil, err
 }
 
 // uploader sends one request whose body is still arriving. It is used by a single goroutine.
 type uploader struct {
-	x         *Exchange
+	exchange  *Exchange
 	conn      *conn
 	reader    *body.Reader
 	meter     transferrate.Meter
@@ -136,7 +136,7 @@
 // run sends the request and its body. Its error is an unsendableBodyError if the body can't be sent, else the
 // connection's, or ErrEndpointTooSlow.
 func (u *uploader) run() error {
-	if err := u.write(u.x.requestBuf.Bytes()); err != nil {
+	if err := u.write(u.exchange.requestBuf.Bytes()); err != nil {
 		return err
 	}
 	for u.remaining != 0 {
@@ -145,7 +145,7 @@
 		case err == io.EOF && u.remaining > 0:
 			return unsendableBodyError{io.ErrUnexpectedEOF}
 		case err == io.EOF:
-			if !u.x.upload.tryComplete() {
+			if !u.exchange.upload.tryComplete() {
 				return unsendableBodyError{errBodyTooLate}
 			}
 			u.scratch = http1.AppendLastChunk(u.scratch[:0], u.reader.Trailers())
@@ -155,7 +155,7 @@
 		}
 		if u.remaining >= 0 {
 			data = data[:min(int64(len(data)), u.remaining)]
-			if u.remaining -= int64(len(data)); u.remaining == 0 && !u.x.upload.tryComplete() {
+			if u.remaining -= int64(len(data)); u.remaining == 0 && !u.exchange.upload.tryComplete() {
 				return unsendableBodyError{errBodyTooLate}
 			}
 			err = u.write(data)
@@ -177,7 +177,7 @@
 	unwritten := net.Buffers(parts)
 	for {
 		startedAt := time.Now()
-		if !u.x.armUploadDeadline(startedAt.Add(u.meter.MaxWait())) {
+		if !u.exchange.armUploadDeadline(startedAt.Add(u.meter.MaxWait())) {
 			return unsendableBodyError{body.ErrStopped}
 		}
 		n, err := u.conn.WriteBuffers(&unwritten)
@@ -187,7 +187,7 @@
 			return nil
 		case !tcpconn.IsDeadlineExceeded(err):
 			return err
-		case !fastEnough || !time.Now().Before(u.x.currentDeadline()):
+		case !fastEnough || !time.Now().Before(u.exchange.currentDeadline()):
 			return fmt.Errorf("upload: %w", ErrEndpointTooSlow)
 		}
 	}
@@ -290,13 +290,13 @@
 
 // nextPiece returns data of the body that has been received and not yet returned. If there is none, end reports
 // whether the body is complete. It does not read from the connection.
-func (x *Exchange) nextPiece() (p []byte, end bool, err error) {
+func (x *Exchange) nextPiece() (piece []byte, end bool, err error) {
 	switch x.framing {
 	case http1.FixedLength:
-		left := x.head.ContentLength() - x.stream.deliveredBytes
-		p = x.readBuf.Bytes()[:min(left, int64(x.readBuf.Len()))]
-		x.stream.lastPieceBytes = len(p)
-		return p, left == 0, nil
+		remaining := x.head.ContentLength() - x.stream.deliveredBytes
+		piece = x.readBuf.Bytes()[:min(remaining, int64(x.readBuf.Len()))]
+		x.stream.lastPieceBytes = len(piece)
+		return piece, remaining == 0, nil
 	case http1.Chunked:
 		for {
 			data, n, err := x.chunkDecoder.Decode(x.readBuf.Bytes())
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -373,17 +373,17 @@
 	})
 }
 
-// startEndlessNode starts a node that responds with start and then repeats more without end, on a connection
+// startEndlessNode starts a node that responds with start and then repeats block without end, on a connection
 // that stays open. It returns the node's address.
-func startEndlessNode(t *testing.T, start, more string) string {
+func startEndlessNode(t *testing.T, start, block string) string {
 	return fake.StartTCPServer(t, func(c net.Conn) {
 		defer c.Close()
 		if fake.DiscardRequest(bufio.NewReader(c)) != nil {
 			return
 		}
-		block := []byte(strings.Repeat(more, 1000))
+		repeatedBlock := []byte(strings.Repeat(block, 1000))
 		for _, err := io.WriteString(c, start); err == nil; {
-			_, err = c.Write(block)
+			_, err = c.Write(repeatedBlock)
 		}
 	})
 }
