--- a/internal/engine/log.go
+++ b/internal/engine/log.go
@@ -44,5 +44,5 @@
 	case result.Refused:
 		kind = "refused"
 	}
-	slog.Debug("request answered", "request", c.CallerRequestID, "answer", kind, "by", decidedBy, "attempts", len(c.attempts), "retry after", result.RetryAfter)
+	slog.Debug("request ended", "request", c.CallerRequestID, "answer", kind, "by", decidedBy, "attempts", len(c.attempts), "retry after", result.RetryAfter)
 }
