--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -500,7 +500,7 @@
 			t.Errorf("share %g at age %v, want %g", got, c.age, c.want)
 		}
 	}
-	// A restart starts the warm-up anew and resets the state of the old process.
+	// A restart starts the warm-up again and resets the state of the old process.
 	h.b.recordFailure(h.b.endpoints[1], 0)
 	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{{ID: 1, StartedAt: startedAt + time.Hour}}, nil)
 	if e := h.b.endpoints[1]; e.speedPenalty != 0 || e.consecutiveFailures != 0 || e.StartedAt != startedAt+time.Hour {
--- a/cmd/barleydrum/soak_test.go
+++ b/cmd/barleydrum/soak_test.go
@@ -363,7 +363,7 @@
 		text.WriteString(c.requestText(req))
 	}
 	if !c.writeInPieces(conn, text.String()) {
-		return false // not sent whole: the caller can expect no response
+		return false // not completely sent: the caller can expect no response
 	}
 	now := time.Now()
 	for _, req := range batch {
@@ -436,7 +436,7 @@
 	return head + "Content-Length: 4\r\n\r\nbody"
 }
 
-// writeInPieces writes a text, sometimes in pieces, and reports whether it was written whole.
+// writeInPieces writes a text, sometimes in pieces, and reports whether all of it was written.
 func (c *soakCaller) writeInPieces(conn net.Conn, text string) bool {
 	pieces := 1
 	if c.random.IntN(5) == 0 {
--- a/cmd/drumctl/main_test.go
+++ b/cmd/drumctl/main_test.go
@@ -162,7 +162,7 @@
 }
 
 // TestReferencePagesAreUpToDate guards against a reference page or template that differs from the
-// schema and the rules. After a change to either, print both files anew with the commands below.
+// schema and the rules. After a change to either, print both files again with the commands below.
 func TestReferencePagesAreUpToDate(t *testing.T) {
 	for name, args := range map[string][]string{
 		"../../docs/operators/settings.md": {"config", "reference"}, "../../deploy/settings.toml": {"config", "reference", "--template"},
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -250,7 +250,7 @@
 		}
 	})
 	if file != nil {
-		file.Close() // the error doesn't matter: the file has no name, so its data goes either way
+		file.Close() // the error doesn't matter: the file has no name, so its data is freed either way
 	}
 }
 
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -390,7 +390,7 @@
 	return max(now-start, 1)
 }
 
-// MarkBodyComplete notifies the engine that the streamed body of the call has been received whole.
+// MarkBodyComplete notifies the engine that the streamed body of the call has been received completely.
 func (c *Call) MarkBodyComplete() { c.engine.bodyStateChanged(c, balance.BodyComplete) }
 
 // MarkBodyUnavailable notifies the engine that the streamed body is no longer retained: no further
@@ -461,7 +461,7 @@
 
 // appendRequest appends a call's request in the form that is sent to an endpoint, and returns the
 // offset at which the value of X-Timeout must be inserted. Other end-to-end fields are forwarded as
-// received; the body is framed anew. A streamed body is not appended.
+// received; the body gets new framing fields. A streamed body is not appended.
 func appendRequest(b []byte, c *Call) (text []byte, timeoutAt int) {
 	head := c.Head
 	b = http1.AppendRequestLine(b, head.Method(), head.Target())
--- a/internal/engine/log.go
+++ b/internal/engine/log.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// logFinalResult logs the final result of a request. decidedBy says what decided it: the balancer, an
+// logFinalResult logs the final result of a request. decidedBy names what decided it: the balancer, an
 // attempt, a deadline that passed, or a caller that disconnected.
 func logFinalResult(c *Call, result *FinalResult, decidedBy string) {
 	if !debugEnabled() {
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -1,7 +1,7 @@
 // Package fleetsim simulates a fleet: clients, sidecars that run the real balancer, and
 // the nodes of one tier. It uses simulated time, opens no sockets and reads no clock;
 // the same Config gives the same Result. It serves to study fleets that are too large
-// for the machines at hand, and to test effects of the balancer's decisions that show
+// for the available machines, and to test effects of the balancer's decisions that show
 // only when many sidecars act at once.
 //
 // A node shares its cores evenly among the requests that compute at it (processor
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -217,7 +217,7 @@
 	switch action.Kind {
 	case balance.Send:
 		s.sendAttempt(action)
-	case balance.Cancel: // the node goes on with the work, but the sidecar does not wait for it
+	case balance.Cancel: // the node continues the work, but the sidecar does not wait for it
 		if try := s.pending[action.Request]; try != nil && try.inFlight[action.Attempt] != nil {
 			sim.schedule(0, func() { s.endAttempt(action.Request, action.Attempt, balance.Canceled, nil) })
 		}
--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -144,7 +144,7 @@
 }
 
 // readHead reads a request's head and returns its length in bytes. It waits for the end of an incomplete head
-// until Timeouts.Head after timerStartedAt, but at least for Timeouts.Body after the data at hand was read.
+// until Timeouts.Head after timerStartedAt, but at least for Timeouts.Body after the buffered data was read.
 func (s *Server) readHead(c *conn) (headBytes int, err error) {
 	c.head.Reset()
 	headBytes, err = c.head.Parse(c.buf.Bytes())
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Invalid lists and failed requests must leave the current list unchanged, and the watch must go on.
+// Invalid lists and failed requests must leave the current list unchanged, and the watch must continue.
 // Requests that get an immediate response must not be repeated in a busy loop.
 func TestWatchContinuesAfterBadListsAndFailures(t *testing.T) {
 	badLists := []string{
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -34,8 +34,8 @@
 
 // Exchange is one request to an endpoint and its response.
 //
-// One goroutine at a time runs the exchange: it calls TakeIdleConn or Dial and then Run, goes on as
-// the Progress returned by Run says, and calls NextResponseData if the response is streamed. Any
+// One goroutine at a time runs the exchange: it calls TakeIdleConn or Dial and then Run, continues as
+// the Progress returned by Run requires, and calls NextResponseData if the response is streamed. Any
 // goroutine may call Cancel, CancelUnsent, Interrupt and ExtendDeadline. A streamed request body is
 // sent by a goroutine of its own, which has ended when the exchange has ended.
 type Exchange struct {
@@ -178,7 +178,7 @@
 	return err == nil
 }
 
-// Progress says why Run returned.
+// Progress is the reason why Run returned.
 type Progress int
 
 // The results of Run.
@@ -359,8 +359,8 @@
 	x.cancel(cause)
 }
 
-// CancelUnsent cancels the exchange if its request has not started to be sent. Otherwise the exchange goes
-// on, unless its idle connection turns out to be stale: then it is canceled too.
+// CancelUnsent cancels the exchange if its request has not started to be sent. Otherwise the exchange
+// continues, unless its idle connection turns out to be stale: then it is canceled too.
 func (x *Exchange) CancelUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -407,8 +407,8 @@
 	x.conn.Close()
 	x.conn = nil
 	if !uploadComplete {
-		// uploadErr says what failed, unless the upload was only stopped above because the endpoint had
-		// ended the exchange: then err says it. After a timeout, the endpoint has not ended it.
+		// uploadErr is what failed, unless the upload was only stopped above because the endpoint had
+		// ended the exchange: then err is the cause. After a timeout, the endpoint has not ended it.
 		if errors.Is(uploadErr, body.ErrStopped) && !isTimeout(err) {
 			uploadErr = err
 		}
@@ -608,7 +608,7 @@
 // Err returns why an exchange that has ended has no usable response, nil if it has one.
 func (x *Exchange) Err() error { return x.err }
 
-// LoadReport returns the load report that came with the response, nil if there was none. It is valid until the
+// LoadReport returns the load report in the response, nil if there was none. It is valid until the
 // next Prepare.
 func (x *Exchange) LoadReport() *balance.Load {
 	if !x.hasLoadReport {
