--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,7 @@
 // Command adapter runs balancers for the operators' bench. It reads batches of
 // events from standard input and writes one reply for each to standard output, in
-// the line protocol of package wire.
+// the line protocol of package wire. It makes no decisions itself, opens no sockets and
+// reads no clock: time is part of the events.
 package main
 
 import (
--- a/cmd/drumctl/main.go
+++ b/cmd/drumctl/main.go
@@ -1,6 +1,7 @@
 // Command drumctl writes, checks, explains and compares the configuration of barleydrum. It
 // exits with 0 on success, 1 if a configuration is refused or, with diff --exit-code, differs, and 2
-// on a wrong command line or another error.
+// on a wrong command line or another error. It contacts no sidecar; the rules are
+// in packages check and config, which the sidecar uses too.
 package main
 
 import (
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,6 +1,7 @@
 // Command lab runs barleydrum on one machine, on loopback: the real program with three tiers of fake
 // nodes. With -compare it measures the program beside httputil.ReverseProxy, a fasthttp proxy and no
-// proxy instead; with -streams, beside httputil.ReverseProxy with long bodies.
+// proxy instead; with -streams, beside httputil.ReverseProxy with long bodies. The
+// command only parses its flags; everything else is in package lab.
 package main
 
 import (
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,6 +1,7 @@
 // Package fake simulates a sidecar's network peers for tests and for the lab: the endpoints of
 // a tier, with faults that can be switched on and off; discovery, pushed or polled; and callers
 // that count the outcomes of their requests. It follows PROTOCOL and listens on loopback only.
+// The sidecar must not import it.
 package fake
 
 import (
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -2,7 +2,7 @@
 // starts three tiers of nodes with a sidecar beside each caller and sends requests at a fixed rate;
 // during the run one node fails and another drains. It reports the outcomes of the requests and whether
 // the four rules were kept, and leaves the configuration files to read and change. Compare and
-// CompareStreams measure the program beside other proxies.
+// CompareStreams measure the program beside other proxies. The sidecar must not import this package.
 package lab
 
 import (
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -2,6 +2,7 @@
 //
 // [Server] validates the requests of callers, hands them to an [engine.Engine] and writes the
 // responses. [DiscoveryClient] keeps the engine's list of endpoints up to date.
+// The package makes no balancing decisions and sends no requests to endpoints: the engine does.
 package sidecar
 
 import (
--- a/internal/tcpconn/conn.go
+++ b/internal/tcpconn/conn.go
@@ -1,6 +1,7 @@
 // Package tcpconn reads TCP connections for programs that have many of them: a buffer is held only
 // while it contains data, a connection can be checked for data without reading it, and one
-// goroutine detects all peers that disconnect. It is for Linux only.
+// goroutine detects all peers that disconnect. It does not interpret the data.
+// It is for Linux only.
 package tcpconn
 
 import (
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,7 +1,8 @@
 // Package upstream sends requests to endpoints. It provides routes, a pool of connections, and
 // exchanges of one request for one response. The request of an exchange is sent at most once, on a
 // connection with no data left to read, and not at all once its endpoint has left service. The
-// result distinguishes requests that can't have run from those that may have run.
+// result distinguishes requests that can't have run from those that may have run. The package neither chooses
+// endpoints nor retries requests; that is up to the balancer.
 package upstream
 
 import (
