--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -148,14 +148,14 @@
 			t.Fatalf("probe %d: sent to a busy endpoint", i)
 		}
 	}
-	more := h.actionsOf(Probe)
-	if len(more) == 0 {
+	furtherProbes := h.actionsOf(Probe)
+	if len(furtherProbes) == 0 {
 		t.Fatal("no further probe though no endpoint is idle")
 	}
 	h.now += ms
-	h.endProbe(more[0].Endpoint, 0)
-	if got := h.sentEndpoint(); got != more[0].Endpoint {
-		t.Errorf("sent to %d, want the idle %d", got, more[0].Endpoint)
+	h.endProbe(furtherProbes[0].Endpoint, 0)
+	if got := h.sentEndpoint(); got != furtherProbes[0].Endpoint {
+		t.Errorf("sent to %d, want the idle %d", got, furtherProbes[0].Endpoint)
 	}
 }
 
@@ -500,7 +500,7 @@
 			t.Errorf("share %g at age %v, want %g", got, c.age, c.want)
 		}
 	}
-	// A restart starts the warm-up anew and resets the state of the old process.
+	// A restart starts the warm-up again and resets the state of the old process.
 	h.b.recordFailure(h.b.endpoints[1], 0)
 	h.actions = h.b.EndpointsUpdated(h.now, ListChanges, []Endpoint{{ID: 1, StartedAt: startedAt + time.Hour}}, nil)
 	if e := h.b.endpoints[1]; e.speedPenalty != 0 || e.consecutiveFailures != 0 || e.StartedAt != startedAt+time.Hour {
@@ -1399,8 +1399,8 @@
 	for _, id := range uploads[:15] {
 		h.actions = h.b.BodyStateChanged(h.now, id, BodyComplete, nil)
 	}
-	if more, _ := sendMany(false); len(more) > 0 {
-		t.Errorf("%d were sent to endpoints whose cores are busy now", len(more))
+	if sentNow, _ := sendMany(false); len(sentNow) > 0 {
+		t.Errorf("%d were sent to endpoints whose cores are busy now", len(sentNow))
 	}
 	h.actions = h.b.ResponseStarted(h.now, uploads[0], 0, nil)
 	for i, id := range uploads {
--- a/internal/engine/log.go
+++ b/internal/engine/log.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// logFinalResult logs the final result of a request. decidedBy says what decided it: the balancer, an
+// logFinalResult logs the final result of a request. decidedBy names what decided it: the balancer, an
 // attempt, a deadline that passed, or a caller that disconnected.
 func logFinalResult(c *Call, result *FinalResult, decidedBy string) {
 	if !debugEnabled() {
@@ -44,5 +44,5 @@
 	case result.Refused:
 		kind = "refused"
 	}
-	slog.Debug("request answered", "request", c.CallerRequestID, "answer", kind, "by", decidedBy, "attempts", len(c.attempts), "retry after", result.RetryAfter)
+	slog.Debug("request ended", "request", c.CallerRequestID, "answer", kind, "by", decidedBy, "attempts", len(c.attempts), "retry after", result.RetryAfter)
 }
--- a/internal/fake/fake.go
+++ b/internal/fake/fake.go
@@ -1,6 +1,7 @@
 // Package fake simulates a sidecar's network peers for tests and for the lab: the endpoints of
 // a tier, with faults that can be switched on and off; discovery, pushed or polled; and callers
 // that count the outcomes of their requests. It follows PROTOCOL and listens on loopback only.
+// The sidecar must not import it.
 package fake
 
 import (
@@ -90,11 +91,11 @@
 
 // NewConfig returns a configuration for tests: a platform's configuration with PlatformSettingsJSON
 // and the endpoints known at the start, merged with the operators' default settings.
-func NewConfig(t TestingT, known discovery.List) *config.Config {
+func NewConfig(t TestingT, knownEndpoints discovery.List) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f",
-		"known": known, "settings": json.RawMessage(PlatformSettingsJSON),
+		"known": knownEndpoints, "settings": json.RawMessage(PlatformSettingsJSON),
 	})
 	if err != nil {
 		t.Fatal(err)
